--- a/crates/lemontide-cli/src/measure/rig.rs
+++ b/crates/lemontide-cli/src/measure/rig.rs
@@ -5,7 +5,7 @@
 use axum::{Json, Router};
 use lemontide_front::connections::{accept, Hall, Stack};
 use lemontide_front::events::State;
-use lemontide_shed::door::Bounds;
+use lemontide_shed::connection_limits::ConnectionLimits;
 use lemontide_standin::day::Day;
 use lemontide_standin::run::replace;
 use lemontide_standin::streamer::Fleet;
@@ -141,7 +141,12 @@
         let routes = Router::new()
             .route("/v1/subscriptions", post(move |_: axum::body::Bytes| async move { Json(said()) }))
             .route("/v1/subscriptions/{id}", delete(|| async { axum::http::StatusCode::NO_CONTENT }));
-        let bounds = Bounds { connections: 10_000, per_network: 10_000, bits_v4: 24, bits_v6: 56 };
+        let bounds = ConnectionLimits {
+            max_connections: 10_000,
+            max_per_network: 10_000,
+            prefix_bits_v4: 24,
+            prefix_bits_v6: 56,
+        };
         let long = Duration::from_secs(60);
         let stack = Stack { bounds, request: Duration::from_secs(5), idle: long, write: long };
         accept(listener, routes, stack, Arc::new(Hall::new(Clock::start(), bounds)), None).await;
--- a/crates/lemontide-front/src/connections.rs
+++ b/crates/lemontide-front/src/connections.rs
@@ -12,7 +12,9 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
 use lemontide::clock::{Point, Span};
-use lemontide_shed::door::{Bounds, Counts, Door, Knock};
+use lemontide_shed::connection_limits::{
+    AcceptDecision, ConnectionCounts, ConnectionLimiter, ConnectionLimits,
+};
 use lemontide_wire::clock::Clock;
 use lemontide_wire::hint::Hint;
 use lemontide_wire::play::Answer;
@@ -43,7 +45,7 @@
 /// Bounds of the HTTP stack.
 #[derive(Clone, Copy, Debug)]
 pub struct Stack {
-    pub bounds: Bounds,
+    pub bounds: ConnectionLimits,
     /// The time in which a request must be there, that a connection may be idle, and that it may take no bytes.
     pub request: Duration,
     pub idle: Duration,
@@ -53,7 +55,7 @@
 /// All connections.
 pub struct Hall {
     clock: Clock,
-    door: Mutex<Door>,
+    door: Mutex<ConnectionLimiter>,
     tasks: Mutex<HashMap<u64, AbortHandle>>,
 }
 
@@ -62,8 +64,8 @@
 }
 
 impl Hall {
-    pub fn new(clock: Clock, bounds: Bounds) -> Hall {
-        Hall { clock, door: Mutex::new(Door::new(bounds)), tasks: Mutex::default() }
+    pub fn new(clock: Clock, bounds: ConnectionLimits) -> Hall {
+        Hall { clock, door: Mutex::new(ConnectionLimiter::new(bounds)), tasks: Mutex::default() }
     }
 
     fn now(&self) -> Point {
@@ -82,7 +84,7 @@
         closed.into_iter().for_each(|id| self.close(id));
     }
 
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> ConnectionCounts {
         lock(&self.door).counts()
     }
 }
@@ -131,12 +133,12 @@
         };
         let knock = lock(&hall.door).knock(hall.now(), from.ip());
         let id = match knock {
-            Knock::Open(id) => id,
-            Knock::InPlaceOf(id, closed) => {
+            AcceptDecision::Accept(id) => id,
+            AcceptDecision::AcceptAndClose(id, closed) => {
                 hall.close(closed);
                 id
             }
-            Knock::Full | Knock::NetworkFull => {
+            AcceptDecision::LimitReached | AcceptDecision::NetworkLimitReached => {
                 // One try: who is turned away at the door costs no wait.
                 let _ = socket.try_write(&answer("too many connections", None));
                 continue;
--- a/crates/lemontide-front/src/core/driver.rs
+++ b/crates/lemontide-front/src/core/driver.rs
@@ -9,7 +9,7 @@
 use lemontide::clock::{Point, Span};
 use lemontide::control::{Controller, Handle};
 use lemontide::interface::{Ending, Line, Load, Sheet, Shot, Stage};
-use lemontide_shed::flight::Flight;
+use lemontide_shed::concurrency::ConcurrencyLimit;
 use lemontide_wire::cmcd::Cmcd;
 use lemontide_wire::cmsd::Dynamic;
 use lemontide_wire::link::{Cancel, How, Look, Order, Ping, SetRung, SetUp, Told, Why};
@@ -215,7 +215,7 @@
             if at == self.known.len() {
                 self.by_name.insert(entry.streamer.clone(), at);
                 let mut link = Link::new(now);
-                link.flight = self.terms.flights.then(|| Flight::new(now));
+                link.flight = self.terms.flights.then(|| ConcurrencyLimit::new(now));
                 // One of many dials when something needs the link, not all at once when the list comes.
                 link.idle = self.together.as_ref().map(|_| now);
                 let known = Known { entry: entry.clone(), welcomed: None, link, looking: None };
--- a/crates/lemontide-front/src/core/links.rs
+++ b/crates/lemontide-front/src/core/links.rs
@@ -4,7 +4,7 @@
 //! stale and change nothing.
 
 use lemontide::clock::{Point, Span};
-use lemontide_shed::flight::Flight;
+use lemontide_shed::concurrency::ConcurrencyLimit;
 use lemontide_wire::link::Order;
 use std::collections::VecDeque;
 
@@ -68,7 +68,7 @@
     dialled: Option<Point>,
     queue: VecDeque<Queued<O>>,
     /// Bounds set-ups under way, where the settings ask for it.
-    pub flight: Option<Flight>,
+    pub flight: Option<ConcurrencyLimit>,
     /// Whether the list still names it; one that is gone is not dialled again.
     pub wanted: bool,
     /// Since when nothing needs it: such a link is not dialled until something does.
@@ -301,8 +301,8 @@
     #[test]
     fn set_ups_wait_for_a_streamers_answers_and_other_orders_go_past_them() {
         let mut link = up();
-        link.flight = Some(Flight::new(at(0.0)));
-        let limit = link.flight.as_ref().map_or(0, Flight::limit);
+        link.flight = Some(ConcurrencyLimit::new(at(0.0)));
+        let limit = link.flight.as_ref().map_or(0, ConcurrencyLimit::limit);
         (0..limit as u32 + 10).for_each(|id| assert!(link.push(set_up(id))));
         let mut left = 0;
         while let Some(sent) = Some(link.batch(at(0.0)).len()).filter(|sent| *sent > 0) {
--- a/crates/lemontide-front/src/events.rs
+++ b/crates/lemontide-front/src/events.rs
@@ -2,8 +2,8 @@
 
 use crate::core::{InFleet, Refusal};
 use lemontide::clock::Point;
-use lemontide_shed::door::Counts;
-use lemontide_shed::keeper::View;
+use lemontide_shed::connection_limits::ConnectionCounts;
+use lemontide_shed::shedder::LoadSnapshot;
 use lemontide_wire::cmcd::Cmcd;
 use lemontide_wire::link::Told;
 use lemontide_wire::list::List;
@@ -96,9 +96,9 @@
     pub shed_at_the_door: u64,
     /// Wishes that waited until it was too late.
     pub late: u64,
-    pub connections: Counts,
+    pub connections: ConnectionCounts,
     /// Where shedding is on: the gauges, and what became of each lane's wishes.
-    pub shedding: Option<View>,
+    pub shedding: Option<LoadSnapshot>,
     /// Set-ups under way to each streamer, and how many may be.
     pub flights: Vec<(String, usize, usize)>,
     /// Where turns and streamers are shared out: this controller's view of the fleet.
--- a/crates/lemontide-front/src/front.rs
+++ b/crates/lemontide-front/src/front.rs
@@ -12,8 +12,8 @@
 use crate::settings::Settings;
 use crate::waiting::Waiting;
 use lemontide::clock::Point;
-use lemontide_shed::relief;
-use lemontide_shed::room::{Order, Turn};
+use lemontide_shed::memory;
+use lemontide_shed::request_queue::{Dequeued, QueueDiscipline};
 use lemontide_wire::clock::Clock;
 use lemontide_wire::play::News;
 use lemontide_wire::tap::{Tap, What};
@@ -58,7 +58,7 @@
         let seed = settings.seed.unwrap_or_else(rand::random);
         let (reports, reported) = mpsc::channel(REPORTS_MOST);
         let guard = Guard::new(&settings, clock, seed).map(Arc::new);
-        let order = if guard.is_some() { Order::Rank } else { Order::Arrival };
+        let order = if guard.is_some() { QueueDiscipline::ByRank } else { QueueDiscipline::Fifo };
         let most = settings.limits.waiting;
         let lane_most = settings.shedding.as_ref().and_then(|limits| limits.lane_waiting).unwrap_or(most);
         let room = Arc::new(Waiting::new(order, most, lane_most, settings.lanes.len()));
@@ -94,7 +94,8 @@
         };
         if let Some(guard) = &guard {
             let hall = hall.clone();
-            let close_idle = move || hall.close_idle(relief::IDLE, relief::CLOSED_AT_ONCE);
+            let close_idle =
+                move || hall.close_idle(memory::IDLE_CONNECTION_AGE, memory::MAX_CLOSED_PER_PASS);
             tokio::spawn(guard.clone().keep(room.clone(), close_idle, reports.clone()));
         }
         let before = http::Before { clock, room: room.clone(), guard: guard.clone(), hall };
@@ -224,9 +225,9 @@
         Point::at(self.links.clock.now())
     }
 
-    fn asked(&mut self, turn: Turn<Asked>) {
-        let late = matches!(turn, Turn::Late(_));
-        let (Turn::Go(wish) | Turn::Late(wish)) = turn;
+    fn asked(&mut self, turn: Dequeued<Asked>) {
+        let late = matches!(turn, Dequeued::Expired(_));
+        let (Dequeued::Ready(wish) | Dequeued::Expired(wish)) = turn;
         let Asked { id, asked, wish, cmcd, reply } = wish;
         // The player may be gone before its wish was looked at: then nothing is set up.
         if reply.is_closed() {
--- a/crates/lemontide-front/src/guard.rs
+++ b/crates/lemontide-front/src/guard.rs
@@ -5,10 +5,10 @@
 use crate::settings::Settings;
 use crate::waiting::Waiting;
 use lemontide::clock::{Point, Span};
-use lemontide_shed::admit::{Lane, Word};
-use lemontide_shed::keeper::{Asked, Keeper, Terms, View};
-use lemontide_shed::level::What;
-use lemontide_shed::relief::Stage;
+use lemontide_shed::admission::{Class, Decision};
+use lemontide_shed::load_level::Resource;
+use lemontide_shed::memory::MemoryStage;
+use lemontide_shed::shedder::{IncomingRequest, LoadShedder, LoadShedderSettings, LoadSnapshot};
 use lemontide_wire::clock::Clock;
 use lemontide_wire::hint::Hint;
 use lemontide_wire::play::Wish;
@@ -27,7 +27,7 @@
 /// Stands before the driver where the settings ask for it. Shared by the sockets and the deciding thread.
 pub struct Guard {
     clock: Clock,
-    keeper: Mutex<Keeper>,
+    keeper: Mutex<LoadShedder>,
     lanes: Vec<(String, Span)>,
     /// Limits: of the delay, of cores, of memory, of files and of what is in hand.
     delay_s: f64,
@@ -49,20 +49,27 @@
     pub fn new(settings: &Settings, clock: Clock, seed: u64) -> Option<Guard> {
         let limits = settings.shedding.as_ref()?;
         let share = |i: usize| limits.lane_shares.get(i).copied().unwrap_or(0.0);
-        let lane =
-            |(i, lane): (usize, &crate::settings::Lane)| Lane { gain: lane.gain, cost: 1.0, share: share(i) };
+        let lane = |(i, lane): (usize, &crate::settings::Lane)| Class {
+            gain: lane.gain,
+            mean_cost: 1.0,
+            reserved_share: share(i),
+        };
         let here = settings.controllers.max(1) as f64;
-        let terms = Terms {
-            lanes: settings.lanes.iter().enumerate().map(lane).collect(),
-            tenants: settings.tenants.iter().map(|t| (t.name.clone(), t.quota_per_s / here)).collect(),
-            longest: Span::of(settings.retry_after.longest_s),
-            hold: Span::of(limits.hold_s),
-            delay: Span::of(limits.delay_s),
+        let terms = LoadShedderSettings {
+            classes: settings.lanes.iter().enumerate().map(lane).collect(),
+            tenant_quotas: settings.tenants.iter().map(|t| (t.name.clone(), t.quota_per_s / here)).collect(),
+            max_retry_after: Span::of(settings.retry_after.longest_s),
+            max_hold: Span::of(limits.hold_s),
+            max_delay: Span::of(limits.delay_s),
         };
         Some(Guard {
             clock,
-            keeper: Mutex::new(Keeper::new(Point::at(clock.now()), terms, seed)),
-            lanes: settings.lanes.iter().map(|lane| (lane.name.clone(), Span::of(lane.cut_off_s))).collect(),
+            keeper: Mutex::new(LoadShedder::new(Point::at(clock.now()), terms, seed)),
+            lanes: settings
+                .lanes
+                .iter()
+                .map(|lane| (lane.name.clone(), Span::of(lane.cut_off_s)))
+                .collect(),
             delay_s: limits.delay_s,
             cores: limits.cores,
             memory_bytes: limits.memory_bytes,
@@ -75,7 +82,7 @@
         })
     }
 
-    fn keeper(&self) -> MutexGuard<'_, Keeper> {
+    fn keeper(&self) -> MutexGuard<'_, LoadShedder> {
         self.keeper.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -90,17 +97,17 @@
         // A lane that nobody named is the driver's to refuse.
         let lane = self.lanes.iter().position(|(name, _)| *name == hint.lane)?;
         let now = self.clock.now();
-        let asked = Asked {
-            lane,
+        let asked = IncomingRequest {
+            class: lane,
             tenant: &hint.tenant,
-            returning: hint.returned,
-            left: self.left(lane, now, hint.within, now),
-            held: false,
-            at_once: true,
+            is_retry: hint.returned,
+            time_left: self.left(lane, now, hint.within, now),
+            was_held: false,
+            decide_now: true,
         };
         match self.keeper().judge(Point::at(now), asked) {
-            Word::Take | Word::Hold { .. } => None,
-            Word::TurnBack { wait } => {
+            Decision::Admit | Decision::Hold { .. } => None,
+            Decision::Reject { retry_after: wait } => {
                 self.at_the_door.fetch_add(1, Ordering::Relaxed);
                 Some(wait)
             }
@@ -108,18 +115,18 @@
     }
 
     /// A wish that was read at `asked` seconds; `held` where it is asked about once more.
-    pub fn judge(&self, asked: f64, wish: &Wish, held: bool) -> Word {
+    pub fn judge(&self, asked: f64, wish: &Wish, held: bool) -> Decision {
         let Some(lane) = self.lanes.iter().position(|(name, _)| *name == wish.lane) else {
-            return Word::Take;
+            return Decision::Admit;
         };
         let now = self.clock.now();
-        let asked = Asked {
-            lane,
+        let asked = IncomingRequest {
+            class: lane,
             tenant: &wish.tenant,
-            returning: wish.returned,
-            left: self.left(lane, asked, wish.give_up_in_s, now),
-            held,
-            at_once: false,
+            is_retry: wish.returned,
+            time_left: self.left(lane, asked, wish.give_up_in_s, now),
+            was_held: held,
+            decide_now: false,
         };
         self.keeper().judge(Point::at(now), asked)
     }
@@ -148,7 +155,7 @@
         self.keeper().cost(lane, f64::from(shots));
     }
 
-    pub fn view(&self) -> View {
+    pub fn view(&self) -> LoadSnapshot {
         self.keeper().view(Point::at(self.clock.now()))
     }
 
@@ -165,7 +172,7 @@
     ) {
         let (mut late, mut beats) = (Duration::ZERO, 0);
         let mut spent: Option<(f64, f64)> = None;
-        let mut stage = Stage::Free;
+        let mut stage = MemoryStage::Free;
         while !reports.is_closed() {
             let due = Instant::now() + BEAT;
             tokio::time::sleep_until(due).await;
@@ -178,7 +185,7 @@
                 // Late already: tell at once, the rest in its time.
                 self.keeper().read(
                     Point::at(self.clock.now()),
-                    What::Loop,
+                    Resource::EventLoopLag,
                     late.as_secs_f64() / self.delay_s,
                 );
                 self.keeper().beat(Point::at(self.clock.now()));
@@ -191,25 +198,25 @@
             let waits = oldest.map_or(0.0, |asked| seconds - asked);
             let waited = (self.waited_us.swap(0, Ordering::Relaxed) as f64 / 1e6).max(waits);
             let mut readings = vec![
-                (What::Delay, waited / self.delay_s),
-                (What::Loop, std::mem::take(&mut late).as_secs_f64() / self.delay_s),
-                (What::Queue, fullness),
-                (What::Held, self.in_hand.load(Ordering::Relaxed) as f64 / self.held_most),
+                (Resource::QueueDelay, waited / self.delay_s),
+                (Resource::EventLoopLag, std::mem::take(&mut late).as_secs_f64() / self.delay_s),
+                (Resource::QueueLength, fullness),
+                (Resource::InFlight, self.in_hand.load(Ordering::Relaxed) as f64 / self.held_most),
             ];
             if let Ok(cpu) = clock_gettime(ClockId::CLOCK_PROCESS_CPUTIME_ID) {
                 let cpu = Duration::from(cpu).as_secs_f64();
                 if let Some((before, at)) = spent.replace((cpu, seconds)) {
-                    readings.push((What::Cpu, (cpu - before) / (seconds - at).max(1e-3) / self.cores));
+                    readings.push((Resource::Cpu, (cpu - before) / (seconds - at).max(1e-3) / self.cores));
                 }
             }
             // A gauge that can't be read grows old, and the core knows what to make of that.
             if let Ok(process) = Process::myself() {
                 if let Ok(stat) = process.stat() {
                     let resident = (stat.rss * procfs::page_size()) as f64;
-                    readings.push((What::Memory, resident / self.memory_bytes));
+                    readings.push((Resource::Memory, resident / self.memory_bytes));
                 }
                 if let Ok(files) = process.fd_count() {
-                    readings.push((What::Files, files as f64 / self.files));
+                    readings.push((Resource::OpenFiles, files as f64 / self.files));
                 }
             }
             let before = stage;
@@ -223,12 +230,12 @@
                 (ranks.to_vec(), shares)
             };
             waiting.rank(&ranks, &shares);
-            if stage >= Stage::Caches {
+            if stage >= MemoryStage::Caches {
                 close_idle();
             }
-            if stage > before && stage >= Stage::Caches {
+            if stage > before && stage >= MemoryStage::Caches {
                 tracing::warn!(target: "shedding", ?stage, "memory is short");
-                let _ = reports.try_send(Happened::Relieve { history: stage == Stage::History });
+                let _ = reports.try_send(Happened::Relieve { history: stage == MemoryStage::History });
             }
         }
     }
--- a/crates/lemontide-front/src/http.rs
+++ b/crates/lemontide-front/src/http.rs
@@ -16,9 +16,9 @@
 use futures::stream;
 use lemontide::clock::{Point, Span};
 use lemontide_gossip::node::View;
-use lemontide_shed::admit::Word;
-use lemontide_shed::door::Bounds;
-use lemontide_shed::room::Entered;
+use lemontide_shed::admission::Decision;
+use lemontide_shed::connection_limits::ConnectionLimits;
+use lemontide_shed::request_queue::Enqueued;
 use lemontide_wire::clock::Clock;
 use lemontide_wire::cmcd::{self, Cmcd};
 use lemontide_wire::cmsd;
@@ -75,11 +75,11 @@
 pub fn stack(settings: &Settings) -> Stack {
     let limits = &settings.limits;
     Stack {
-        bounds: Bounds {
-            connections: limits.connections,
-            per_network: limits.per_network,
-            bits_v4: limits.network_bits_v4,
-            bits_v6: limits.network_bits_v6,
+        bounds: ConnectionLimits {
+            max_connections: limits.connections,
+            max_per_network: limits.per_network,
+            prefix_bits_v4: limits.network_bits_v4,
+            prefix_bits_v6: limits.network_bits_v6,
         },
         request: Duration::from_secs_f64(limits.request_s),
         idle: Duration::from_secs_f64(limits.idle_s),
@@ -142,16 +142,16 @@
 /// Whether the guard takes a wish, now or after a hold; otherwise the wait that its player is told.
 async fn passes(guard: &Guard, asked: f64, wish: &Wish) -> Result<(), Span> {
     let held = match guard.judge(asked, wish, false) {
-        Word::Take => return Ok(()),
-        Word::TurnBack { wait } => return Err(wait),
-        Word::Hold { span } => span,
+        Decision::Admit => return Ok(()),
+        Decision::Reject { retry_after: wait } => return Err(wait),
+        Decision::Hold { duration: span } => span,
     };
     let mut hold = Held(Some(guard));
     tokio::time::sleep(Duration::from_secs_f64(held.seconds())).await;
     hold.0 = None;
     match guard.judge(asked, wish, true) {
-        Word::Take => Ok(()),
-        Word::Hold { span: wait } | Word::TurnBack { wait } => Err(wait),
+        Decision::Admit => Ok(()),
+        Decision::Hold { duration: wait } | Decision::Reject { retry_after: wait } => Err(wait),
     }
 }
 
@@ -206,12 +206,12 @@
     };
     let lane = place.unwrap_or(0);
     match serving.room.enter(lane, Point::at(until), Asked { id, asked, wish, cmcd, reply }) {
-        Entered::Waits => {}
-        Entered::InPlaceOf(lost) => {
+        Enqueued::Waiting => {}
+        Enqueued::Displaced(lost) => {
             let wait = serving.guard.as_ref().map_or(Span::ZERO, |guard| guard.wait());
             let _ = lost.reply.send(Err(Refusal::Overloaded { wait }));
         }
-        Entered::Full(_) => {
+        Enqueued::Rejected(_) => {
             let spread = serving.guard.as_ref().map(|guard| guard.wait().seconds());
             let wait = serving.retry_after.map(|longest| spread.unwrap_or(longest));
             return not_taken(StatusCode::SERVICE_UNAVAILABLE, "too many wishes wait", wait);
--- a/crates/lemontide-front/src/waiting.rs
+++ b/crates/lemontide-front/src/waiting.rs
@@ -2,29 +2,32 @@
 
 use crate::events::Asked;
 use lemontide::clock::Point;
-use lemontide_shed::room::{Entered, Order, Room, Turn};
+use lemontide_shed::request_queue::{Dequeued, Enqueued, QueueDiscipline, RequestQueue};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
 
 pub struct Waiting {
-    room: Mutex<(Room<Asked>, bool)>,
+    room: Mutex<(RequestQueue<Asked>, bool)>,
     came: Notify,
 }
 
 impl Waiting {
-    pub fn new(order: Order, most: usize, lane_most: usize, lanes: usize) -> Waiting {
-        Waiting { room: Mutex::new((Room::new(order, most, lane_most, lanes), true)), came: Notify::new() }
+    pub fn new(order: QueueDiscipline, most: usize, lane_most: usize, lanes: usize) -> Waiting {
+        Waiting {
+            room: Mutex::new((RequestQueue::new(order, most, lane_most, lanes), true)),
+            came: Notify::new(),
+        }
     }
 
-    fn room(&self) -> MutexGuard<'_, (Room<Asked>, bool)> {
+    fn room(&self) -> MutexGuard<'_, (RequestQueue<Asked>, bool)> {
         self.room.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// A wish comes in; a closed room is full.
-    pub fn enter(&self, lane: usize, until: Point, asked: Asked) -> Entered<Asked> {
+    pub fn enter(&self, lane: usize, until: Point, asked: Asked) -> Enqueued<Asked> {
         let mut room = self.room();
         if !room.1 {
-            return Entered::Full(asked);
+            return Enqueued::Rejected(asked);
         }
         let entered = room.0.enter(lane, until, asked);
         drop(room);
@@ -33,7 +36,7 @@
     }
 
     /// The next wishes, so many at most, and whether more wait.
-    pub fn take(&self, now: Point, most: usize) -> (Vec<Turn<Asked>>, bool) {
+    pub fn take(&self, now: Point, most: usize) -> (Vec<Dequeued<Asked>>, bool) {
         let mut room = self.room();
         let mut turns = Vec::new();
         while turns.len() < most {
--- a/crates/lemontide-shed/src/rate.rs
+++ b/crates/lemontide-shed/src/admission_rate.rs
@@ -1,4 +1,4 @@
-//! How many new wishes a second are taken while the controller is near its limit. It is found, not stated: cut
+//! How many new requests a second are taken while the controller is near its limit. It is found, not stated: cut
 //! below what gets done while a gauge presses, raised in steps while none does, and gone when it binds no more. At
 //! all times it stays under what the allowance of CPU can do by the least cost that was seen: a burst is met before
 //! its first delay.
@@ -33,7 +33,7 @@
 const LEAST: f64 = 2.0;
 const LEAST_OF_BEST: f64 = 0.1;
 /// What the allowance can do is passed by so much: the estimate is no more than one. It is learned from this part
-/// of the allowance and this many wishes a second on, while most of what is asked is taken, with
+/// of the allowance and this many requests a second on, while most of what is asked is taken, with
 /// these time constants in seconds.
 const CEILING: f64 = 1.3;
 const CPU_LEAST: f64 = 0.25;
@@ -46,7 +46,7 @@
 const CLOSED: f64 = 1.0;
 
 #[derive(Clone, Debug)]
-pub struct Rate {
+pub struct AdmissionRate {
     limit: Option<f64>,
     /// Since the last beat, and a second.
     turns: f64,
@@ -54,20 +54,20 @@
     done: f64,
     asked: f64,
     best: f64,
-    /// Wishes a second that the whole allowance could do, by the least cost seen lately.
+    /// Requests a second that the whole allowance could do, by the least cost seen lately.
     can: Option<f64>,
     /// The last reading of the CPU; part of the allowance and what gets done a second, both averaged.
     part: f64,
     spent: (f64, f64),
-    /// Least part that was spent without wishes.
+    /// Least part that was spent without requests.
     idle: Option<f64>,
     calm: Option<Point>,
     at: Point,
 }
 
-impl Rate {
-    pub fn new(now: Point) -> Rate {
-        Rate {
+impl AdmissionRate {
+    pub fn new(now: Point) -> AdmissionRate {
+        AdmissionRate {
             limit: None,
             turns: 0.0,
             asks: 0.0,
@@ -83,17 +83,17 @@
         }
     }
 
-    /// A wish got its turn and was worked on.
+    /// A request got its turn and was worked on.
     pub fn turn(&mut self) {
         self.turns += 1.0;
     }
 
-    /// A wish came.
+    /// A request came.
     pub fn ask(&mut self) {
         self.asks += 1.0;
     }
 
-    /// Wishes a second that may be taken; none where there is no limit.
+    /// Requests a second that may be taken; none where there is no limit.
     pub fn limit(&self) -> Option<f64> {
         let ceiling = self.can.map(|can| (can * CEILING).max(LEAST));
         [self.limit, ceiling].into_iter().flatten().reduce(f64::min)
@@ -107,7 +107,7 @@
     }
 
     /// Learns what the whole allowance could do. Both figures are averaged alike, so that neither runs ahead. Under
-    /// little load most of the CPU is not the wishes', so nothing is learned of their cost there.
+    /// little load most of the CPU is not the requests', so nothing is learned of their cost there.
     fn learn(&mut self, passed: f64, done: f64) {
         let weight = 1.0 - (-passed / COST_S).exp();
         self.spent.0 += (self.part - self.spent.0) * weight;
@@ -117,7 +117,7 @@
             self.idle = Some(self.idle.map_or(part, |idle| idle.min(part)));
         }
         if part >= CPU_LEAST && done >= DONE_LEAST {
-            // What is spent without any wish is not theirs.
+            // What is spent without any request is not theirs.
             let idle = self.idle.unwrap_or(0.0);
             let can = done * (1.0 - idle) / (part - idle).max(0.05);
             let weight = 1.0 - (-passed / CAN_S).exp();
@@ -184,8 +184,8 @@
     }
 
     /// A server that does so many a second; what is over waits. Taken a second, in each second.
-    fn serve(capacity: f64, offered: impl Fn(f64) -> f64, seconds: usize) -> (Vec<f64>, Rate) {
-        let mut rate = Rate::new(at(0.0));
+    fn serve(capacity: f64, offered: impl Fn(f64) -> f64, seconds: usize) -> (Vec<f64>, AdmissionRate) {
+        let mut rate = AdmissionRate::new(at(0.0));
         let (mut queue, mut taken) = (0.0f64, vec![0.0; seconds]);
         for step in 0..seconds * 10 {
             let now = step as f64 / 10.0;
@@ -225,7 +225,7 @@
 
     #[test]
     fn a_hard_limit_closes_and_a_blind_moment_changes_nothing() {
-        let mut rate = Rate::new(at(0.0));
+        let mut rate = AdmissionRate::new(at(0.0));
         rate.beat(at(0.1), Some(2.0), 1.5);
         assert_eq!(rate.limit(), Some(0.0));
         rate.beat(at(0.2), None, 0.0);
@@ -238,7 +238,7 @@
 
     #[test]
     fn the_allowance_bounds_a_burst_before_any_delay() {
-        let mut rate = Rate::new(at(0.0));
+        let mut rate = AdmissionRate::new(at(0.0));
         for tenth in 1..50 {
             (0..10).for_each(|_| rate.turn());
             (0..10).for_each(|_| rate.ask());
@@ -263,7 +263,7 @@
         fn more_pressure_never_leaves_more(
             beats in proptest::collection::vec((0.0f64..3.0, 0u8..50, 0u8..50), 1..100), more in 0.0f64..2.0,
         ) {
-            let (mut one, mut other) = (Rate::new(at(0.0)), Rate::new(at(0.0)));
+            let (mut one, mut other) = (AdmissionRate::new(at(0.0)), AdmissionRate::new(at(0.0)));
             for (i, (pressure, asks, turns)) in beats.iter().enumerate() {
                 for rate in [&mut one, &mut other] {
                     (0..*asks).for_each(|_| rate.ask());
@@ -275,7 +275,7 @@
                 if let Some(limit) = one.limit() {
                     prop_assert!(limit.is_finite() && limit >= LEAST);
                 }
-                let open = |rate: &Rate| rate.limit().unwrap_or(f64::INFINITY);
+                let open = |rate: &AdmissionRate| rate.limit().unwrap_or(f64::INFINITY);
                 prop_assert!(open(&other) <= open(&one) + 1e-9, "{:?} {:?}", other.limit(), one.limit());
                 // Each goes on from the same: what came before must not tell.
                 other = one.clone();
--- a/crates/lemontide-shed/src/flight.rs
+++ b/crates/lemontide-shed/src/concurrency.rs
@@ -19,7 +19,7 @@
 const FORGET_PER_S: f64 = 0.02;
 
 #[derive(Clone, Debug)]
-pub struct Flight {
+pub struct ConcurrencyLimit {
     limit: f64,
     out: usize,
     best: Option<Span>,
@@ -29,9 +29,9 @@
     reached: Option<Point>,
 }
 
-impl Flight {
-    pub fn new(now: Point) -> Flight {
-        Flight { limit: FIRST, out: 0, best: None, at: now, cut: now, reached: None }
+impl ConcurrencyLimit {
+    pub fn new(now: Point) -> ConcurrencyLimit {
+        ConcurrencyLimit { limit: FIRST, out: 0, best: None, at: now, cut: now, reached: None }
     }
 
     /// Whether one more set-up may leave.
@@ -97,11 +97,11 @@
     use super::*;
     use proptest::prelude::*;
 
-    /// A streamer that sets up so many at a time, each in so long; wishes always wait. How many it has at once
+    /// A streamer that sets up so many at a time, each in so long; requests always wait. How many it has at once
     /// in the end.
     fn settle(places: usize, work: f64, seconds: f64) -> (usize, usize) {
         let at = |s: f64| Point::at(1000.0 + s);
-        let mut flight = Flight::new(at(0.0));
+        let mut flight = ConcurrencyLimit::new(at(0.0));
         let mut free = vec![0.0f64; places];
         let mut out: Vec<(f64, f64)> = Vec::new();
         let mut now = 0.0;
@@ -134,7 +134,7 @@
     #[test]
     fn a_silent_streamer_is_cut_in_steps_but_never_to_nothing() {
         let at = |s: f64| Point::at(1000.0 + s);
-        let mut flight = Flight::new(at(0.0));
+        let mut flight = ConcurrencyLimit::new(at(0.0));
         let mut limits = Vec::new();
         for i in 1..100 {
             flight.sent();
@@ -151,7 +151,7 @@
         fn whatever_comes_back_the_limit_stays_within_bounds(
             steps in proptest::collection::vec((0u8..4, 0.0f64..2.0), 1..300),
         ) {
-            let mut flight = Flight::new(Point::at(1000.0));
+            let mut flight = ConcurrencyLimit::new(Point::at(1000.0));
             let mut now = 1000.0;
             for (step, s) in steps {
                 now += s * 0.1;
--- a/crates/lemontide-shed/src/door.rs
+++ b/crates/lemontide-shed/src/connection_limits.rs
@@ -11,27 +11,27 @@
 
 /// Bounds of the house.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    pub connections: usize,
+pub struct ConnectionLimits {
+    pub max_connections: usize,
     /// Connections from one network, and how many leading bits of an address name it.
-    pub per_network: usize,
-    pub bits_v4: u8,
-    pub bits_v6: u8,
+    pub max_per_network: usize,
+    pub prefix_bits_v4: u8,
+    pub prefix_bits_v6: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Knock {
+pub enum AcceptDecision {
     /// Come in, under this number.
-    Open(u64),
+    Accept(u64),
     /// Come in; the connection of the second number is closed for it.
-    InPlaceOf(u64, u64),
-    Full,
-    NetworkFull,
+    AcceptAndClose(u64, u64),
+    LimitReached,
+    NetworkLimitReached,
 }
 
 /// Connections in figures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct ConnectionCounts {
     pub open: usize,
     pub idle: usize,
     pub networks: usize,
@@ -48,25 +48,25 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Door {
-    bounds: Bounds,
+pub struct ConnectionLimiter {
+    bounds: ConnectionLimits,
     /// Each connection's network, and since when it is idle.
     inside: HashMap<u64, (IpAddr, Option<Point>)>,
     networks: HashMap<IpAddr, Network>,
     idle: BTreeSet<(Point, u64)>,
     next: u64,
-    counts: Counts,
+    counts: ConnectionCounts,
 }
 
-impl Door {
-    pub fn new(bounds: Bounds) -> Door {
-        Door {
+impl ConnectionLimiter {
+    pub fn new(bounds: ConnectionLimits) -> ConnectionLimiter {
+        ConnectionLimiter {
             bounds,
             inside: HashMap::new(),
             networks: HashMap::new(),
             idle: BTreeSet::new(),
             next: 0,
-            counts: Counts::default(),
+            counts: ConnectionCounts::default(),
         }
     }
 
@@ -74,14 +74,14 @@
         let keep = |bits: u8, of: u32| u32::from(bits).min(of);
         match from {
             IpAddr::V4(v4) => {
-                let bits = keep(self.bounds.bits_v4, 32);
+                let bits = keep(self.bounds.prefix_bits_v4, 32);
                 let mask = u32::MAX.checked_shl(32 - bits).unwrap_or(0);
                 IpAddr::V4((v4.to_bits() & mask).into())
             }
             IpAddr::V6(v6) => match v6.to_ipv4_mapped() {
                 Some(v4) => self.network(IpAddr::V4(v4)),
                 None => {
-                    let bits = keep(self.bounds.bits_v6, 128);
+                    let bits = keep(self.bounds.prefix_bits_v6, 128);
                     let mask = u128::MAX.checked_shl(128 - bits).unwrap_or(0);
                     IpAddr::V6((v6.to_bits() & mask).into())
                 }
@@ -90,24 +90,24 @@
     }
 
     /// Somebody wants to come in. A new connection counts as idle from now on.
-    pub fn knock(&mut self, now: Point, from: IpAddr) -> Knock {
+    pub fn knock(&mut self, now: Point, from: IpAddr) -> AcceptDecision {
         let network = self.network(from);
         let rested = |idle: &BTreeSet<(Point, u64)>| {
             idle.first().filter(|(since, _)| now - *since >= IDLE_LEAST).map(|(_, id)| *id)
         };
         let here = self.networks.get(&network);
         let mut closes = None;
-        if here.is_some_and(|here| here.open >= self.bounds.per_network) {
+        if here.is_some_and(|here| here.open >= self.bounds.max_per_network) {
             closes = here.and_then(|here| rested(&here.idle));
             if closes.is_none() {
                 self.counts.refused_network += 1;
-                return Knock::NetworkFull;
+                return AcceptDecision::NetworkLimitReached;
             }
-        } else if self.inside.len() >= self.bounds.connections {
+        } else if self.inside.len() >= self.bounds.max_connections {
             closes = rested(&self.idle);
             if closes.is_none() {
                 self.counts.refused_full += 1;
-                return Knock::Full;
+                return AcceptDecision::LimitReached;
             }
         }
         if let Some(closed) = closes {
@@ -122,8 +122,8 @@
         here.open += 1;
         here.idle.insert((now, id));
         match closes {
-            Some(closed) => Knock::InPlaceOf(id, closed),
-            None => Knock::Open(id),
+            Some(closed) => AcceptDecision::AcceptAndClose(id, closed),
+            None => AcceptDecision::Accept(id),
         }
     }
 
@@ -179,8 +179,8 @@
         old
     }
 
-    pub fn counts(&self) -> Counts {
-        Counts {
+    pub fn counts(&self) -> ConnectionCounts {
+        ConnectionCounts {
             open: self.inside.len(),
             idle: self.idle.len(),
             networks: self.networks.len(),
@@ -202,21 +202,30 @@
         text.parse().expect("an address")
     }
 
-    fn door(connections: usize, per_network: usize) -> Door {
-        Door::new(Bounds { connections, per_network, bits_v4: 24, bits_v6: 56 })
+    fn door(connections: usize, per_network: usize) -> ConnectionLimiter {
+        ConnectionLimiter::new(ConnectionLimits {
+            max_connections: connections,
+            max_per_network: per_network,
+            prefix_bits_v4: 24,
+            prefix_bits_v6: 56,
+        })
     }
 
     #[test]
     fn ten_thousand_idle_connections_keep_nobody_out() {
         let mut door = door(10_000, 10_000);
-        let open = |door: &mut Door, s, from| match door.knock(at(s), from) {
-            Knock::Open(id) | Knock::InPlaceOf(id, _) => Some(id),
-            Knock::Full | Knock::NetworkFull => None,
+        let open = |door: &mut ConnectionLimiter, s, from| match door.knock(at(s), from) {
+            AcceptDecision::Accept(id) | AcceptDecision::AcceptAndClose(id, _) => Some(id),
+            AcceptDecision::LimitReached | AcceptDecision::NetworkLimitReached => None,
         };
         for i in 0..10_000u32 {
             assert!(open(&mut door, 0.0, ip(&format!("10.0.{}.{}", i / 250, i % 250))).is_some());
         }
-        assert_eq!(door.knock(at(0.1), ip("10.9.0.1")), Knock::Full, "they came only just now");
+        assert_eq!(
+            door.knock(at(0.1), ip("10.9.0.1")),
+            AcceptDecision::LimitReached,
+            "they came only just now"
+        );
         let id = open(&mut door, 1.0, ip("10.9.0.1")).expect("the longest idle goes");
         door.busy(id);
         assert_eq!(door.counts().open, 10_000);
@@ -227,15 +236,22 @@
     fn one_network_in_excess_pays_by_itself() {
         let mut door = door(100, 3);
         let first: Vec<_> = (0..3).map(|i| door.knock(at(0.0), ip(&format!("10.0.0.{i}")))).collect();
-        assert_eq!(door.knock(at(0.1), ip("10.0.0.9")), Knock::NetworkFull);
-        assert!(matches!(door.knock(at(0.1), ip("10.0.1.9")), Knock::Open(_)), "others are not concerned");
+        assert_eq!(door.knock(at(0.1), ip("10.0.0.9")), AcceptDecision::NetworkLimitReached);
+        assert!(
+            matches!(door.knock(at(0.1), ip("10.0.1.9")), AcceptDecision::Accept(_)),
+            "others are not concerned"
+        );
         for knock in &first {
-            let Knock::Open(id) = knock else { panic!("{knock:?}") };
+            let AcceptDecision::Accept(id) = knock else { panic!("{knock:?}") };
             door.busy(*id);
         }
-        assert_eq!(door.knock(at(9.0), ip("10.0.0.9")), Knock::NetworkFull, "who asks is not closed");
+        assert_eq!(
+            door.knock(at(9.0), ip("10.0.0.9")),
+            AcceptDecision::NetworkLimitReached,
+            "who asks is not closed"
+        );
         let mapped = door.knock(at(9.0), ip("::ffff:10.0.0.77"));
-        assert_eq!(mapped, Knock::NetworkFull, "a mapped address is the same network");
+        assert_eq!(mapped, AcceptDecision::NetworkLimitReached, "a mapped address is the same network");
     }
 
     proptest! {
@@ -250,14 +266,14 @@
                 let now = at(i as f64 * 0.2);
                 match step {
                     0 | 1 => match door.knock(now, ip(&format!("10.0.{from}.1"))) {
-                        Knock::Open(id) => inside.push((id, false)),
-                        Knock::InPlaceOf(id, closed) => {
+                        AcceptDecision::Accept(id) => inside.push((id, false)),
+                        AcceptDecision::AcceptAndClose(id, closed) => {
                             let place = inside.iter().position(|(id, _)| *id == closed).expect("it was in");
                             prop_assert!(!inside.remove(place).1, "a busy one was closed");
                             inside.push((id, false));
                         }
-                        Knock::Full => prop_assert!(inside.len() == 12),
-                        Knock::NetworkFull => {}
+                        AcceptDecision::LimitReached => prop_assert!(inside.len() == 12),
+                        AcceptDecision::NetworkLimitReached => {}
                     },
                     _ if inside.is_empty() => {}
                     2 => {
--- a/crates/lemontide-shed/src/level.rs
+++ b/crates/lemontide-shed/src/load_level.rs
@@ -1,32 +1,44 @@
 //! One level of load from all gauges: 0 is free, 1 is at the limit, above it the controller falls behind. The
 //! tightest gauge tells, and the way down is held so that a steady load does not swing it.
 
-use crate::gauge::Gauge;
+use crate::utilization::Utilization;
 use lemontide::clock::Point;
 use serde::{Deserialize, Serialize};
 
 /// What a controller can run out of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum Resource {
     /// From an event's arrival to its turn at the deciding thread, over what is allowed.
-    Delay,
-    /// Wishes that wait, over their queue.
-    Queue,
+    #[serde(rename = "delay")]
+    QueueDelay,
+    /// Requests that wait, over their queue.
+    #[serde(rename = "queue")]
+    QueueLength,
     /// How late the sockets' loop runs, over what is allowed.
-    Loop,
+    #[serde(rename = "loop")]
+    EventLoopLag,
     /// CPU of the process over its allowance.
     Cpu,
     /// Resident memory over its limit.
     Memory,
-    /// Wishes and subscriptions in hand over their limit.
-    Held,
+    /// Requests and subscriptions in hand over their limit.
+    #[serde(rename = "held")]
+    InFlight,
     /// Open files over their limit.
-    Files,
+    #[serde(rename = "files")]
+    OpenFiles,
 }
 
-pub const ALL: [What; 7] =
-    [What::Delay, What::Queue, What::Loop, What::Cpu, What::Memory, What::Held, What::Files];
+pub const ALL_RESOURCES: [Resource; 7] = [
+    Resource::QueueDelay,
+    Resource::QueueLength,
+    Resource::EventLoopLag,
+    Resource::Cpu,
+    Resource::Memory,
+    Resource::InFlight,
+    Resource::OpenFiles,
+];
 
 /// Shedding begins at this part of a limit, so that what is under way still fits. A queue that fills is late
 /// news, so it counts from earlier on.
@@ -44,35 +56,35 @@
 const BLIND: f64 = 0.5;
 
 #[derive(Clone, Debug)]
-pub struct Load {
-    gauges: [Gauge; 7],
+pub struct LoadLevel {
+    gauges: [Utilization; 7],
     level: f64,
     at: Option<Point>,
 }
 
-impl Default for Load {
-    fn default() -> Load {
-        let mut gauges = [Gauge::default(); 7];
+impl Default for LoadLevel {
+    fn default() -> LoadLevel {
+        let mut gauges = [Utilization::default(); 7];
         // A core that is busy for a tenth of a second is no sign of anything; delays tell of bursts.
-        gauges[What::Cpu as usize] = Gauge::slow();
-        Load { gauges, level: 0.0, at: None }
+        gauges[Resource::Cpu as usize] = Utilization::slow();
+        LoadLevel { gauges, level: 0.0, at: None }
     }
 }
 
-impl Load {
-    pub fn read(&mut self, now: Point, what: What, part: f64) {
+impl LoadLevel {
+    pub fn read(&mut self, now: Point, what: Resource, part: f64) {
         self.gauges[what as usize].read(now, part);
     }
 
     /// Where each gauge stands: 0 below where shedding begins, 1 at its limit.
-    fn pressure(&self, now: Point, what: What) -> Option<f64> {
+    fn pressure(&self, now: Point, what: Resource) -> Option<f64> {
         let value = self.gauges[what as usize].value(now)?;
         Some(((value - BEGIN[what as usize]) / SPAN[what as usize]).max(0.0))
     }
 
     /// The tightest gauge, and its pressure.
-    pub fn tightest(&self, now: Point) -> Option<(What, f64)> {
-        let all = ALL.iter().filter_map(|what| Some((*what, self.pressure(now, *what)?)));
+    pub fn tightest(&self, now: Point) -> Option<(Resource, f64)> {
+        let all = ALL_RESOURCES.iter().filter_map(|what| Some((*what, self.pressure(now, *what)?)));
         all.max_by(|a, b| a.1.total_cmp(&b.1))
     }
 
@@ -83,7 +95,7 @@
 
     /// The pressure of the tightest limit that must not be passed at all: memory, files and what is in hand.
     pub fn presses_hard(&self, now: Point) -> f64 {
-        let hard = [What::Memory, What::Files, What::Held];
+        let hard = [Resource::Memory, Resource::OpenFiles, Resource::InFlight];
         hard.iter().filter_map(|what| self.pressure(now, *what)).fold(0.0, f64::max)
     }
 
@@ -107,19 +119,20 @@
 
     /// How short memory is: below 0 where shedding for it has not begun, 1 at its limit.
     pub fn memory_short(&self, now: Point) -> Option<f64> {
-        let memory = What::Memory as usize;
+        let memory = Resource::Memory as usize;
         Some((self.gauges[memory].value(now)? - BEGIN[memory]) / SPAN[memory])
     }
 
     /// The process stood still for so long, as a part of the delay that is allowed: what came meanwhile waited.
     /// The level rises at once, and falls from there in steps as always.
     pub fn stood_still(&mut self, now: Point, part: f64) {
-        self.gauges[What::Delay as usize].jump(now, part.min(MOST));
+        self.gauges[Resource::QueueDelay as usize].jump(now, part.min(MOST));
     }
 
     /// All gauges for operators: their value and age in seconds.
-    pub fn view(&self, now: Point) -> Vec<(What, Option<f64>, Option<f64>)> {
-        ALL.iter()
+    pub fn view(&self, now: Point) -> Vec<(Resource, Option<f64>, Option<f64>)> {
+        ALL_RESOURCES
+            .iter()
             .map(|what| {
                 let gauge = &self.gauges[*what as usize];
                 (*what, gauge.value(now), gauge.age(now))
@@ -137,11 +150,11 @@
         Point::at(1000.0 + s)
     }
 
-    fn run(load: &mut Load, from: f64, seconds: f64, part: impl Fn(f64) -> f64) -> Vec<f64> {
+    fn run(load: &mut LoadLevel, from: f64, seconds: f64, part: impl Fn(f64) -> f64) -> Vec<f64> {
         let steps = (seconds / 0.05) as usize;
         let level = |i: usize| {
             let s = from + i as f64 * 0.05;
-            load.read(at(s), What::Delay, part(s));
+            load.read(at(s), Resource::QueueDelay, part(s));
             load.level(at(s))
         };
         (0..steps).map(level).collect()
@@ -149,7 +162,7 @@
 
     #[test]
     fn a_burst_is_noticed_at_once_and_left_in_steps() {
-        let mut load = Load::default();
+        let mut load = LoadLevel::default();
         run(&mut load, 0.0, 2.0, |_| 0.1);
         let burst = run(&mut load, 2.0, 1.0, |_| 3.0);
         assert!(burst[5] > 1.0, "{:?}", &burst[..8]);
@@ -160,9 +173,9 @@
 
     #[test]
     fn missing_gauges_make_careful_and_frozen_ones_keep_the_level() {
-        let mut load = Load::default();
+        let mut load = LoadLevel::default();
         assert_eq!(load.level(at(0.0)), BLIND);
-        load.read(at(0.0), What::Memory, 0.96);
+        load.read(at(0.0), Resource::Memory, 0.96);
         let before = load.level(at(0.1));
         assert!(before > 0.7, "{before}");
         assert_eq!(load.level(at(9.0)), before, "nothing fresh is known");
@@ -175,8 +188,8 @@
             parts in proptest::collection::vec(0.0f64..3.0, 7), which in 0usize..7, more in 0.0f64..2.0,
         ) {
             let level = |parts: &[f64]| {
-                let mut load = Load::default();
-                for (what, part) in ALL.iter().zip(parts) {
+                let mut load = LoadLevel::default();
+                for (what, part) in ALL_RESOURCES.iter().zip(parts) {
                     load.read(at(0.0), *what, *part);
                 }
                 load.level(at(0.01))
@@ -189,7 +202,7 @@
         /// Under a steady load with noise the level stays within a narrow band once it has settled.
         #[test]
         fn a_steady_load_does_not_swing_it(part in 0.0f64..1.5, seed in 1u64..1000) {
-            let mut load = Load::default();
+            let mut load = LoadLevel::default();
             let noisy = |s: f64| part * (1.0 + 0.05 * ((s * 977.0 + seed as f64).sin()));
             run(&mut load, 0.0, 10.0, noisy);
             let settled = run(&mut load, 10.0, 10.0, noisy);
--- a/crates/lemontide-shed/src/relief.rs
+++ b/crates/lemontide-shed/src/memory.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 
 /// As a cache goes what was idle for so long, so many connections at a time.
-pub const IDLE: Span = Span::of_millis(1000);
-pub const CLOSED_AT_ONCE: usize = 256;
+pub const IDLE_CONNECTION_AGE: Span = Span::of_millis(1000);
+pub const MAX_CLOSED_PER_PASS: usize = 256;
 /// Pressure of memory at which caches and history go; 0 is where shedding begins, 1 is the limit.
 const CACHES: f64 = 0.4;
 const HISTORY: f64 = 0.75;
@@ -20,7 +20,7 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Stage {
+pub enum MemoryStage {
     #[default]
     Free,
     /// New work is shed.
@@ -31,37 +31,37 @@
     History,
 }
 
-impl Stage {
+impl MemoryStage {
     fn begins(self) -> f64 {
         match self {
-            Stage::Free => f64::NEG_INFINITY,
-            Stage::Shed => 0.0,
-            Stage::Caches => CACHES,
-            Stage::History => HISTORY,
+            MemoryStage::Free => f64::NEG_INFINITY,
+            MemoryStage::Shed => 0.0,
+            MemoryStage::Caches => CACHES,
+            MemoryStage::History => HISTORY,
         }
     }
 
-    fn below(self) -> Stage {
+    fn below(self) -> MemoryStage {
         match self {
-            Stage::Free | Stage::Shed => Stage::Free,
-            Stage::Caches => Stage::Shed,
-            Stage::History => Stage::Caches,
+            MemoryStage::Free | MemoryStage::Shed => MemoryStage::Free,
+            MemoryStage::Caches => MemoryStage::Shed,
+            MemoryStage::History => MemoryStage::Caches,
         }
     }
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Relief {
-    stage: Stage,
+pub struct MemoryShedder {
+    stage: MemoryStage,
     /// Since when the pressure lets the stage be left.
     rests: Option<Point>,
     last: Option<(Point, f64)>,
     growth: f64,
 }
 
-impl Relief {
+impl MemoryShedder {
     /// The stage at this pressure of memory. Without a reading it stays where it was.
-    pub fn stage(&mut self, now: Point, pressure: Option<f64>) -> Stage {
+    pub fn stage(&mut self, now: Point, pressure: Option<f64>) -> MemoryStage {
         let Some(pressure) = pressure.filter(|pressure| pressure.is_finite()) else { return self.stage };
         if let Some((at, before)) = self.last {
             let passed = (now - at).seconds();
@@ -73,7 +73,7 @@
         self.last = Some((now, pressure));
         // What shrinks is not looked ahead: it is left in steps.
         let ahead = pressure + self.growth.max(0.0) * AHEAD_S;
-        let wanted = [Stage::History, Stage::Caches, Stage::Shed]
+        let wanted = [MemoryStage::History, MemoryStage::Caches, MemoryStage::Shed]
             .into_iter()
             .find(|stage| ahead > stage.begins())
             .unwrap_or_default();
@@ -105,7 +105,7 @@
 
     #[test]
     fn slow_growth_is_met_in_order_and_before_the_limit() {
-        let mut relief = Relief::default();
+        let mut relief = MemoryShedder::default();
         let mut reached = Vec::new();
         for i in 0..400 {
             // From under the beginning to the limit within forty seconds.
@@ -116,15 +116,15 @@
             }
         }
         let stages: Vec<_> = reached.iter().map(|(stage, _)| *stage).collect();
-        assert_eq!(stages, [Stage::Free, Stage::Shed, Stage::Caches, Stage::History]);
+        assert_eq!(stages, [MemoryStage::Free, MemoryStage::Shed, MemoryStage::Caches, MemoryStage::History]);
         assert!(reached[3].1 < 0.75, "looked ahead: {reached:?}");
     }
 
     #[test]
     fn steps_are_given_back_one_by_one_and_a_missing_gauge_keeps_them() {
-        let mut relief = Relief::default();
-        assert_eq!(relief.stage(at(0.0), Some(0.9)), Stage::History);
-        assert_eq!(relief.stage(at(1.0), None), Stage::History);
+        let mut relief = MemoryShedder::default();
+        assert_eq!(relief.stage(at(0.0), Some(0.9)), MemoryStage::History);
+        assert_eq!(relief.stage(at(1.0), None), MemoryStage::History);
         let mut left = Vec::new();
         for i in 10..200 {
             let now = f64::from(i) / 10.0;
@@ -134,7 +134,7 @@
             }
         }
         let stages: Vec<_> = left.iter().map(|(stage, _)| *stage).collect();
-        assert_eq!(stages, [Stage::History, Stage::Caches, Stage::Shed, Stage::Free]);
+        assert_eq!(stages, [MemoryStage::History, MemoryStage::Caches, MemoryStage::Shed, MemoryStage::Free]);
         assert!(left.windows(2).all(|w| w[1].1 - w[0].1 > 1.9), "{left:?}");
     }
 }
--- a/crates/lemontide-shed/src/tenants.rs
+++ b/crates/lemontide-shed/src/tenant_quotas.rs
@@ -1,4 +1,4 @@
-//! Which wishes lie within their tenant's share. Each tenant has a bucket that its quota fills; a wish that finds
+//! Which requests lie within their tenant's share. Each tenant has a bucket that its quota fills; a request that finds
 //! it empty is past the share. A tenant without a quota has none to exceed.
 
 use lemontide::clock::Point;
@@ -15,18 +15,20 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Tenants {
+pub struct TenantQuotas {
     buckets: HashMap<String, Bucket>,
 }
 
-impl Tenants {
-    /// Tenants by name with their wishes a second at this controller.
-    pub fn new(now: Point, quotas: impl IntoIterator<Item = (String, f64)>) -> Tenants {
+impl TenantQuotas {
+    /// Tenants by name with their requests a second at this controller.
+    pub fn new(now: Point, quotas: impl IntoIterator<Item = (String, f64)>) -> TenantQuotas {
         let bucket = |per_s: f64| Bucket { per_s, left: per_s * DEPTH_S, at: now };
-        Tenants { buckets: quotas.into_iter().map(|(name, per_s)| (name, bucket(per_s.max(0.0)))).collect() }
+        TenantQuotas {
+            buckets: quotas.into_iter().map(|(name, per_s)| (name, bucket(per_s.max(0.0)))).collect(),
+        }
     }
 
-    /// Counts a wish; whether it is past its tenant's share.
+    /// Counts a request; whether it is past its tenant's share.
     pub fn past(&mut self, now: Point, tenant: &str) -> bool {
         let Some(bucket) = self.buckets.get_mut(tenant) else { return false };
         // A clock that went back fills nothing.
@@ -48,7 +50,7 @@
     #[test]
     fn a_tenant_keeps_its_share_however_much_it_asks_for() {
         let at = |s: f64| Point::at(1000.0 + s);
-        let mut tenants = Tenants::new(at(0.0), [("a".to_owned(), 10.0), ("b".to_owned(), 10.0)]);
+        let mut tenants = TenantQuotas::new(at(0.0), [("a".to_owned(), 10.0), ("b".to_owned(), 10.0)]);
         let mut within = [0, 0];
         for i in 0..10_000 {
             // One asks a hundred times a second, the other five times.
--- a/crates/lemontide-shed/src/gauge.rs
+++ b/crates/lemontide-shed/src/utilization.rs
@@ -12,16 +12,16 @@
 
 /// A figure as a part of its limit: 1 is at the limit.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Gauge {
+pub struct Utilization {
     value: f64,
     at: Option<Point>,
     slow: bool,
 }
 
-impl Gauge {
+impl Utilization {
     /// One whose rises are believed only as slowly as its falls: full for a moment is no harm there.
-    pub fn slow() -> Gauge {
-        Gauge { slow: true, ..Gauge::default() }
+    pub fn slow() -> Utilization {
+        Utilization { slow: true, ..Utilization::default() }
     }
 
     /// Takes a reading, as a part of the limit. One that is no number is no reading.
@@ -69,7 +69,7 @@
 
     #[test]
     fn rises_come_through_sooner_than_falls_and_old_readings_lapse() {
-        let mut gauge = Gauge::default();
+        let mut gauge = Utilization::default();
         assert_eq!(gauge.value(at(0.0)), None);
         gauge.read(at(0.0), 0.2);
         gauge.read(at(0.15), 1.2);
--- a/crates/lemontide-standin/src/crowd.rs
+++ b/crates/lemontide-standin/src/crowd.rs
@@ -2,10 +2,10 @@
 //! viewers who come again where they were turned back. Shows whether what one sheds becomes another's burst.
 
 use lemontide::clock::{Point, Span};
-use lemontide_shed::admit::{Lane, Word};
-use lemontide_shed::keeper::{Asked, Keeper, Terms};
-use lemontide_shed::level::What;
-use lemontide_shed::room::{Entered, Order, Room, Turn};
+use lemontide_shed::admission::{Class, Decision};
+use lemontide_shed::load_level::Resource;
+use lemontide_shed::request_queue::{Dequeued, Enqueued, QueueDiscipline, RequestQueue};
+use lemontide_shed::shedder::{IncomingRequest, LoadShedder, LoadShedderSettings};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -76,9 +76,9 @@
 }
 
 struct Server {
-    keeper: Keeper,
+    keeper: LoadShedder,
     /// Wishes that were taken and wait: lane, tries, and when they came.
-    room: Room<(usize, u32, f64)>,
+    room: RequestQueue<(usize, u32, f64)>,
     /// Work that was done in this tenth of a second beyond what time gave, in set-ups.
     owes: f64,
     busy: f64,
@@ -90,17 +90,22 @@
 pub fn play(plan: &Plan) -> Came {
     let mut chance = StdRng::seed_from_u64(plan.seed);
     let at = |s: f64| Point::at(1000.0 + s);
-    let lane = |gain: f64| Lane { gain, cost: 1.0, share: 0.0 };
-    let terms = Terms {
-        lanes: vec![lane(plan.gain), lane(1.0)],
-        tenants: Vec::new(),
-        longest: Span::of(plan.longest_s),
-        hold: Span::ZERO,
-        delay: Span::of_millis(100),
+    let lane = |gain: f64| Class { gain, mean_cost: 1.0, reserved_share: 0.0 };
+    let terms = LoadShedderSettings {
+        classes: vec![lane(plan.gain), lane(1.0)],
+        tenant_quotas: Vec::new(),
+        max_retry_after: Span::of(plan.longest_s),
+        max_hold: Span::ZERO,
+        max_delay: Span::of_millis(100),
     };
     let server = |i: usize| Server {
-        keeper: Keeper::new(at(0.0), terms.clone(), plan.seed.wrapping_mul(1000) + i as u64),
-        room: Room::new(if plan.sheds { Order::Rank } else { Order::Arrival }, 4096, 4096, 2),
+        keeper: LoadShedder::new(at(0.0), terms.clone(), plan.seed.wrapping_mul(1000) + i as u64),
+        room: RequestQueue::new(
+            if plan.sheds { QueueDiscipline::ByRank } else { QueueDiscipline::Fifo },
+            4096,
+            4096,
+            2,
+        ),
         owes: 0.0,
         busy: 0.0,
     };
@@ -139,25 +144,31 @@
             let server = &mut servers[to];
             let word = if plan.sheds {
                 let left = Span::of(plan.cut_off_s);
-                let asked =
-                    Asked { lane, tenant: "", returning: tries > 0, left, held: false, at_once: true };
+                let asked = IncomingRequest {
+                    class: lane,
+                    tenant: "",
+                    is_retry: tries > 0,
+                    time_left: left,
+                    was_held: false,
+                    decide_now: true,
+                };
                 server.keeper.judge(at(now), asked)
             } else {
-                Word::Take
+                Decision::Admit
             };
             let mut back = None;
             match word {
-                Word::Take | Word::Hold { .. } => {
+                Decision::Admit | Decision::Hold { .. } => {
                     // Without shedding nobody looks whether it is too late before the work is done.
                     let until = if plan.sheds { now + plan.cut_off_s } else { f64::MAX / 1e300 };
                     match server.room.enter(lane, at(until), (lane, tries, now)) {
-                        Entered::Waits => {}
-                        Entered::InPlaceOf((lane, tries, _)) | Entered::Full((lane, tries, _)) => {
+                        Enqueued::Waiting => {}
+                        Enqueued::Displaced((lane, tries, _)) | Enqueued::Rejected((lane, tries, _)) => {
                             back = Some((lane, tries, server.keeper.wait(at(now))));
                         }
                     }
                 }
-                Word::TurnBack { wait } => back = Some((lane, tries, wait)),
+                Decision::Reject { retry_after: wait } => back = Some((lane, tries, wait)),
             }
             if let Some(back) = back {
                 turned.push((to, back));
@@ -171,11 +182,11 @@
             while room > 0.0 {
                 match server.room.next(at(now)) {
                     None => break,
-                    Some(Turn::Late((lane, tries, _))) => {
+                    Some(Dequeued::Expired((lane, tries, _))) => {
                         let wait = server.keeper.wait(at(now));
                         turned.push((to, (lane, tries, wait)));
                     }
-                    Some(Turn::Go((lane, _, since))) => {
+                    Some(Dequeued::Ready((lane, _, since))) => {
                         room -= 1.0;
                         server.keeper.turn();
                         if now - since > plan.cut_off_s {
@@ -192,8 +203,8 @@
             server.owes = (-room).max(0.0);
             server.busy += (had - room.max(0.0)).min(had) / had / 5.0;
             if reads {
-                server.keeper.read(at(now), What::Cpu, std::mem::take(&mut server.busy));
-                server.keeper.read(at(now), What::Delay, oldest / 0.1);
+                server.keeper.read(at(now), Resource::Cpu, std::mem::take(&mut server.busy));
+                server.keeper.read(at(now), Resource::QueueDelay, oldest / 0.1);
                 server.keeper.beat(at(now));
                 let (rank, share) = server.keeper.ranks();
                 server.room.rank(rank, &share);
