--- a/crates/lemontide-standin/tests/shedding.rs
+++ b/crates/lemontide-standin/tests/shedding.rs
@@ -51,7 +51,7 @@
     .await;
     // Until the gauges were read, however slow the machine.
     for _ in 0..200 {
-        if state(started.0.address).await.shedding.is_some_and(|view| view.limit == Some(0.0)) {
+        if state(started.0.address).await.shedding.is_some_and(|view| view.limit_per_s == Some(0.0)) {
             return started;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
