--- a/crates/lemontide-front/src/connections.rs
+++ b/crates/lemontide-front/src/connections.rs
@@ -80,7 +80,7 @@
 
     /// Closes connections that have been idle for so long, so many at most.
     pub fn close_idle(&self, least: Span, most: usize) {
-        let closed = lock(&self.door).idle_for(self.now(), least, most);
+        let closed = lock(&self.door).close_idle(self.now(), least, most);
         closed.into_iter().for_each(|id| self.close(id));
     }
 
@@ -111,7 +111,7 @@
 
 impl Drop for Visit {
     fn drop(&mut self) {
-        lock(&self.hall.door).gone(self.id);
+        lock(&self.hall.door).remove(self.id);
         lock(&self.hall.tasks).remove(&self.id);
     }
 }
@@ -131,7 +131,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let knock = lock(&hall.door).knock(hall.now(), from.ip());
+        let knock = lock(&hall.door).try_accept(hall.now(), from.ip());
         let id = match knock {
             AcceptDecision::Accept(id) => id,
             AcceptDecision::AcceptAndClose(id, closed) => {
@@ -340,7 +340,7 @@
         if self.since - self.told >= TOLD_EVERY {
             self.told = self.since;
             let hall = &self.visit.hall;
-            lock(&hall.door).idle(hall.now(), self.visit.id);
+            lock(&hall.door).mark_idle(hall.now(), self.visit.id);
         }
     }
 }
@@ -385,7 +385,7 @@
                 this.visit.state.store(COMES, Ordering::Relaxed);
             }
             if this.state() == COMES {
-                lock(&this.visit.hall.door).busy(this.visit.id);
+                lock(&this.visit.hall.door).mark_busy(this.visit.id);
             }
             return Poll::Ready(Ok(()));
         }
@@ -425,7 +425,7 @@
             this.since = Instant::now();
             this.visit.state.store(RESTS, Ordering::Relaxed);
             let hall = &this.visit.hall;
-            lock(&hall.door).idle(hall.now(), this.visit.id);
+            lock(&hall.door).mark_idle(hall.now(), this.visit.id);
             // The stack may not read again before bytes come: the time of resting is kept from here on.
             let _ = this.keeps_time(cx);
         }
--- a/crates/lemontide-front/src/core/driver.rs
+++ b/crates/lemontide-front/src/core/driver.rs
@@ -745,7 +745,7 @@
     pub fn flights(&self) -> Vec<(String, usize, usize)> {
         let flight = |known: &Known| {
             let flight = known.link.flight.as_ref()?;
-            Some((known.entry.streamer.clone(), flight.out(), flight.limit()))
+            Some((known.entry.streamer.clone(), flight.in_flight(), flight.limit()))
         };
         self.known.iter().filter_map(flight).collect()
     }
--- a/crates/lemontide-front/src/core/driver/attempts.rs
+++ b/crates/lemontide-front/src/core/driver/attempts.rs
@@ -173,11 +173,11 @@
             return;
         };
         match ending {
-            Ending::Served => flight.back(now, Some(now - handed)),
+            Ending::Served => flight.record_answer(now, Some(now - handed)),
             // Too many at once: it said so, or said nothing.
-            Ending::SentBack | Ending::TimedOut => flight.back(now, None),
+            Ending::SentBack | Ending::TimedOut => flight.record_answer(now, None),
             // This tells of its health, which is the module's to judge, and nothing of its room.
-            _ => flight.gone(),
+            _ => flight.release(),
         }
         self.pump(now, at);
     }
--- a/crates/lemontide-front/src/core/links.rs
+++ b/crates/lemontide-front/src/core/links.rs
@@ -115,7 +115,7 @@
     pub fn up(&mut self, now: Point) {
         self.failures = 0;
         if let Some(flight) = &mut self.flight {
-            flight.fresh(now);
+            flight.reset(now);
         }
         self.state = State::Up { heard: now, pinged: now, writing: None };
     }
@@ -160,12 +160,12 @@
                 let mut stay = VecDeque::new();
                 while batch.len() < BATCH_MOST {
                     let Some(order) = self.queue.pop_front() else { break };
-                    if order.shot.is_some() && !flight.may(now) {
+                    if order.shot.is_some() && !flight.has_capacity(now) {
                         stay.push_back(order);
                         continue;
                     }
                     if order.shot.is_some() {
-                        flight.sent();
+                        flight.record_sent();
                     }
                     batch.push(order);
                 }
@@ -315,7 +315,7 @@
         link.wrote();
         assert!(link.withdraw((limit as u32 + 9, 0)), "what waits provably never ran");
         if let Some(flight) = &mut link.flight {
-            flight.back(at(0.1), Some(Span::of_millis(100)));
+            flight.record_answer(at(0.1), Some(Span::of_millis(100)));
         }
         assert_eq!(link.batch(at(0.1)).first().and_then(|order| order.shot), Some((limit as u32, 0)));
     }
--- a/crates/lemontide-front/src/guard.rs
+++ b/crates/lemontide-front/src/guard.rs
@@ -65,11 +65,7 @@
         Some(Guard {
             clock,
             keeper: Mutex::new(LoadShedder::new(Point::at(clock.now()), terms, seed)),
-            lanes: settings
-                .lanes
-                .iter()
-                .map(|lane| (lane.name.clone(), Span::of(lane.cut_off_s)))
-                .collect(),
+            lanes: settings.lanes.iter().map(|lane| (lane.name.clone(), Span::of(lane.cut_off_s))).collect(),
             delay_s: limits.delay_s,
             cores: limits.cores,
             memory_bytes: limits.memory_bytes,
@@ -105,7 +101,7 @@
             was_held: false,
             decide_now: true,
         };
-        match self.keeper().judge(Point::at(now), asked) {
+        match self.keeper().decide(Point::at(now), asked) {
             Decision::Admit | Decision::Hold { .. } => None,
             Decision::Reject { retry_after: wait } => {
                 self.at_the_door.fetch_add(1, Ordering::Relaxed);
@@ -128,22 +124,22 @@
             was_held: held,
             decide_now: false,
         };
-        self.keeper().judge(Point::at(now), asked)
+        self.keeper().decide(Point::at(now), asked)
     }
 
     /// The player of a held wish went away.
     pub fn held_left(&self) {
-        self.keeper().held_left();
+        self.keeper().held_request_cancelled();
     }
 
     /// A wait for who lost its place or came too late for it.
     pub fn wait(&self) -> Span {
-        self.keeper().wait(Point::at(self.clock.now()))
+        self.keeper().retry_after(Point::at(self.clock.now()))
     }
 
     /// A wish got its turn, so long after it was read.
     pub fn waited(&self, s: f64) {
-        self.keeper().turn();
+        self.keeper().request_started();
         self.waited_us.fetch_max((s.max(0.0) * 1e6) as u64, Ordering::Relaxed);
     }
 
@@ -152,15 +148,15 @@
     }
 
     pub fn cost(&self, lane: usize, shots: u32) {
-        self.keeper().cost(lane, f64::from(shots));
+        self.keeper().record_cost(lane, f64::from(shots));
     }
 
     pub fn view(&self) -> LoadSnapshot {
-        self.keeper().view(Point::at(self.clock.now()))
+        self.keeper().snapshot(Point::at(self.clock.now()))
     }
 
     pub fn shed(&self) -> u64 {
-        self.keeper().shed()
+        self.keeper().rejected_total()
     }
 
     /// Reads the gauges and does what memory asks for, by `close_idle` and by a report, until the deciding thread is gone.
@@ -183,12 +179,12 @@
             }
             if beats < BEATS_A_READING {
                 // Late already: tell at once, the rest in its time.
-                self.keeper().read(
+                self.keeper().observe(
                     Point::at(self.clock.now()),
                     Resource::EventLoopLag,
                     late.as_secs_f64() / self.delay_s,
                 );
-                self.keeper().beat(Point::at(self.clock.now()));
+                self.keeper().tick(Point::at(self.clock.now()));
                 continue;
             }
             beats = 0;
@@ -223,10 +219,10 @@
             let (ranks, shares) = {
                 let mut keeper = self.keeper();
                 for (what, part) in readings {
-                    keeper.read(now, what, part);
+                    keeper.observe(now, what, part);
                 }
-                stage = keeper.beat(now);
-                let (ranks, shares) = keeper.ranks();
+                stage = keeper.tick(now);
+                let (ranks, shares) = keeper.ranks_and_shares();
                 (ranks.to_vec(), shares)
             };
             waiting.rank(&ranks, &shares);
--- a/crates/lemontide-front/src/waiting.rs
+++ b/crates/lemontide-front/src/waiting.rs
@@ -29,7 +29,7 @@
         if !room.1 {
             return Enqueued::Rejected(asked);
         }
-        let entered = room.0.enter(lane, until, asked);
+        let entered = room.0.push(lane, until, asked);
         drop(room);
         self.came.notify_one();
         entered
@@ -40,7 +40,7 @@
         let mut room = self.room();
         let mut turns = Vec::new();
         while turns.len() < most {
-            let Some(turn) = room.0.next(now) else { break };
+            let Some(turn) = room.0.pop(now) else { break };
             turns.push(turn);
         }
         (turns, !room.0.is_empty())
@@ -55,17 +55,17 @@
     pub fn close(&self) {
         let mut room = self.room();
         room.1 = false;
-        while room.0.next(Point::default()).is_some() {}
+        while room.0.pop(Point::default()).is_some() {}
     }
 
     pub fn rank(&self, rank: &[f64], share: &[f64]) {
-        self.room().0.rank(rank, share);
+        self.room().0.set_ranks(rank, share);
     }
 
     /// Fullness as a part of the bound, and the moment at which the oldest that waits was read, in seconds.
     pub fn fullness(&self) -> (f64, Option<f64>) {
         let room = self.room();
-        let oldest = room.0.fronts().map(|asked| asked.asked).reduce(f64::min);
-        (room.0.fullness(), oldest)
+        let oldest = room.0.heads().map(|asked| asked.asked).reduce(f64::min);
+        (room.0.fill_ratio(), oldest)
     }
 }
--- a/crates/lemontide-shed/src/admission.rs
+++ b/crates/lemontide-shed/src/admission.rs
@@ -105,7 +105,7 @@
     }
 
     /// What a request of this class cost once it was answered, in shots or any other unit that all classes share.
-    pub fn cost(&mut self, class: usize, cost: f64) {
+    pub fn record_cost(&mut self, class: usize, cost: f64) {
         let Some(class) = self.classes.get_mut(class).filter(|_| cost.is_finite() && cost > 0.0) else {
             return;
         };
@@ -114,16 +114,16 @@
     }
 
     /// Ranks of the classes from 0 to 1 by gain over cost, and their stated shares.
-    pub fn ranks(&self) -> (&[f64], Vec<f64>) {
+    pub fn ranks_and_shares(&self) -> (&[f64], Vec<f64>) {
         (&self.rank, self.classes.iter().map(|class| class.reserved_share).collect())
     }
 
     /// A hold is over, or its player is gone.
-    pub fn held_over(&mut self) {
+    pub fn hold_ended(&mut self) {
         self.held = self.held.saturating_sub(1);
     }
 
-    pub fn held(&self) -> usize {
+    pub fn held_count(&self) -> usize {
         self.held
     }
 
@@ -148,11 +148,11 @@
     }
 
     /// What to do with a request at this level, where so many a second may be taken; none is no limit.
-    pub fn admit(&mut self, now: Point, level: f64, limit: Option<f64>, request: Request) -> Decision {
+    pub fn decide(&mut self, now: Point, level: f64, limit: Option<f64>, request: Request) -> Decision {
         // What can't be answered before its cut-off is never started.
         let answer = ANSWER * (1.0 + 4.0 * level.max(0.0));
         if request.time_left < answer {
-            return self.turn_back(level);
+            return self.reject(level);
         }
         let class = request.class.min(self.classes.len().saturating_sub(1));
         if let Some(limit) = limit.filter(|_| !self.classes.is_empty()) {
@@ -169,7 +169,7 @@
                         duration: self.hold * (0.5 + 0.5 * self.chance.random::<f64>()),
                     };
                 }
-                return self.turn_back(level);
+                return self.reject(level);
             }
             self.tokens -= 1.0;
         }
@@ -202,13 +202,13 @@
     }
 
     /// Longer the fuller the controller is, and spread, so that nobody's return is another's burst.
-    pub fn wait(&mut self, level: f64) -> Span {
+    pub fn retry_after(&mut self, level: f64) -> Span {
         let least = self.longest * (level / FULL).clamp(0.3, 1.0) * (1.0 / SPREAD);
         least * (1.0 + (SPREAD - 1.0) * self.chance.random::<f64>())
     }
 
-    fn turn_back(&mut self, level: f64) -> Decision {
-        Decision::Reject { retry_after: self.wait(level) }
+    fn reject(&mut self, level: f64) -> Decision {
+        Decision::Reject { retry_after: self.retry_after(level) }
     }
 }
 
@@ -241,7 +241,7 @@
         let mut taken = [0.0; 2];
         for i in 0..10_000 {
             let class = i % 2;
-            if gate.admit(at(i as f64 * 0.001), 0.7, limit, request_of(class)) == Decision::Admit {
+            if gate.decide(at(i as f64 * 0.001), 0.7, limit, request_of(class)) == Decision::Admit {
                 taken[class] += 1.0 / 5000.0;
             }
         }
@@ -280,7 +280,7 @@
         let limit = Some(100.0);
         let mut words = [0, 0, 0];
         for i in 0..2000 {
-            match gate.admit(at(f64::from(i) * 0.001), 1.0, limit, request(0)) {
+            match gate.decide(at(f64::from(i) * 0.001), 1.0, limit, request(0)) {
                 Decision::Admit => words[0] += 1,
                 Decision::Hold { duration } => {
                     assert!(duration >= Span::of(0.1) && duration <= Span::of(0.2));
@@ -290,9 +290,9 @@
             }
         }
         assert!((180..=210).contains(&words[0]) && words[1] == HELD_MOST && words[2] > 1000, "{words:?}");
-        (0..HELD_MOST).for_each(|_| gate.held_over());
+        (0..HELD_MOST).for_each(|_| gate.hold_ended());
         let held = |gate: &mut Admission, request| {
-            matches!(gate.admit(at(2.0), 1.0, limit, request), Decision::Hold { .. })
+            matches!(gate.decide(at(2.0), 1.0, limit, request), Decision::Hold { .. })
         };
         assert!((0..200).all(|_| !held(&mut gate, Request { decide_now: true, ..request(0) })));
         assert!(
@@ -305,10 +305,10 @@
     #[test]
     fn a_class_that_costs_more_ranks_lower() {
         let mut gate = gate(0.0, 1);
-        assert_eq!(gate.ranks().0, [1.0, 1.0 / 3.0]);
-        (0..500).for_each(|_| gate.cost(0, 6.0));
-        gate.cost(0, f64::NAN);
-        let (ranks, _) = gate.ranks();
+        assert_eq!(gate.ranks_and_shares().0, [1.0, 1.0 / 3.0]);
+        (0..500).for_each(|_| gate.record_cost(0, 6.0));
+        gate.record_cost(0, f64::NAN);
+        let (ranks, _) = gate.ranks_and_shares();
         assert!(ranks[0] < 0.55 && ranks[1] == 1.0, "{ranks:?}");
     }
 
@@ -323,8 +323,8 @@
             let (mut now, mut count) = (0.0, 0.0);
             for (class, passed) in steps {
                 now += passed;
-                let better = gate.clone().admit(at(now), 0.7, Some(limit), request(0));
-                let word = gate.admit(at(now), 0.7, Some(limit), request(class));
+                let better = gate.clone().decide(at(now), 0.7, Some(limit), request(0));
+                let word = gate.decide(at(now), 0.7, Some(limit), request(class));
                 if word == Decision::Admit {
                     count += 1.0;
                     prop_assert_eq!(better, Decision::Admit);
@@ -340,7 +340,7 @@
             for controller in 0..50 {
                 let mut gate = gate(0.0, controller);
                 let none = Request { time_left: Span::ZERO, ..request(0) };
-                let Decision::Reject { retry_after } = gate.admit(at(0.0), level, None, none) else {
+                let Decision::Reject { retry_after } = gate.decide(at(0.0), level, None, none) else {
                     return Err(TestCaseError::fail("it can't be in time"));
                 };
                 prop_assert!(retry_after > Span::ZERO && retry_after <= Span::of(2.0), "{:?}", retry_after);
--- a/crates/lemontide-shed/src/admission_rate.rs
+++ b/crates/lemontide-shed/src/admission_rate.rs
@@ -84,23 +84,23 @@
     }
 
     /// A request got its turn and was worked on.
-    pub fn turn(&mut self) {
+    pub fn request_started(&mut self) {
         self.turns += 1.0;
     }
 
     /// A request came.
-    pub fn ask(&mut self) {
+    pub fn request_arrived(&mut self) {
         self.asks += 1.0;
     }
 
     /// Requests a second that may be taken; none where there is no limit.
-    pub fn limit(&self) -> Option<f64> {
+    pub fn limit_per_s(&self) -> Option<f64> {
         let ceiling = self.can.map(|can| (can * CEILING).max(LEAST));
         [self.limit, ceiling].into_iter().flatten().reduce(f64::min)
     }
 
     /// A reading of the CPU, as a part of its allowance.
-    pub fn spends(&mut self, part: f64) {
+    pub fn observe_cpu(&mut self, part: f64) {
         if part.is_finite() {
             self.part = part.clamp(0.0, 10.0);
         }
@@ -127,7 +127,7 @@
 
     /// Called every tenth of a second or so, with the tightest gauge's pressure and that of the tightest limit
     /// that must not be passed at all. Without any reading the rate stays as it is.
-    pub fn beat(&mut self, now: Point, pressure: Option<f64>, hard: f64) {
+    pub fn tick(&mut self, now: Point, pressure: Option<f64>, hard: f64) {
         let passed = (now - self.at).seconds();
         if passed <= 0.0 {
             return;
@@ -190,17 +190,17 @@
         for step in 0..seconds * 10 {
             let now = step as f64 / 10.0;
             let come = offered(now) / 10.0;
-            (0..come.round() as usize).for_each(|_| rate.ask());
-            let take = rate.limit().map_or(come, |limit| come.min(limit / 10.0));
+            (0..come.round() as usize).for_each(|_| rate.request_arrived());
+            let take = rate.limit_per_s().map_or(come, |limit| come.min(limit / 10.0));
             queue += take;
             taken[step / 10] += take;
             let done = queue.min(capacity / 10.0);
             queue -= done;
-            (0..done.round() as usize).for_each(|_| rate.turn());
+            (0..done.round() as usize).for_each(|_| rate.request_started());
             // Delay over 0.1 s, and how busy it is.
             let delay = (queue / capacity / 0.1 - 0.5) / 0.5;
             let busy = (done * 10.0 / capacity - 0.85) / 0.15;
-            rate.beat(at(now + 0.1), Some(delay.max(busy).clamp(0.0, 2.0)), 0.0);
+            rate.tick(at(now + 0.1), Some(delay.max(busy).clamp(0.0, 2.0)), 0.0);
         }
         (taken, rate)
     }
@@ -218,7 +218,7 @@
     #[test]
     fn it_is_gone_soon_after_the_burst_and_comes_back_in_steps() {
         let (taken, rate) = serve(1000.0, |s| if (3.0..8.0).contains(&s) { 9000.0 } else { 600.0 }, 20);
-        assert_eq!(rate.limit(), None);
+        assert_eq!(rate.limit_per_s(), None);
         assert!(taken[12..].iter().all(|taken| *taken > 590.0), "{taken:?}");
         assert!(taken.iter().skip(4).all(|taken| *taken < 1100.0), "{taken:?}");
     }
@@ -226,34 +226,34 @@
     #[test]
     fn a_hard_limit_closes_and_a_blind_moment_changes_nothing() {
         let mut rate = AdmissionRate::new(at(0.0));
-        rate.beat(at(0.1), Some(2.0), 1.5);
-        assert_eq!(rate.limit(), Some(0.0));
-        rate.beat(at(0.2), None, 0.0);
-        assert_eq!(rate.limit(), Some(0.0));
+        rate.tick(at(0.1), Some(2.0), 1.5);
+        assert_eq!(rate.limit_per_s(), Some(0.0));
+        rate.tick(at(0.2), None, 0.0);
+        assert_eq!(rate.limit_per_s(), Some(0.0));
         for tenth in 3..200 {
-            rate.beat(at(f64::from(tenth) / 10.0), Some(0.0), 0.0);
+            rate.tick(at(f64::from(tenth) / 10.0), Some(0.0), 0.0);
         }
-        assert_eq!(rate.limit(), None, "it opens again");
+        assert_eq!(rate.limit_per_s(), None, "it opens again");
     }
 
     #[test]
     fn the_allowance_bounds_a_burst_before_any_delay() {
         let mut rate = AdmissionRate::new(at(0.0));
         for tenth in 1..50 {
-            (0..10).for_each(|_| rate.turn());
-            (0..10).for_each(|_| rate.ask());
-            rate.spends(0.6);
-            rate.beat(at(f64::from(tenth) / 10.0), Some(0.0), 0.0);
+            (0..10).for_each(|_| rate.request_started());
+            (0..10).for_each(|_| rate.request_arrived());
+            rate.observe_cpu(0.6);
+            rate.tick(at(f64::from(tenth) / 10.0), Some(0.0), 0.0);
         }
-        let limit = rate.limit().expect("it is known what can be done");
+        let limit = rate.limit_per_s().expect("it is known what can be done");
         assert!((200.0..=235.0).contains(&limit), "{limit}: a hundred a second take six tenths");
         // A moment in which much is turned back does not pull it down, nor does an idle one say anything.
         for tenth in 50..80 {
-            (0..100).for_each(|_| rate.ask());
-            rate.spends(if tenth < 60 { 1.0 } else { 0.01 });
-            rate.beat(at(f64::from(tenth) / 10.0), Some(0.0), 0.0);
+            (0..100).for_each(|_| rate.request_arrived());
+            rate.observe_cpu(if tenth < 60 { 1.0 } else { 0.01 });
+            rate.tick(at(f64::from(tenth) / 10.0), Some(0.0), 0.0);
         }
-        assert!(rate.limit().is_some_and(|now| now > limit * 0.98));
+        assert!(rate.limit_per_s().is_some_and(|now| now > limit * 0.98));
     }
 
     proptest! {
@@ -266,17 +266,17 @@
             let (mut one, mut other) = (AdmissionRate::new(at(0.0)), AdmissionRate::new(at(0.0)));
             for (i, (pressure, asks, turns)) in beats.iter().enumerate() {
                 for rate in [&mut one, &mut other] {
-                    (0..*asks).for_each(|_| rate.ask());
-                    (0..*turns).for_each(|_| rate.turn());
+                    (0..*asks).for_each(|_| rate.request_arrived());
+                    (0..*turns).for_each(|_| rate.request_started());
                 }
                 let now = at((i + 1) as f64 / 10.0);
-                one.beat(now, Some(*pressure), 0.0);
-                other.beat(now, Some(*pressure + more), 0.0);
-                if let Some(limit) = one.limit() {
+                one.tick(now, Some(*pressure), 0.0);
+                other.tick(now, Some(*pressure + more), 0.0);
+                if let Some(limit) = one.limit_per_s() {
                     prop_assert!(limit.is_finite() && limit >= LEAST);
                 }
-                let open = |rate: &AdmissionRate| rate.limit().unwrap_or(f64::INFINITY);
-                prop_assert!(open(&other) <= open(&one) + 1e-9, "{:?} {:?}", other.limit(), one.limit());
+                let open = |rate: &AdmissionRate| rate.limit_per_s().unwrap_or(f64::INFINITY);
+                prop_assert!(open(&other) <= open(&one) + 1e-9, "{:?} {:?}", other.limit_per_s(), one.limit_per_s());
                 // Each goes on from the same: what came before must not tell.
                 other = one.clone();
             }
--- a/crates/lemontide-shed/src/concurrency.rs
+++ b/crates/lemontide-shed/src/concurrency.rs
@@ -35,7 +35,7 @@
     }
 
     /// Whether one more set-up may leave.
-    pub fn may(&mut self, now: Point) -> bool {
+    pub fn has_capacity(&mut self, now: Point) -> bool {
         let may = self.out < self.limit as usize;
         if !may {
             self.reached = Some(now);
@@ -43,11 +43,11 @@
         may
     }
 
-    pub fn sent(&mut self) {
+    pub fn record_sent(&mut self) {
         self.out += 1;
     }
 
-    pub fn out(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.out
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// A set-up came back after this time; with `none` it was given up or got no answer.
-    pub fn back(&mut self, now: Point, took: Option<Span>) {
+    pub fn record_answer(&mut self, now: Point, took: Option<Span>) {
         self.out = self.out.saturating_sub(1);
         let passed = (now - self.at).seconds().max(0.0);
         self.at = now;
@@ -73,7 +73,7 @@
     }
 
     /// A set-up is no longer under way, for a reason that says nothing of the streamer's room.
-    pub fn gone(&mut self) {
+    pub fn release(&mut self) {
         self.out = self.out.saturating_sub(1);
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// The link is new: nothing is out on it. What the streamer could take is remembered with care.
-    pub fn fresh(&mut self, now: Point) {
+    pub fn reset(&mut self, now: Point) {
         self.out = 0;
         self.at = now;
         self.limit = self.limit.min(FIRST);
@@ -109,10 +109,10 @@
             now += 0.005;
             while let Some(done) = out.iter().position(|(ends, _)| *ends <= now) {
                 let (ends, sent) = out.swap_remove(done);
-                flight.back(at(now), Some(Span::of(ends - sent)));
+                flight.record_answer(at(now), Some(Span::of(ends - sent)));
             }
-            while flight.may(at(now)) {
-                flight.sent();
+            while flight.has_capacity(at(now)) {
+                flight.record_sent();
                 let place =
                     (0..places).min_by(|a, b| free[*a].total_cmp(&free[*b])).expect("there are places");
                 let ends = free[place].max(now) + work;
@@ -120,7 +120,7 @@
                 out.push((ends, now));
             }
         }
-        (flight.out(), flight.limit())
+        (flight.in_flight(), flight.limit())
     }
 
     #[test]
@@ -137,13 +137,13 @@
         let mut flight = ConcurrencyLimit::new(at(0.0));
         let mut limits = Vec::new();
         for i in 1..100 {
-            flight.sent();
-            flight.back(at(f64::from(i) * 0.05), None);
+            flight.record_sent();
+            flight.record_answer(at(f64::from(i) * 0.05), None);
             limits.push(flight.limit());
         }
         assert!(limits.windows(2).all(|w| w[1] as f64 >= w[0] as f64 * CUT - 1.0), "in steps");
         assert_eq!(limits.last(), Some(&(LEAST as usize)));
-        assert!(flight.may(at(9.0)), "it can still be tried");
+        assert!(flight.has_capacity(at(9.0)), "it can still be tried");
     }
 
     proptest! {
@@ -156,14 +156,14 @@
             for (step, s) in steps {
                 now += s * 0.1;
                 match step {
-                    0 => { if flight.may(Point::at(now)) { flight.sent() } }
-                    1 => flight.back(Point::at(now), None),
-                    2 => flight.back(Point::at(now), Some(Span::of(s))),
+                    0 => { if flight.has_capacity(Point::at(now)) { flight.record_sent() } }
+                    1 => flight.record_answer(Point::at(now), None),
+                    2 => flight.record_answer(Point::at(now), Some(Span::of(s))),
                     // A clock that went back.
-                    _ => flight.back(Point::at(now - 1.0), Some(Span::of(s))),
+                    _ => flight.record_answer(Point::at(now - 1.0), Some(Span::of(s))),
                 }
                 prop_assert!((4..=512).contains(&flight.limit()));
-                prop_assert!(flight.out() <= 512);
+                prop_assert!(flight.in_flight() <= 512);
             }
         }
     }
--- a/crates/lemontide-shed/src/connection_limits.rs
+++ b/crates/lemontide-shed/src/connection_limits.rs
@@ -90,7 +90,7 @@
     }
 
     /// Somebody wants to come in. A new connection counts as idle from now on.
-    pub fn knock(&mut self, now: Point, from: IpAddr) -> AcceptDecision {
+    pub fn try_accept(&mut self, now: Point, from: IpAddr) -> AcceptDecision {
         let network = self.network(from);
         let rested = |idle: &BTreeSet<(Point, u64)>| {
             idle.first().filter(|(since, _)| now - *since >= IDLE_LEAST).map(|(_, id)| *id)
@@ -111,7 +111,7 @@
             }
         }
         if let Some(closed) = closes {
-            self.gone(closed);
+            self.remove(closed);
             self.counts.closed_idle += 1;
         }
         let id = self.next;
@@ -128,12 +128,12 @@
     }
 
     /// A request came on this connection.
-    pub fn busy(&mut self, id: u64) {
+    pub fn mark_busy(&mut self, id: u64) {
         self.set(id, None);
     }
 
     /// Its answer is out.
-    pub fn idle(&mut self, now: Point, id: u64) {
+    pub fn mark_idle(&mut self, now: Point, id: u64) {
         self.set(id, Some(now));
     }
 
@@ -152,7 +152,7 @@
     }
 
     /// The connection is closed.
-    pub fn gone(&mut self, id: u64) {
+    pub fn remove(&mut self, id: u64) {
         self.set(id, None);
         let Some((network, _)) = self.inside.remove(&id) else { return };
         if let Some(here) = self.networks.get_mut(&network) {
@@ -164,7 +164,7 @@
     }
 
     /// Connections that have been idle for so long, to be closed; at most so many, the longest first.
-    pub fn idle_for(&mut self, now: Point, least: Span, most: usize) -> Vec<u64> {
+    pub fn close_idle(&mut self, now: Point, least: Span, most: usize) -> Vec<u64> {
         let old: Vec<u64> = self
             .idle
             .iter()
@@ -173,7 +173,7 @@
             .map(|(_, id)| *id)
             .collect();
         for id in &old {
-            self.gone(*id);
+            self.remove(*id);
             self.counts.closed_idle += 1;
         }
         old
@@ -214,7 +214,7 @@
     #[test]
     fn ten_thousand_idle_connections_keep_nobody_out() {
         let mut door = door(10_000, 10_000);
-        let open = |door: &mut ConnectionLimiter, s, from| match door.knock(at(s), from) {
+        let open = |door: &mut ConnectionLimiter, s, from| match door.try_accept(at(s), from) {
             AcceptDecision::Accept(id) | AcceptDecision::AcceptAndClose(id, _) => Some(id),
             AcceptDecision::LimitReached | AcceptDecision::NetworkLimitReached => None,
         };
@@ -222,12 +222,12 @@
             assert!(open(&mut door, 0.0, ip(&format!("10.0.{}.{}", i / 250, i % 250))).is_some());
         }
         assert_eq!(
-            door.knock(at(0.1), ip("10.9.0.1")),
+            door.try_accept(at(0.1), ip("10.9.0.1")),
             AcceptDecision::LimitReached,
             "they came only just now"
         );
         let id = open(&mut door, 1.0, ip("10.9.0.1")).expect("the longest idle goes");
-        door.busy(id);
+        door.mark_busy(id);
         assert_eq!(door.counts().open, 10_000);
         assert_eq!((door.counts().closed_idle, door.counts().refused_full), (1, 1));
     }
@@ -235,22 +235,22 @@
     #[test]
     fn one_network_in_excess_pays_by_itself() {
         let mut door = door(100, 3);
-        let first: Vec<_> = (0..3).map(|i| door.knock(at(0.0), ip(&format!("10.0.0.{i}")))).collect();
-        assert_eq!(door.knock(at(0.1), ip("10.0.0.9")), AcceptDecision::NetworkLimitReached);
+        let first: Vec<_> = (0..3).map(|i| door.try_accept(at(0.0), ip(&format!("10.0.0.{i}")))).collect();
+        assert_eq!(door.try_accept(at(0.1), ip("10.0.0.9")), AcceptDecision::NetworkLimitReached);
         assert!(
-            matches!(door.knock(at(0.1), ip("10.0.1.9")), AcceptDecision::Accept(_)),
+            matches!(door.try_accept(at(0.1), ip("10.0.1.9")), AcceptDecision::Accept(_)),
             "others are not concerned"
         );
         for knock in &first {
             let AcceptDecision::Accept(id) = knock else { panic!("{knock:?}") };
-            door.busy(*id);
+            door.mark_busy(*id);
         }
         assert_eq!(
-            door.knock(at(9.0), ip("10.0.0.9")),
+            door.try_accept(at(9.0), ip("10.0.0.9")),
             AcceptDecision::NetworkLimitReached,
             "who asks is not closed"
         );
-        let mapped = door.knock(at(9.0), ip("::ffff:10.0.0.77"));
+        let mapped = door.try_accept(at(9.0), ip("::ffff:10.0.0.77"));
         assert_eq!(mapped, AcceptDecision::NetworkLimitReached, "a mapped address is the same network");
     }
 
@@ -265,7 +265,7 @@
             for (i, (step, from, which)) in steps.iter().enumerate() {
                 let now = at(i as f64 * 0.2);
                 match step {
-                    0 | 1 => match door.knock(now, ip(&format!("10.0.{from}.1"))) {
+                    0 | 1 => match door.try_accept(now, ip(&format!("10.0.{from}.1"))) {
                         AcceptDecision::Accept(id) => inside.push((id, false)),
                         AcceptDecision::AcceptAndClose(id, closed) => {
                             let place = inside.iter().position(|(id, _)| *id == closed).expect("it was in");
@@ -279,14 +279,14 @@
                     2 => {
                         let place = which % inside.len();
                         inside[place].1 = true;
-                        door.busy(inside[place].0);
+                        door.mark_busy(inside[place].0);
                     }
                     3 => {
                         let place = which % inside.len();
                         inside[place].1 = false;
-                        door.idle(now, inside[place].0);
+                        door.mark_idle(now, inside[place].0);
                     }
-                    _ => door.gone(inside.remove(which % inside.len()).0),
+                    _ => door.remove(inside.remove(which % inside.len()).0),
                 }
                 let counts = door.counts();
                 prop_assert_eq!(counts.open, inside.len());
--- a/crates/lemontide-shed/src/load_level.rs
+++ b/crates/lemontide-shed/src/load_level.rs
@@ -66,43 +66,43 @@
     fn default() -> LoadLevel {
         let mut gauges = [Utilization::default(); 7];
         // A core that is busy for a tenth of a second is no sign of anything; delays tell of bursts.
-        gauges[Resource::Cpu as usize] = Utilization::slow();
+        gauges[Resource::Cpu as usize] = Utilization::slow_rise();
         LoadLevel { gauges, level: 0.0, at: None }
     }
 }
 
 impl LoadLevel {
-    pub fn read(&mut self, now: Point, what: Resource, part: f64) {
-        self.gauges[what as usize].read(now, part);
+    pub fn observe(&mut self, now: Point, what: Resource, part: f64) {
+        self.gauges[what as usize].observe(now, part);
     }
 
     /// Where each gauge stands: 0 below where shedding begins, 1 at its limit.
-    fn pressure(&self, now: Point, what: Resource) -> Option<f64> {
+    fn resource_pressure(&self, now: Point, what: Resource) -> Option<f64> {
         let value = self.gauges[what as usize].value(now)?;
         Some(((value - BEGIN[what as usize]) / SPAN[what as usize]).max(0.0))
     }
 
     /// The tightest gauge, and its pressure.
-    pub fn tightest(&self, now: Point) -> Option<(Resource, f64)> {
-        let all = ALL_RESOURCES.iter().filter_map(|what| Some((*what, self.pressure(now, *what)?)));
+    pub fn bottleneck(&self, now: Point) -> Option<(Resource, f64)> {
+        let all = ALL_RESOURCES.iter().filter_map(|what| Some((*what, self.resource_pressure(now, *what)?)));
         all.max_by(|a, b| a.1.total_cmp(&b.1))
     }
 
     /// The tightest pressure as the rate follows it; none without any fresh gauge.
-    pub fn presses(&self, now: Point) -> Option<f64> {
-        self.tightest(now).map(|(_, pressure)| pressure.min(MOST))
+    pub fn pressure(&self, now: Point) -> Option<f64> {
+        self.bottleneck(now).map(|(_, pressure)| pressure.min(MOST))
     }
 
     /// The pressure of the tightest limit that must not be passed at all: memory, files and what is in hand.
-    pub fn presses_hard(&self, now: Point) -> f64 {
+    pub fn hard_limit_pressure(&self, now: Point) -> f64 {
         let hard = [Resource::Memory, Resource::OpenFiles, Resource::InFlight];
-        hard.iter().filter_map(|what| self.pressure(now, *what)).fold(0.0, f64::max)
+        hard.iter().filter_map(|what| self.resource_pressure(now, *what)).fold(0.0, f64::max)
     }
 
     /// The level as it is told and as waits follow it. Never falls where a gauge rises.
     pub fn level(&mut self, now: Point) -> f64 {
         // A frozen process wakes with old gauges: they say nothing, and the level stays where it was.
-        let wanted = match self.tightest(now) {
+        let wanted = match self.bottleneck(now) {
             Some((_, pressure)) => pressure.min(MOST),
             None => self.level.max(BLIND),
         };
@@ -118,24 +118,24 @@
     }
 
     /// How short memory is: below 0 where shedding for it has not begun, 1 at its limit.
-    pub fn memory_short(&self, now: Point) -> Option<f64> {
+    pub fn memory_pressure(&self, now: Point) -> Option<f64> {
         let memory = Resource::Memory as usize;
         Some((self.gauges[memory].value(now)? - BEGIN[memory]) / SPAN[memory])
     }
 
     /// The process stood still for so long, as a part of the delay that is allowed: what came meanwhile waited.
     /// The level rises at once, and falls from there in steps as always.
-    pub fn stood_still(&mut self, now: Point, part: f64) {
-        self.gauges[Resource::QueueDelay as usize].jump(now, part.min(MOST));
+    pub fn process_stalled(&mut self, now: Point, part: f64) {
+        self.gauges[Resource::QueueDelay as usize].raise_to(now, part.min(MOST));
     }
 
     /// All gauges for operators: their value and age in seconds.
-    pub fn view(&self, now: Point) -> Vec<(Resource, Option<f64>, Option<f64>)> {
+    pub fn utilization(&self, now: Point) -> Vec<(Resource, Option<f64>, Option<f64>)> {
         ALL_RESOURCES
             .iter()
             .map(|what| {
                 let gauge = &self.gauges[*what as usize];
-                (*what, gauge.value(now), gauge.age(now))
+                (*what, gauge.value(now), gauge.age_s(now))
             })
             .collect()
     }
@@ -154,7 +154,7 @@
         let steps = (seconds / 0.05) as usize;
         let level = |i: usize| {
             let s = from + i as f64 * 0.05;
-            load.read(at(s), Resource::QueueDelay, part(s));
+            load.observe(at(s), Resource::QueueDelay, part(s));
             load.level(at(s))
         };
         (0..steps).map(level).collect()
@@ -175,7 +175,7 @@
     fn missing_gauges_make_careful_and_frozen_ones_keep_the_level() {
         let mut load = LoadLevel::default();
         assert_eq!(load.level(at(0.0)), BLIND);
-        load.read(at(0.0), Resource::Memory, 0.96);
+        load.observe(at(0.0), Resource::Memory, 0.96);
         let before = load.level(at(0.1));
         assert!(before > 0.7, "{before}");
         assert_eq!(load.level(at(9.0)), before, "nothing fresh is known");
@@ -190,7 +190,7 @@
             let level = |parts: &[f64]| {
                 let mut load = LoadLevel::default();
                 for (what, part) in ALL_RESOURCES.iter().zip(parts) {
-                    load.read(at(0.0), *what, *part);
+                    load.observe(at(0.0), *what, *part);
                 }
                 load.level(at(0.01))
             };
--- a/crates/lemontide-shed/src/memory.rs
+++ b/crates/lemontide-shed/src/memory.rs
@@ -61,7 +61,7 @@
 
 impl MemoryShedder {
     /// The stage at this pressure of memory. Without a reading it stays where it was.
-    pub fn stage(&mut self, now: Point, pressure: Option<f64>) -> MemoryStage {
+    pub fn update(&mut self, now: Point, pressure: Option<f64>) -> MemoryStage {
         let Some(pressure) = pressure.filter(|pressure| pressure.is_finite()) else { return self.stage };
         if let Some((at, before)) = self.last {
             let passed = (now - at).seconds();
@@ -110,7 +110,7 @@
         for i in 0..400 {
             // From under the beginning to the limit within forty seconds.
             let pressure = f64::from(i) / 400.0 * 1.2 - 0.2;
-            let stage = relief.stage(at(f64::from(i) / 10.0), Some(pressure));
+            let stage = relief.update(at(f64::from(i) / 10.0), Some(pressure));
             if reached.last().is_none_or(|(last, _)| *last != stage) {
                 reached.push((stage, pressure));
             }
@@ -123,12 +123,12 @@
     #[test]
     fn steps_are_given_back_one_by_one_and_a_missing_gauge_keeps_them() {
         let mut relief = MemoryShedder::default();
-        assert_eq!(relief.stage(at(0.0), Some(0.9)), MemoryStage::History);
-        assert_eq!(relief.stage(at(1.0), None), MemoryStage::History);
+        assert_eq!(relief.update(at(0.0), Some(0.9)), MemoryStage::History);
+        assert_eq!(relief.update(at(1.0), None), MemoryStage::History);
         let mut left = Vec::new();
         for i in 10..200 {
             let now = f64::from(i) / 10.0;
-            let stage = relief.stage(at(now), Some(-0.5));
+            let stage = relief.update(at(now), Some(-0.5));
             if left.last().is_none_or(|(last, _)| *last != stage) {
                 left.push((stage, now));
             }
--- a/crates/lemontide-shed/src/request_queue.rs
+++ b/crates/lemontide-shed/src/request_queue.rs
@@ -69,7 +69,7 @@
     }
 
     /// Ranks from 0 to 1 and stated shares, in the order of the classes.
-    pub fn rank(&mut self, rank: &[f64], share: &[f64]) {
+    pub fn set_ranks(&mut self, rank: &[f64], share: &[f64]) {
         for (to, from) in self.rank.iter_mut().zip(rank) {
             *to = *from;
         }
@@ -87,16 +87,16 @@
     }
 
     /// The first of each class.
-    pub fn fronts(&self) -> impl Iterator<Item = &T> {
+    pub fn heads(&self) -> impl Iterator<Item = &T> {
         self.classes.iter().filter_map(|class| class.front()).map(|waits| &waits.what)
     }
 
     /// How full it is, as a part of its bound.
-    pub fn fullness(&self) -> f64 {
+    pub fn fill_ratio(&self) -> f64 {
         self.waiting as f64 / self.most as f64
     }
 
-    pub fn enter(&mut self, class: usize, until: Point, what: T) -> Enqueued<T> {
+    pub fn push(&mut self, class: usize, until: Point, what: T) -> Enqueued<T> {
         let class = class.min(self.classes.len() - 1);
         if self.classes[class].len() >= self.max_per_class {
             return Enqueued::Rejected(what);
@@ -130,17 +130,17 @@
     }
 
     /// The next one. Those whose time is over come first: their answer is due.
-    pub fn next(&mut self, now: Point) -> Option<Dequeued<T>> {
+    pub fn pop(&mut self, now: Point) -> Option<Dequeued<T>> {
         let late = |class: &VecDeque<Waits<T>>| class.front().is_some_and(|waits| waits.until <= now);
         if let Some(class) = self.classes.iter().position(late) {
-            return self.pop(class).map(Dequeued::Expired);
+            return self.pop_class(class).map(Dequeued::Expired);
         }
         let class = self.turn()?;
         self.turns[class] += 1.0;
         if self.turns.iter().sum::<f64>() > TURNS_KEPT {
             self.turns.iter_mut().for_each(|turns| *turns /= 2.0);
         }
-        self.pop(class).map(Dequeued::Ready)
+        self.pop_class(class).map(Dequeued::Ready)
     }
 
     fn turn(&self) -> Option<usize> {
@@ -162,7 +162,7 @@
         })
     }
 
-    fn pop(&mut self, class: usize) -> Option<T> {
+    fn pop_class(&mut self, class: usize) -> Option<T> {
         let waits = self.classes[class].pop_front()?;
         self.waiting -= 1;
         Some(waits.what)
@@ -180,7 +180,7 @@
 
     fn room(most: usize) -> RequestQueue<u32> {
         let mut room = RequestQueue::new(QueueDiscipline::ByRank, most, most, 2);
-        room.rank(&[1.0, 0.1], &[0.0, 0.2]);
+        room.set_ranks(&[1.0, 0.1], &[0.0, 0.2]);
         room
     }
 
@@ -188,10 +188,10 @@
     fn the_best_go_first_and_a_share_is_kept() {
         let mut room = room(1000);
         for i in 0..400 {
-            assert_eq!(room.enter((i % 2) as usize, at(10.0), i), Enqueued::Waiting);
+            assert_eq!(room.push((i % 2) as usize, at(10.0), i), Enqueued::Waiting);
         }
         let first: Vec<u32> = (0..100)
-            .filter_map(|_| room.next(at(0.0)))
+            .filter_map(|_| room.pop(at(0.0)))
             .map(|turn| match turn {
                 Dequeued::Ready(i) | Dequeued::Expired(i) => i,
             })
@@ -204,27 +204,27 @@
     fn a_full_room_lets_the_better_in_for_the_newest_of_the_least() {
         let mut room = room(10);
         for i in 0..10 {
-            room.enter(1, at(10.0), i);
+            room.push(1, at(10.0), i);
         }
-        assert_eq!(room.enter(1, at(10.0), 10), Enqueued::Rejected(10));
+        assert_eq!(room.push(1, at(10.0), 10), Enqueued::Rejected(10));
         for i in 0..8 {
-            assert_eq!(room.enter(0, at(10.0), 100 + i), Enqueued::Displaced(9 - i));
+            assert_eq!(room.push(0, at(10.0), 100 + i), Enqueued::Displaced(9 - i));
         }
         // The two that are left are the class's share.
-        assert_eq!(room.enter(0, at(10.0), 200), Enqueued::Rejected(200));
+        assert_eq!(room.push(0, at(10.0), 200), Enqueued::Rejected(200));
         let mut arrival = RequestQueue::new(QueueDiscipline::Fifo, 1, 1, 2);
-        assert_eq!(arrival.enter(1, at(1.0), 1), Enqueued::Waiting);
-        assert_eq!(arrival.enter(0, at(1.0), 2), Enqueued::Rejected(2));
+        assert_eq!(arrival.push(1, at(1.0), 1), Enqueued::Waiting);
+        assert_eq!(arrival.push(0, at(1.0), 2), Enqueued::Rejected(2));
     }
 
     #[test]
     fn what_is_late_is_handed_out_as_such_before_anything() {
         let mut room = room(10);
-        room.enter(0, at(5.0), 1);
-        room.enter(1, at(1.0), 2);
-        assert_eq!(room.next(at(1.0)), Some(Dequeued::Expired(2)));
-        assert_eq!(room.next(at(1.0)), Some(Dequeued::Ready(1)));
-        assert_eq!(room.next(at(1.0)), None);
+        room.push(0, at(5.0), 1);
+        room.push(1, at(1.0), 2);
+        assert_eq!(room.pop(at(1.0)), Some(Dequeued::Expired(2)));
+        assert_eq!(room.pop(at(1.0)), Some(Dequeued::Ready(1)));
+        assert_eq!(room.pop(at(1.0)), None);
     }
 
     proptest! {
@@ -236,20 +236,20 @@
         ) {
             let order = if arrival { QueueDiscipline::Fifo } else { QueueDiscipline::ByRank };
             let mut room = RequestQueue::new(order, most, most, 3);
-            room.rank(&[1.0, 0.5, 0.5], &[0.0, 0.1, 0.0]);
+            room.set_ranks(&[1.0, 0.5, 0.5], &[0.0, 0.1, 0.0]);
             let mut out = Vec::new();
             for (i, (step, class, lasts)) in steps.iter().enumerate() {
                 let now = i as f64 * 0.1;
                 if *step == 0 {
-                    out.extend(room.next(at(now)).map(|(Dequeued::Ready(i) | Dequeued::Expired(i))| i));
+                    out.extend(room.pop(at(now)).map(|(Dequeued::Ready(i) | Dequeued::Expired(i))| i));
                 }
-                match room.enter(*class, at(now + lasts), i) {
+                match room.push(*class, at(now + lasts), i) {
                     Enqueued::Waiting => {}
                     Enqueued::Displaced(i) | Enqueued::Rejected(i) => out.push(i),
                 }
                 prop_assert!(room.len() <= most);
             }
-            while let Some(Dequeued::Ready(i) | Dequeued::Expired(i)) = room.next(at(100.0)) {
+            while let Some(Dequeued::Ready(i) | Dequeued::Expired(i)) = room.pop(at(100.0)) {
                 out.push(i);
             }
             out.sort_unstable();
--- a/crates/lemontide-shed/src/shedder.rs
+++ b/crates/lemontide-shed/src/shedder.rs
@@ -97,35 +97,35 @@
     }
 
     /// A reading, as a part of its limit.
-    pub fn read(&mut self, now: Point, what: Resource, part: f64) {
-        self.load.read(now, what, part);
+    pub fn observe(&mut self, now: Point, what: Resource, part: f64) {
+        self.load.observe(now, what, part);
         if what == Resource::Cpu {
-            self.rate.spends(part);
+            self.rate.observe_cpu(part);
         }
     }
 
     /// Called regularly, every tenth of a second or so; what memory asks for.
-    pub fn beat(&mut self, now: Point) -> MemoryStage {
+    pub fn tick(&mut self, now: Point) -> MemoryStage {
         if let Some(before) = self.beat.replace(now) {
             let gap = now - before;
             if gap >= STOOD_STILL {
-                self.load.stood_still(now, gap.seconds() / self.delay.seconds().max(1e-3));
+                self.load.process_stalled(now, gap.seconds() / self.delay.seconds().max(1e-3));
             }
         }
         self.load.level(now);
-        self.rate.beat(now, self.load.presses(now), self.load.presses_hard(now));
-        self.stage = self.relief.stage(now, self.load.memory_short(now));
+        self.rate.tick(now, self.load.pressure(now), self.load.hard_limit_pressure(now));
+        self.stage = self.relief.update(now, self.load.memory_pressure(now));
         self.stage
     }
 
     /// What to do with a request. Each request is judged once, or once more after a hold.
-    pub fn judge(&mut self, now: Point, asked: IncomingRequest) -> Decision {
+    pub fn decide(&mut self, now: Point, asked: IncomingRequest) -> Decision {
         let level = self.load.level(now);
         if asked.was_held {
-            self.gate.held_over();
+            self.gate.hold_ended();
         }
         // A request that was held was counted already.
-        let past = !asked.was_held && self.tenants.past(now, asked.tenant);
+        let past = !asked.was_held && self.tenants.exceeds_quota(now, asked.tenant);
         let request = Request {
             class: asked.class,
             is_retry: asked.is_retry,
@@ -134,9 +134,9 @@
             decide_now: asked.was_held || asked.decide_now,
         };
         if !asked.was_held {
-            self.rate.ask();
+            self.rate.request_arrived();
         }
-        let word = self.gate.admit(now, level, self.rate.limit(), request);
+        let word = self.gate.decide(now, level, self.rate.limit_per_s(), request);
         if let Some(counts) = self.counts.get_mut(asked.class) {
             match word {
                 Decision::Admit => counts.admitted += 1,
@@ -148,42 +148,42 @@
     }
 
     /// A request that was taken got its turn at the deciding thread.
-    pub fn turn(&mut self) {
-        self.rate.turn();
+    pub fn request_started(&mut self) {
+        self.rate.request_started();
     }
 
     /// The player of a held request went away.
-    pub fn held_left(&mut self) {
-        self.gate.held_over();
+    pub fn held_request_cancelled(&mut self) {
+        self.gate.hold_ended();
     }
 
     /// A wait for who is turned away for another reason than its own rank.
-    pub fn wait(&mut self, now: Point) -> Span {
+    pub fn retry_after(&mut self, now: Point) -> Span {
         let level = self.load.level(now);
-        self.gate.wait(level)
+        self.gate.retry_after(level)
     }
 
     /// What an answered request cost, in shots.
-    pub fn cost(&mut self, class: usize, shots: f64) {
-        self.gate.cost(class, shots);
+    pub fn record_cost(&mut self, class: usize, shots: f64) {
+        self.gate.record_cost(class, shots);
     }
 
-    pub fn ranks(&self) -> (&[f64], Vec<f64>) {
-        self.gate.ranks()
+    pub fn ranks_and_shares(&self) -> (&[f64], Vec<f64>) {
+        self.gate.ranks_and_shares()
     }
 
-    pub fn shed(&self) -> u64 {
+    pub fn rejected_total(&self) -> u64 {
         self.counts.iter().map(|counts| counts.rejected).sum()
     }
 
-    pub fn view(&mut self, now: Point) -> LoadSnapshot {
+    pub fn snapshot(&mut self, now: Point) -> LoadSnapshot {
         LoadSnapshot {
             level: self.load.level(now),
-            limit_per_s: self.rate.limit(),
-            bottleneck: self.load.tightest(now).filter(|(_, part)| *part > 0.0).map(|(what, _)| what),
+            limit_per_s: self.rate.limit_per_s(),
+            bottleneck: self.load.bottleneck(now).filter(|(_, part)| *part > 0.0).map(|(what, _)| what),
             memory_stage: self.stage,
-            held_requests: self.gate.held(),
-            utilization: self.load.view(now),
+            held_requests: self.gate.held_count(),
+            utilization: self.load.utilization(now),
             classes: self.counts.clone(),
         }
     }
@@ -235,14 +235,14 @@
             let now = from + i as f64 / per_s;
             if now >= from + beats {
                 beats += 0.1;
-                keeper.read(at(now), Resource::Cpu, (taken * 10.0 / can).min(1.0));
-                keeper.read(at(now), Resource::QueueDelay, if taken * 10.0 > can { 1.0 } else { 0.1 });
-                keeper.beat(at(now));
+                keeper.observe(at(now), Resource::Cpu, (taken * 10.0 / can).min(1.0));
+                keeper.observe(at(now), Resource::QueueDelay, if taken * 10.0 > can { 1.0 } else { 0.1 });
+                keeper.tick(at(now));
                 taken = 0.0;
             }
-            let take = keeper.judge(at(now), asked(0, tenant(i))) == Decision::Admit;
+            let take = keeper.decide(at(now), asked(0, tenant(i))) == Decision::Admit;
             if take {
-                keeper.turn();
+                keeper.request_started();
                 taken += 1.0;
             }
             words.push(take);
@@ -255,15 +255,15 @@
         let mut keeper = keeper();
         assert!(run(&mut keeper, 0.0, [100.0, 3.0], 200.0, |_| "").iter().all(|take| *take));
         // Stopped for two seconds: the first beat after it knows, before a request that waited was looked at.
-        keeper.beat(at(5.0));
-        assert!(keeper.view(at(5.0)).level > 1.0);
-        let limit = keeper.view(at(5.0)).limit_per_s.expect("there is one");
+        keeper.tick(at(5.0));
+        assert!(keeper.snapshot(at(5.0)).level > 1.0);
+        let limit = keeper.snapshot(at(5.0)).limit_per_s.expect("there is one");
         assert!((50.0..90.0).contains(&limit), "{limit} of a hundred");
         let after = run(&mut keeper, 5.01, [100.0, 8.0], 200.0, |_| "");
         let taken = |from: usize, to: usize| after[from..to].iter().filter(|take| **take).count();
         assert!(taken(0, 100) <= 95, "no burst: {}", taken(0, 100));
         assert_eq!(taken(600, 800), 200, "and all again a few seconds later");
-        let limit = keeper.view(at(13.0)).limit_per_s;
+        let limit = keeper.snapshot(at(13.0)).limit_per_s;
         assert!(limit.is_none_or(|limit| limit > 200.0), "only what the allowance can do: {limit:?}");
     }
 
--- a/crates/lemontide-shed/src/tenant_quotas.rs
+++ b/crates/lemontide-shed/src/tenant_quotas.rs
@@ -29,7 +29,7 @@
     }
 
     /// Counts a request; whether it is past its tenant's share.
-    pub fn past(&mut self, now: Point, tenant: &str) -> bool {
+    pub fn exceeds_quota(&mut self, now: Point, tenant: &str) -> bool {
         let Some(bucket) = self.buckets.get_mut(tenant) else { return false };
         // A clock that went back fills nothing.
         let passed = (now - bucket.at).seconds().max(0.0);
@@ -55,11 +55,11 @@
         for i in 0..10_000 {
             // One asks a hundred times a second, the other five times.
             let now = at(f64::from(i) * 0.01);
-            within[0] += usize::from(!tenants.past(now, "a"));
+            within[0] += usize::from(!tenants.exceeds_quota(now, "a"));
             if i % 20 == 0 {
-                within[1] += usize::from(!tenants.past(now, "b"));
+                within[1] += usize::from(!tenants.exceeds_quota(now, "b"));
             }
-            assert!(!tenants.past(now, "nobody"), "who has no quota can't exceed it");
+            assert!(!tenants.exceeds_quota(now, "nobody"), "who has no quota can't exceed it");
         }
         assert!((1000..=1021).contains(&within[0]), "ten a second and the bucket's depth: {within:?}");
         assert_eq!(within[1], 500);
--- a/crates/lemontide-shed/src/utilization.rs
+++ b/crates/lemontide-shed/src/utilization.rs
@@ -20,12 +20,12 @@
 
 impl Utilization {
     /// One whose rises are believed only as slowly as its falls: full for a moment is no harm there.
-    pub fn slow() -> Utilization {
+    pub fn slow_rise() -> Utilization {
         Utilization { slow: true, ..Utilization::default() }
     }
 
     /// Takes a reading, as a part of the limit. One that is no number is no reading.
-    pub fn read(&mut self, now: Point, part: f64) {
+    pub fn observe(&mut self, now: Point, part: f64) {
         if !part.is_finite() {
             return;
         }
@@ -41,7 +41,7 @@
     }
 
     /// Takes a reading that is certain: it is believed at once, if it is higher.
-    pub fn jump(&mut self, now: Point, part: f64) {
+    pub fn raise_to(&mut self, now: Point, part: f64) {
         if part.is_finite() && part > self.value(now).unwrap_or(0.0) {
             self.value = part.clamp(0.0, 100.0);
             self.at = Some(now);
@@ -54,7 +54,7 @@
     }
 
     /// Seconds since the last reading.
-    pub fn age(&self, now: Point) -> Option<f64> {
+    pub fn age_s(&self, now: Point) -> Option<f64> {
         self.at.map(|at| (now - at).seconds())
     }
 }
@@ -71,14 +71,14 @@
     fn rises_come_through_sooner_than_falls_and_old_readings_lapse() {
         let mut gauge = Utilization::default();
         assert_eq!(gauge.value(at(0.0)), None);
-        gauge.read(at(0.0), 0.2);
-        gauge.read(at(0.15), 1.2);
+        gauge.observe(at(0.0), 0.2);
+        gauge.observe(at(0.15), 1.2);
         let risen = gauge.value(at(0.15)).expect("fresh");
         assert!(risen > 0.8, "{risen}");
-        gauge.read(at(0.30), 0.2);
+        gauge.observe(at(0.30), 0.2);
         assert!(gauge.value(at(0.3)).expect("fresh") > 0.6);
-        gauge.read(at(0.4), f64::NAN);
-        assert_eq!(gauge.age(at(2.4)).map(|age| age > 2.0), Some(true));
+        gauge.observe(at(0.4), f64::NAN);
+        assert_eq!(gauge.age_s(at(2.4)).map(|age| age > 2.0), Some(true));
         assert_eq!(gauge.value(at(2.4)), None);
     }
 }
--- a/crates/lemontide-standin/src/crowd.rs
+++ b/crates/lemontide-standin/src/crowd.rs
@@ -152,7 +152,7 @@
                     was_held: false,
                     decide_now: true,
                 };
-                server.keeper.judge(at(now), asked)
+                server.keeper.decide(at(now), asked)
             } else {
                 Decision::Admit
             };
@@ -161,10 +161,10 @@
                 Decision::Admit | Decision::Hold { .. } => {
                     // Without shedding nobody looks whether it is too late before the work is done.
                     let until = if plan.sheds { now + plan.cut_off_s } else { f64::MAX / 1e300 };
-                    match server.room.enter(lane, at(until), (lane, tries, now)) {
+                    match server.room.push(lane, at(until), (lane, tries, now)) {
                         Enqueued::Waiting => {}
                         Enqueued::Displaced((lane, tries, _)) | Enqueued::Rejected((lane, tries, _)) => {
-                            back = Some((lane, tries, server.keeper.wait(at(now))));
+                            back = Some((lane, tries, server.keeper.retry_after(at(now))));
                         }
                     }
                 }
@@ -178,17 +178,17 @@
         for (to, server) in servers.iter_mut().enumerate() {
             let mut room = plan.capacity * STEP - server.owes;
             let had = plan.capacity * STEP;
-            let oldest = server.room.fronts().map(|(_, _, since)| now - since).fold(0.0, f64::max);
+            let oldest = server.room.heads().map(|(_, _, since)| now - since).fold(0.0, f64::max);
             while room > 0.0 {
-                match server.room.next(at(now)) {
+                match server.room.pop(at(now)) {
                     None => break,
                     Some(Dequeued::Expired((lane, tries, _))) => {
-                        let wait = server.keeper.wait(at(now));
+                        let wait = server.keeper.retry_after(at(now));
                         turned.push((to, (lane, tries, wait)));
                     }
                     Some(Dequeued::Ready((lane, _, since))) => {
                         room -= 1.0;
-                        server.keeper.turn();
+                        server.keeper.request_started();
                         if now - since > plan.cut_off_s {
                             came.late += 1;
                         } else {
@@ -203,11 +203,11 @@
             server.owes = (-room).max(0.0);
             server.busy += (had - room.max(0.0)).min(had) / had / 5.0;
             if reads {
-                server.keeper.read(at(now), Resource::Cpu, std::mem::take(&mut server.busy));
-                server.keeper.read(at(now), Resource::QueueDelay, oldest / 0.1);
-                server.keeper.beat(at(now));
-                let (rank, share) = server.keeper.ranks();
-                server.room.rank(rank, &share);
+                server.keeper.observe(at(now), Resource::Cpu, std::mem::take(&mut server.busy));
+                server.keeper.observe(at(now), Resource::QueueDelay, oldest / 0.1);
+                server.keeper.tick(at(now));
+                let (rank, share) = server.keeper.ranks_and_shares();
+                server.room.set_ranks(rank, &share);
             }
         }
         for (to, (lane, tries, wait)) in turned {
