--- a/crates/lemontide-cli/src/measure/fleet.rs
+++ b/crates/lemontide-cli/src/measure/fleet.rs
@@ -2,7 +2,7 @@
 //! settings alone, and with gossip's view; steady, and while streamers restart and half of the controllers die.
 
 use crate::Outcome;
-use lemontide_fleet::{Holder, Ring};
+use lemontide_fleet::{Holder, RendezvousHash};
 use lemontide_standin::swarm::{Came, Plan, Swarm, Views};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
@@ -51,21 +51,21 @@
 /// Part of all first choices that move: when one instance leaves, and when one streamer does.
 fn moved(controllers: usize, streamers: usize) -> (f64, f64) {
     let holder = |s: usize| Holder {
-        streamer: s as u32,
+        streamer_key: s as u32,
         weight: if s.is_multiple_of(2) { 16.0 } else { 10.0 },
-        near: true,
-        spent: false,
+        is_local: true,
+        unavailable: false,
     };
     // Choices rest on the own number alone: who leaves takes its own with it, and those of the rest are looked at again.
     let choices = |instances: &[usize], gone: Option<usize>| -> Vec<usize> {
         let each = |me: &usize| {
-            let ring = Ring::of(*me as u32);
+            let ring = RendezvousHash::new(*me as u32);
             (0..streamers)
                 .map(|home| {
                     let held = (home..home + 3.min(streamers)).map(|s| s % streamers);
                     let held: Vec<usize> = held.filter(|s| Some(*s) != gone).collect();
                     let holders: Vec<Holder> = held.iter().map(|s| holder(*s)).collect();
-                    ring.first(&holders, 1).first().map_or(usize::MAX, |at| held[*at])
+                    ring.select(&holders, 1).first().map_or(usize::MAX, |at| held[*at])
                 })
                 .collect::<Vec<_>>()
         };
--- a/crates/lemontide-fleet/src/lib.rs
+++ b/crates/lemontide-fleet/src/lib.rs
@@ -2,10 +2,10 @@
 //! shared out by place, though their views of the fleet differ. No sockets, no files, no clock: time comes from
 //! outside. What is promised under which views stands in `docs/design/fleet.md`.
 
-pub mod ring;
+pub mod rendezvous;
 pub mod subset;
 pub mod view;
 
-pub use ring::{Holder, Ring};
-pub use subset::{Place, Subset};
-pub use view::{Unusable, View};
+pub use rendezvous::{Holder, RendezvousHash};
+pub use subset::{CellRange, StreamerSubset};
+pub use view::{FleetSettingsError, FleetView};
--- a/crates/lemontide-fleet/src/ring.rs
+++ b/crates/lemontide-fleet/src/rendezvous.rs
@@ -12,28 +12,28 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Holder {
     /// Its number on the ring, the same for every instance.
-    pub streamer: u32,
+    pub streamer_key: u32,
     /// Its size; one that is no number above 0 counts as the smallest.
     pub weight: f64,
     /// In the own zone, or where crossing costs nothing.
-    pub near: bool,
+    pub is_local: bool,
     /// Known to be full, doubted, draining or gone: it makes room for the next.
-    pub spent: bool,
+    pub unavailable: bool,
 }
 
 /// An instance's place among all.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ring {
+pub struct RendezvousHash {
     number: u32,
 }
 
-impl Ring {
-    pub fn of(number: u32) -> Ring {
-        Ring { number }
+impl RendezvousHash {
+    pub fn new(number: u32) -> RendezvousHash {
+        RendezvousHash { number }
     }
 
     /// The draw of this instance at a streamer, from 0 up to 1.
-    pub fn draw(&self, streamer: u32) -> f64 {
+    pub fn unit_hash(&self, streamer: u32) -> f64 {
         let seed = mix(u64::from(streamer));
         let shuffled = (0..DIGITS).rev().fold(0, |drawn: u32, place| {
             // A digit is flipped by chance, the same for all that share the digits before it.
@@ -47,21 +47,22 @@
     /// The least goes first, and each goes first as often as it weighs.
     fn distance(&self, holder: &Holder) -> f64 {
         let weight = if holder.weight.is_finite() { holder.weight.max(1e-6) } else { 1e-6 };
-        -self.draw(holder.streamer).ln() / weight
+        -self.unit_hash(holder.streamer_key).ln() / weight
     }
 
     /// The holders that this instance uses first, as indices, best first: `most` of them that are not spent, near ones
     /// before others, but one of another zone among them where there is one and `most` is above 1. It never names
     /// none while a holder is left: spent ones come last.
-    pub fn first(&self, holders: &[Holder], most: usize) -> Vec<usize> {
+    pub fn select(&self, holders: &[Holder], most: usize) -> Vec<usize> {
         let mut order: Vec<usize> = (0..holders.len()).collect();
-        let rank = |at: &usize| (holders[*at].spent, !holders[*at].near, self.distance(&holders[*at]));
+        let rank =
+            |at: &usize| (holders[*at].unavailable, !holders[*at].is_local, self.distance(&holders[*at]));
         order.sort_by(|a, b| {
             let (a, b) = (rank(a), rank(b));
             (a.0, a.1).cmp(&(b.0, b.1)).then(a.2.total_cmp(&b.2))
         });
         let most = most.max(1);
-        let far = order.iter().position(|at| !holders[*at].near && !holders[*at].spent);
+        let far = order.iter().position(|at| !holders[*at].is_local && !holders[*at].unavailable);
         if let Some(far) = far.filter(|far| most > 1 && *far >= most) {
             // A zone that is lost takes all near ones with it.
             let at = order.remove(far);
--- a/crates/lemontide-fleet/src/view.rs
+++ b/crates/lemontide-fleet/src/view.rs
@@ -6,31 +6,31 @@
 use std::fmt;
 
 /// Instances in a fleet at most: a larger count is a mistake in the settings.
-pub const COUNT_MOST: u32 = 65_536;
+pub const MAX_INSTANCES: u32 = 65_536;
 
 /// A setting from which no view can be made: what it is, and the remedy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unusable {
-    /// No instance at all, or more than `COUNT_MOST`.
-    Count(u32),
+pub enum FleetSettingsError {
+    /// No instance at all, or more than `MAX_INSTANCES`.
+    InstanceCount(u32),
     /// The own number is not one of `0..count`.
-    Me { me: u32, count: u32 },
+    InstanceNumber { number: u32, count: u32 },
 }
 
-impl fmt::Display for Unusable {
+impl fmt::Display for FleetSettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unusable::Count(count) => {
-                write!(f, "a fleet of {count} instances; give a number from 1 to {COUNT_MOST}")
+            FleetSettingsError::InstanceCount(count) => {
+                write!(f, "a fleet of {count} instances; give a number from 1 to {MAX_INSTANCES}")
             }
-            Unusable::Me { me, count } => {
+            FleetSettingsError::InstanceNumber { number: me, count } => {
                 write!(f, "instance number {me} in a fleet of {count}; numbers run from 0 to {}", count - 1)
             }
         }
     }
 }
 
-impl std::error::Error for Unusable {}
+impl std::error::Error for FleetSettingsError {}
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
@@ -47,7 +47,7 @@
 /// One instance's view of the fleet. Numbers run from 0 to a count that the settings give, so that a number means the
 /// same turn and the same place to everybody, whoever is seen. News may be late, doubled, out of order or wrong.
 #[derive(Clone, Debug)]
-pub struct View {
+pub struct FleetView {
     me: u32,
     count: u32,
     born: Point,
@@ -62,44 +62,44 @@
 /// Numbers looked at to find who is missing before this one: a longer gap is not closed by one instance alone.
 const GAP_MOST: u32 = 64;
 
-impl View {
+impl FleetView {
     /// Settings alone: nothing is ever heard, and everybody is taken to be there.
-    pub fn settled(now: Point, me: u32, count: u32) -> Result<View, Unusable> {
-        if count == 0 || count > COUNT_MOST {
-            return Err(Unusable::Count(count));
+    pub fn from_settings(now: Point, me: u32, count: u32) -> Result<FleetView, FleetSettingsError> {
+        if count == 0 || count > MAX_INSTANCES {
+            return Err(FleetSettingsError::InstanceCount(count));
         }
         if me >= count {
-            return Err(Unusable::Me { me, count });
+            return Err(FleetSettingsError::InstanceNumber { number: me, count });
         }
-        Ok(View { me, count, born: now, others: None, doubled: false, fresh: now })
+        Ok(FleetView { me, count, born: now, others: None, doubled: false, fresh: now })
     }
 
     /// The same fleet, of which this instance hears: nobody but itself is there until it is told so.
-    pub fn hearing(now: Point, me: u32, count: u32) -> Result<View, Unusable> {
-        Ok(View { others: Some(BTreeMap::new()), ..View::settled(now, me, count)? })
+    pub fn from_membership(now: Point, me: u32, count: u32) -> Result<FleetView, FleetSettingsError> {
+        Ok(FleetView { others: Some(BTreeMap::new()), ..FleetView::from_settings(now, me, count)? })
     }
 
-    pub fn me(&self) -> u32 {
+    pub fn own_number(&self) -> u32 {
         self.me
     }
 
-    pub fn count(&self) -> u32 {
+    pub fn instance_count(&self) -> u32 {
         self.count
     }
 
     /// Since when this instance runs, sees a majority and did not stand still.
-    pub fn born(&self) -> Point {
+    pub fn reliable_since(&self) -> Point {
         self.born
     }
 
     /// Whether another instance runs under the own number.
-    pub fn doubled(&self) -> bool {
+    pub fn has_duplicate(&self) -> bool {
         self.doubled
     }
 
     /// An instance was heard at that moment. What is older than the last word of it changes nothing; a number past the
     /// count is nobody's.
-    pub fn here(&mut self, at: Point, number: u32) {
+    pub fn mark_present(&mut self, at: Point, number: u32) {
         if number == self.me {
             self.doubled = true;
         }
@@ -107,7 +107,7 @@
     }
 
     /// An instance was lost at that moment, or left.
-    pub fn gone(&mut self, at: Point, number: u32) {
+    pub fn mark_absent(&mut self, at: Point, number: u32) {
         if number == self.me {
             self.doubled = false;
         }
@@ -137,7 +137,7 @@
     /// longer than `oldest` itself missed what others saw meanwhile; who sees no majority is cut off, and when the cut
     /// heals the others' views of it are as old as the cut. Both are as young as one that just started.
     pub fn refresh(&mut self, now: Point, oldest: Span) {
-        if now - self.fresh > oldest || !self.majority() {
+        if now - self.fresh > oldest || !self.has_majority() {
             self.born = now;
         }
         self.fresh = now;
@@ -146,24 +146,25 @@
     /// Numbers whose turns are this instance's to take, as nobody holds them: those before its own, as far back as
     /// the next one that is there. None for one that is young or whose view is not brought up to date, as others'
     /// views may differ, for one that sees no majority, as the others may be well, and for one of two under one number.
-    pub fn stands_for(&self, now: Point, oldest: Span) -> Vec<u32> {
+    pub fn numbers_to_cover(&self, now: Point, oldest: Span) -> Vec<u32> {
         // Missing here for two oldest views: in everybody's for one, and whoever came back is seen by now.
         let wait = oldest * 2.0;
-        let able = now - self.born >= wait && now - self.fresh <= oldest && self.majority() && !self.doubled;
+        let able =
+            now - self.born >= wait && now - self.fresh <= oldest && self.has_majority() && !self.doubled;
         let most = if able { self.count.min(GAP_MOST) } else { 0 };
         let before = (1..most).map(|back| (self.me + self.count - back) % self.count);
-        before.take_while(|number| self.missing_for(now, *number, wait)).collect()
+        before.take_while(|number| self.absent_for(now, *number, wait)).collect()
     }
 
     /// Whether an instance is there, as far as this view tells; one never heard of is not.
-    pub fn has(&self, number: u32) -> bool {
+    pub fn is_present(&self, number: u32) -> bool {
         let Some(others) = &self.others else { return number < self.count };
         let here = |member: &Member| member.state == State::Here;
         number == self.me || others.get(&number).is_some_and(here)
     }
 
     /// Whether an instance was not there for so long, as far as this view tells.
-    pub fn missing_for(&self, now: Point, number: u32, span: Span) -> bool {
+    pub fn absent_for(&self, now: Point, number: u32, span: Span) -> bool {
         let Some(others) = &self.others else { return false };
         match others.get(&number).map(|member| member.state) {
             _ if number == self.me => false,
@@ -175,7 +176,7 @@
     }
 
     /// How many are there, this instance included.
-    pub fn present(&self) -> u32 {
+    pub fn present_count(&self) -> u32 {
         match &self.others {
             None => self.count,
             Some(others) => 1 + others.values().filter(|member| member.state == State::Here).count() as u32,
@@ -183,14 +184,14 @@
     }
 
     /// The part of the fleet that was heard of within that span, from 0 to 1; settings alone are sure of nobody else.
-    pub fn sure(&self, now: Point, within: Span) -> f64 {
+    pub fn confirmed_ratio(&self, now: Point, within: Span) -> f64 {
         let fresh = |member: &&Member| now - member.heard <= within;
         let heard = self.others.iter().flatten().filter(|(_, member)| fresh(member)).count();
         (1 + heard) as f64 / f64::from(self.count)
     }
 
     /// Whether more than half of all numbers are there: of two sides that don't see each other, one at most says so.
-    pub fn majority(&self) -> bool {
-        self.present() > self.count / 2
+    pub fn has_majority(&self) -> bool {
+        self.present_count() > self.count / 2
     }
 }
--- a/crates/lemontide-fleet/tests/ring.rs
+++ b/crates/lemontide-fleet/tests/rendezvous.rs
@@ -1,10 +1,10 @@
 //! Which holders an instance uses first: every title has one, in fair parts, and little moves.
 
-use lemontide_fleet::{Holder, Ring};
+use lemontide_fleet::{Holder, RendezvousHash};
 
 fn holder(cell: u32) -> Holder {
     let weight = if cell.is_multiple_of(2) { 16.0 } else { 10.0 };
-    Holder { streamer: cell, weight, near: true, spent: false }
+    Holder { streamer_key: cell, weight, is_local: true, unavailable: false }
 }
 
 fn run(home: u32, copies: u32, cells: u32) -> Vec<Holder> {
@@ -19,8 +19,8 @@
         for number in 0..fleet {
             for home in 0..cells {
                 let holders = run(home, 3, cells);
-                let first = Ring::of(number).first(&holders, 1);
-                chosen[holders[first[0]].streamer as usize] += 1.0;
+                let first = RendezvousHash::new(number).select(&holders, 1);
+                chosen[holders[first[0]].streamer_key as usize] += 1.0;
             }
         }
         let weights: f64 = (0..cells).map(|cell| holder(cell).weight).sum();
@@ -37,7 +37,7 @@
     for number in [0, 1, 2, 77, 299] {
         let first = |home| {
             let holders = run(home, 3, 200);
-            holders[Ring::of(number).first(&holders, 1)[0]].streamer
+            holders[RendezvousHash::new(number).select(&holders, 1)[0]].streamer_key
         };
         let met: std::collections::BTreeSet<u32> = (0..200).map(first).collect();
         assert!((60..=110).contains(&met.len()), "{} of 200", met.len());
@@ -48,12 +48,12 @@
 #[test]
 fn little_moves_when_somebody_comes_or_goes() {
     let holders = run(4, 5, 200);
-    let without: Vec<Holder> = holders.iter().copied().filter(|h| h.streamer != 6).collect();
+    let without: Vec<Holder> = holders.iter().copied().filter(|h| h.streamer_key != 6).collect();
     for number in 0..100 {
-        let ring = Ring::of(number);
-        let (before, after) = (holders[ring.first(&holders, 1)[0]], without[ring.first(&without, 1)[0]]);
+        let ring = RendezvousHash::new(number);
+        let (before, after) = (holders[ring.select(&holders, 1)[0]], without[ring.select(&without, 1)[0]]);
         assert!(
-            before.streamer == 6 || before.streamer == after.streamer,
+            before.streamer_key == 6 || before.streamer_key == after.streamer_key,
             "instance {number} moved without need"
         );
     }
@@ -63,7 +63,8 @@
 fn draws_stay_even_as_numbers_come_and_go() {
     for cell in [0, 1, 199] {
         for fleet in 1..200u32 {
-            let mut draws: Vec<f64> = (0..fleet).map(|number| Ring::of(number).draw(cell)).collect();
+            let mut draws: Vec<f64> =
+                (0..fleet).map(|number| RendezvousHash::new(number).unit_hash(cell)).collect();
             draws.sort_by(f64::total_cmp);
             draws.push(1.0 + draws[0]);
             let widest = draws.windows(2).map(|two| two[1] - two[0]).fold(0.0, f64::max);
@@ -75,19 +76,23 @@
 #[test]
 fn zones_spent_holders_and_odd_weights() {
     let mut holders = run(0, 6, 200);
-    holders[..3].iter_mut().for_each(|holder| holder.near = false);
+    holders[..3].iter_mut().for_each(|holder| holder.is_local = false);
     for number in 0..50 {
-        let first = Ring::of(number).first(&holders, 2);
+        let first = RendezvousHash::new(number).select(&holders, 2);
         assert!(first[0] >= 3 && first[1] < 3, "the own zone first, and not that alone: {first:?}");
-        assert!(Ring::of(number).first(&holders, 1)[0] >= 3);
+        assert!(RendezvousHash::new(number).select(&holders, 1)[0] >= 3);
     }
-    holders.iter_mut().for_each(|holder| holder.spent = true);
-    assert_eq!(Ring::of(3).first(&holders, 9).len(), 6, "a wish that some holder could take finds it");
-    assert!(Ring::of(3).first(&[], 2).is_empty());
-    holders[2].spent = false;
-    assert_eq!(Ring::of(3).first(&holders, 0), [2]);
+    holders.iter_mut().for_each(|holder| holder.unavailable = true);
+    assert_eq!(
+        RendezvousHash::new(3).select(&holders, 9).len(),
+        6,
+        "a wish that some holder could take finds it"
+    );
+    assert!(RendezvousHash::new(3).select(&[], 2).is_empty());
+    holders[2].unavailable = false;
+    assert_eq!(RendezvousHash::new(3).select(&holders, 0), [2]);
     for weight in [0.0, -1.0, f64::NAN, f64::INFINITY] {
         let odd = [Holder { weight, ..holder(1) }, holder(2)];
-        assert_eq!(Ring::of(5).first(&odd, 2).len(), 2);
+        assert_eq!(RendezvousHash::new(5).select(&odd, 2).len(), 2);
     }
 }
--- a/crates/lemontide-fleet/tests/turns.rs
+++ b/crates/lemontide-fleet/tests/turns.rs
@@ -3,7 +3,7 @@
 use lemontide::clock::{Point, Span};
 use lemontide::control::Controller;
 use lemontide::interface::{Line, Sheet, Stage, Value, Wish};
-use lemontide_fleet::View;
+use lemontide_fleet::FleetView;
 use proptest::prelude::*;
 
 const OLDEST: Span = Span::of_millis(3000);
@@ -43,9 +43,9 @@
     }
 
     /// What one instance sees at that second: each change of another reaches it late, by up to the oldest view.
-    fn view(&self, me: u32, t: f64) -> View {
+    fn view(&self, me: u32, t: f64) -> FleetView {
         let born = self.born(me, t);
-        let mut view = View::hearing(at(born), me, self.count).expect("a number of the fleet");
+        let mut view = FleetView::from_membership(at(born), me, self.count).expect("a number of the fleet");
         let mut told: Vec<(f64, f64, u32, bool)> = Vec::new();
         for other in (0..self.count).filter(|other| *other != me) {
             let mut news: Vec<(f64, bool)> = vec![(-90.0, true)];
@@ -69,9 +69,9 @@
         for now in beats.chain([t]) {
             while let Some((_, when, other, here)) = told.next_if(|(arrives, ..)| *arrives <= now) {
                 if here {
-                    view.here(at(when), other);
+                    view.mark_present(at(when), other);
                 } else {
-                    view.gone(at(when), other);
+                    view.mark_absent(at(when), other);
                 }
             }
             view.refresh(at(now), OLDEST);
@@ -80,10 +80,10 @@
     }
 
     /// Numbers that each running instance stands for at that second.
-    fn heirs(&self, t: f64, oldest: Span) -> Vec<(u32, View, Vec<u32>)> {
+    fn heirs(&self, t: f64, oldest: Span) -> Vec<(u32, FleetView, Vec<u32>)> {
         let running = (0..self.count).filter(|number| self.runs(*number, t));
         let seen = running.map(|number| (number, self.view(number, t)));
-        seen.map(|(number, view)| (number, view.clone(), view.stands_for(at(t), oldest))).collect()
+        seen.map(|(number, view)| (number, view.clone(), view.numbers_to_cover(at(t), oldest))).collect()
     }
 
     /// The most that stand for one number at any look.
@@ -231,8 +231,8 @@
 #[test]
 fn settings_alone_give_each_number_its_own_turns() {
     for count in [1, 7, 300] {
-        let view = View::settled(at(0.0), count - 1, count).expect("a number of the fleet");
-        assert!(view.stands_for(at(99.0), OLDEST).is_empty() && view.present() == count);
+        let view = FleetView::from_settings(at(0.0), count - 1, count).expect("a number of the fleet");
+        assert!(view.numbers_to_cover(at(99.0), OLDEST).is_empty() && view.present_count() == count);
     }
     let mut sent = Vec::new();
     for me in 0..4 {
@@ -254,50 +254,53 @@
 /// The turns of the dead are not lost, and come back with them.
 #[test]
 fn the_next_that_is_there_stands_for_the_missing() {
-    let mut view = View::hearing(at(0.0), 5, 8).expect("a number of the fleet");
-    let stands = |view: &mut View, now: f64| {
+    let mut view = FleetView::from_membership(at(0.0), 5, 8).expect("a number of the fleet");
+    let stands = |view: &mut FleetView, now: f64| {
         // Each second, as what is heard is handed over.
         (0..4).rev().for_each(|back| view.refresh(at(now - f64::from(back)), OLDEST));
-        view.stands_for(at(now), OLDEST)
+        view.numbers_to_cover(at(now), OLDEST)
     };
-    (0..8).filter(|number| *number != 5).for_each(|number| view.here(at(1.0), number));
+    (0..8).filter(|number| *number != 5).for_each(|number| view.mark_present(at(1.0), number));
     (0..20).for_each(|now| view.refresh(at(f64::from(now)), OLDEST));
     assert!(stands(&mut view, 20.0).is_empty());
-    [4, 3, 1].into_iter().for_each(|number| view.gone(at(20.0), number));
+    [4, 3, 1].into_iter().for_each(|number| view.mark_absent(at(20.0), number));
     assert!(stands(&mut view, 23.0).is_empty(), "others may not know yet");
     assert_eq!(stands(&mut view, 26.0), [4, 3], "1 is the second's to stand for");
-    view.here(at(28.0), 4);
+    view.mark_present(at(28.0), 4);
     assert!(stands(&mut view, 28.0).is_empty(), "3 is its own neighbour's again");
-    view.gone(at(28.5), 4);
+    view.mark_absent(at(28.5), 4);
     (29..40).for_each(|now| view.refresh(at(f64::from(now)), OLDEST));
     assert_eq!(stands(&mut view, 40.0), [4, 3]);
-    view.here(at(41.0), 5);
+    view.mark_present(at(41.0), 5);
     assert!(stands(&mut view, 41.0).is_empty(), "two of one number");
-    view.gone(at(42.0), 5);
+    view.mark_absent(at(42.0), 5);
     assert_eq!(stands(&mut view, 43.0), [4, 3]);
 }
 
 /// An instance that stood still acts on no old view, and is young when it goes on.
 #[test]
 fn who_stood_still_stands_for_nobody_until_its_view_has_caught_up() {
-    let mut view = View::hearing(at(0.0), 1, 4).expect("a number of the fleet");
-    [2, 3].into_iter().for_each(|number| view.here(at(1.0), number));
+    let mut view = FleetView::from_membership(at(0.0), 1, 4).expect("a number of the fleet");
+    [2, 3].into_iter().for_each(|number| view.mark_present(at(1.0), number));
     (0..12).for_each(|now| view.refresh(at(f64::from(now)), OLDEST));
-    assert_eq!(view.stands_for(at(11.0), OLDEST), [0], "never heard of since the start");
-    assert!(view.stands_for(at(15.0), OLDEST).is_empty(), "nothing came in for longer than the oldest view");
+    assert_eq!(view.numbers_to_cover(at(11.0), OLDEST), [0], "never heard of since the start");
+    assert!(
+        view.numbers_to_cover(at(15.0), OLDEST).is_empty(),
+        "nothing came in for longer than the oldest view"
+    );
     view.refresh(at(15.0), OLDEST);
-    assert!(view.stands_for(at(15.0), OLDEST).is_empty(), "others saw what it did not");
+    assert!(view.numbers_to_cover(at(15.0), OLDEST).is_empty(), "others saw what it did not");
     (16..22).for_each(|now| view.refresh(at(f64::from(now)), OLDEST));
-    assert_eq!(view.stands_for(at(21.0), OLDEST), [0]);
+    assert_eq!(view.numbers_to_cover(at(21.0), OLDEST), [0]);
 }
 
 #[test]
 fn the_smaller_side_of_a_cut_stands_for_nobody() {
     for (seen, stands) in [(3, false), (4, false), (5, true)] {
-        let mut view = View::hearing(at(0.0), 0, 8).expect("a number of the fleet");
-        (1..seen).for_each(|number| view.here(at(1.0), number));
+        let mut view = FleetView::from_membership(at(0.0), 0, 8).expect("a number of the fleet");
+        (1..seen).for_each(|number| view.mark_present(at(1.0), number));
         (0..60).for_each(|now| view.refresh(at(f64::from(now)), OLDEST));
-        assert_eq!(!view.stands_for(at(60.0), OLDEST).is_empty(), stands, "{seen} of 8 seen");
+        assert_eq!(!view.numbers_to_cover(at(60.0), OLDEST).is_empty(), stands, "{seen} of 8 seen");
     }
 }
 
@@ -323,17 +326,20 @@
 #[test]
 fn odd_figures_and_news_do_no_harm() {
     for (me, count) in [(0, 0), (3, 3), (9, 2), (0, u32::MAX)] {
-        let wrong = View::settled(at(0.0), me, count).expect_err("unusable");
+        let wrong = FleetView::from_settings(at(0.0), me, count).expect_err("unusable");
         assert!(wrong.to_string().contains("give") || wrong.to_string().contains("run from"), "{wrong}");
     }
-    let mut view = View::hearing(at(0.0), 1, 3).expect("a number of the fleet");
-    view.here(at(5.0), 700);
-    view.gone(at(5.0), u32::MAX);
-    view.here(at(5.0), 2);
-    view.gone(at(4.0), 2);
-    assert!(view.has(1) && view.has(2) && !view.has(0) && !view.has(700), "old news changes nothing");
-    assert_eq!((view.present(), view.majority()), (2, true));
-    assert!((view.sure(at(6.0), OLDEST) - 2.0 / 3.0).abs() < 1e-9);
+    let mut view = FleetView::from_membership(at(0.0), 1, 3).expect("a number of the fleet");
+    view.mark_present(at(5.0), 700);
+    view.mark_absent(at(5.0), u32::MAX);
+    view.mark_present(at(5.0), 2);
+    view.mark_absent(at(4.0), 2);
+    assert!(
+        view.is_present(1) && view.is_present(2) && !view.is_present(0) && !view.is_present(700),
+        "old news changes nothing"
+    );
+    assert_eq!((view.present_count(), view.has_majority()), (2, true));
+    assert!((view.confirmed_ratio(at(6.0), OLDEST) - 2.0 / 3.0).abs() < 1e-9);
     let mut module = fleet_of(3, 1, 2.0, at(-100.0));
     learn(&mut module, 0.0);
     module.stands_for(true, &[700, u32::MAX, 1], at(50.0));
--- a/crates/lemontide-front/src/core/together.rs
+++ b/crates/lemontide-front/src/core/together.rs
@@ -4,7 +4,7 @@
 use super::driver::Effect;
 use fnv::FnvHasher;
 use lemontide::clock::{Point, Span};
-use lemontide_fleet::{Holder, Place, Subset, View};
+use lemontide_fleet::{CellRange, FleetView, Holder, StreamerSubset};
 use lemontide_wire::list::{Entry, Stage};
 use lemontide_wire::tap::What;
 use serde::{Deserialize, Serialize};
@@ -61,8 +61,8 @@
 /// See the head of this file.
 pub struct Together {
     terms: Shared,
-    view: View,
-    subset: Subset,
+    view: FleetView,
+    subset: StreamerSubset,
     stood: Vec<u32>,
     /// When the subset was looked at last, and what it was chosen by: the list's state, the width, who is spent.
     looked: Option<Point>,
@@ -82,9 +82,9 @@
 impl Together {
     /// None where the settings name no fleet that could be shared with: then all is done as alone.
     pub fn new(now: Point, terms: &Shared) -> Option<Together> {
-        let view = if terms.hears { View::hearing } else { View::settled };
+        let view = if terms.hears { FleetView::from_membership } else { FleetView::from_settings };
         let view = view(now, terms.me, terms.count).ok()?;
-        let subset = Subset::new(now, terms.me);
+        let subset = StreamerSubset::new(now, terms.me);
         Some(Together {
             terms: terms.clone(),
             view,
@@ -101,26 +101,26 @@
     pub fn hear(&mut self, now: Point, numbers: &BTreeMap<u32, Option<Point>>) -> (Turns, Option<Effect>) {
         for (number, gone) in numbers {
             match gone {
-                None => self.view.here(now, *number),
-                Some(since) => self.view.gone(now.min(*since), *number),
+                None => self.view.mark_present(now, *number),
+                Some(since) => self.view.mark_absent(now.min(*since), *number),
             }
         }
         self.view.refresh(now, self.terms.oldest);
-        let missing = self.view.stands_for(now, self.terms.oldest);
+        let missing = self.view.numbers_to_cover(now, self.terms.oldest);
         let until = now + self.terms.oldest;
         let changed = missing != self.stood;
         if changed {
-            tracing::info!(target: "fleet", present = self.view.present(), stands_for = ?missing);
+            tracing::info!(target: "fleet", present = self.view.present_count(), stands_for = ?missing);
         }
         self.stood.clone_from(&missing);
         let told = What::Stands { numbers: missing.clone(), until: super::seconds(until) };
         // Said again with every word of the fleet while it holds, as it lapses by itself.
         let tap = (changed || !missing.is_empty()).then_some(Effect::Tap(told));
-        (Turns { own: !self.view.doubled(), missing, until }, tap)
+        (Turns { own: !self.view.has_duplicate(), missing, until }, tap)
     }
 
     pub fn asked(&mut self, now: Point) {
-        self.subset.asked(now);
+        self.subset.record_request(now);
     }
 
     /// A shot or stream at a streamer ended in a way that speaks against another one there now.
@@ -134,7 +134,7 @@
         &mut self,
         now: Point,
         listed: u64,
-        titles: impl Iterator<Item = Place>,
+        titles: impl Iterator<Item = CellRange>,
         cells: usize,
         entries: impl Iterator<Item = &'a Entry>,
     ) -> Vec<(u32, bool)> {
@@ -142,9 +142,9 @@
             return Vec::new();
         }
         self.looked = Some(now);
-        self.subset.adapt(now, self.terms.mean);
+        self.subset.adapt_width(now, self.terms.mean);
         self.spent.retain(|_, until| *until > now);
-        let by = (listed, self.subset.width(), self.spent.keys().copied().collect());
+        let by = (listed, self.subset.holders_per_title(), self.spent.keys().copied().collect());
         if self.chosen.as_ref() == Some(&by) {
             return Vec::new();
         }
@@ -152,35 +152,35 @@
         let mut by_cell: BTreeMap<usize, Vec<(u32, Holder)>> = BTreeMap::new();
         for (at, entry) in entries.enumerate().filter(|(_, entry)| entry.stage != Stage::Gone) {
             let holder = Holder {
-                streamer: number(&entry.streamer),
+                streamer_key: number(&entry.streamer),
                 weight: entry.weight,
-                near: self.terms.zone.as_ref().is_none_or(|zone| *zone == entry.zone),
-                spent: entry.stage != Stage::Ready || self.spent.contains_key(&(at as u32)),
+                is_local: self.terms.zone.as_ref().is_none_or(|zone| *zone == entry.zone),
+                unavailable: entry.stage != Stage::Ready || self.spent.contains_key(&(at as u32)),
             };
             by_cell.entry(entry.cell).or_default().push((at as u32, holder));
         }
         let cells = cells.max(1);
-        let holders = |(home, copies): Place| {
+        let holders = |(home, copies): CellRange| {
             let of = (home..home + copies.min(cells)).filter_map(|cell| by_cell.get(&(cell % cells)));
             of.flatten().copied().collect()
         };
-        self.subset.choose(titles, holders)
+        self.subset.select(titles, holders)
     }
 
     /// Whether an idle link to a streamer may be closed.
     pub fn may_close(&self, at: usize, idle: Span) -> bool {
-        let kept = if self.subset.has(at as u32) { KEPT } else { 1.0 };
+        let kept = if self.subset.contains(at as u32) { KEPT } else { 1.0 };
         idle >= self.terms.idle * kept
     }
 
     pub fn figures(&self, now: Point) -> InFleet {
         InFleet {
-            present: self.view.present(),
-            count: self.view.count(),
-            sure: self.view.sure(now, self.terms.oldest),
-            doubled: self.view.doubled(),
+            present: self.view.present_count(),
+            count: self.view.instance_count(),
+            sure: self.view.confirmed_ratio(now, self.terms.oldest),
+            doubled: self.view.has_duplicate(),
             stands_for: self.stood.clone(),
-            width: self.subset.width(),
+            width: self.subset.holders_per_title(),
             first: self.subset.len(),
         }
     }
--- a/crates/lemontide-front/src/settings.rs
+++ b/crates/lemontide-front/src/settings.rs
@@ -4,7 +4,7 @@
 use crate::core::{Shared, Terms};
 use lemontide::clock::Span;
 use lemontide::interface::{Sheet, Value};
-use lemontide_fleet::view::COUNT_MOST;
+use lemontide_fleet::view::MAX_INSTANCES;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -506,7 +506,7 @@
                     "nothing is heard without `gossip`; add it, or take `settings`",
                 );
             }
-            if self.controllers > COUNT_MOST as usize {
+            if self.controllers > MAX_INSTANCES as usize {
                 return wrong("controllers", "turns are shared by 65536 at most");
             }
             if !positive(together.oldest_s) || !(1.0..=3600.0).contains(&together.idle_s) {
