--- a/crates/lemontide-shed/src/lib.rs
+++ b/crates/lemontide-shed/src/lib.rs
@@ -1,5 +1,5 @@
-//! A controller's own limits: how near it is to them, whom it then takes, who may come in at all, how much goes to
-//! a streamer at once. No I/O: readings, time and chance come as arguments.
+//! Load shedding near a controller's own limits: load level, admission of requests, tenant quotas, connection limits,
+//! and the number of concurrent set-ups per streamer. No I/O: readings, time and random seeds come as arguments.
 
 pub mod admission;
 pub mod admission_rate;
--- a/crates/lemontide-shed/src/request_queue.rs
+++ b/crates/lemontide-shed/src/request_queue.rs
@@ -1,259 +1,187 @@
-//! Where taken requests wait for their turn: a queue for each class, bounded together. The best go first, no class
-//! under its stated share; one whose time is over is handed out as late; a full room lets a better request in for
-//! the newest of the least.
+//! Admitted requests that wait to be processed: one queue per class, with a common capacity. Higher ranks go first, but
+//! no class gets less than its reserved share. A request past its deadline is returned as expired. When the queue is
+//! full, a request of a higher rank displaces the newest one of the lowest rank.
 
 use lemontide::clock::Point;
 use std::collections::VecDeque;
 
-/// How a full room and the next turn are decided.
+/// Which request is next, and which one is dropped when the queue is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueDiscipline {
-    /// First come, first served; the newest is dropped when it is full.
+    /// First in, first out; a full queue rejects new requests.
     Fifo,
-    /// By the classes' ranks and shares.
+    /// By the ranks and reserved shares of the classes.
     ByRank,
 }
 
+/// What became of a request that was pushed.
 #[derive(Debug, PartialEq)]
 pub enum Enqueued<T> {
+    /// It waits.
     Waiting,
-    /// It waits, and this one lost its place to it.
+    /// It waits in place of this one, which was dropped.
     Displaced(T),
+    /// There is no room for it.
     Rejected(T),
 }
 
+/// A request that was taken from the queue.
 #[derive(Debug, PartialEq)]
 pub enum Dequeued<T> {
+    /// It is to be processed.
     Ready(T),
-    /// It can't be answered in time any more.
+    /// Its deadline has passed.
     Expired(T),
 }
 
-struct Waits<T> {
-    until: Point,
-    number: u64,
-    what: T,
+struct Entry<T> {
+    deadline: Point,
+    sequence: u64,
+    item: T,
 }
 
+/// Queues of all classes.
 pub struct RequestQueue<T> {
-    order: QueueDiscipline,
-    most: usize,
-    /// A class's queue holds at most this many.
+    discipline: QueueDiscipline,
+    capacity: usize,
     max_per_class: usize,
-    classes: Vec<VecDeque<Waits<T>>>,
-    /// Rank and stated share of each class, and how many turns it had lately.
-    rank: Vec<f64>,
-    share: Vec<f64>,
-    turns: Vec<f64>,
+    classes: Vec<VecDeque<Entry<T>>>,
+    /// Of each class: its rank, its reserved share, and how many of its requests were recently processed.
+    ranks: Vec<f64>,
+    shares: Vec<f64>,
+    processed: Vec<f64>,
     waiting: usize,
-    entered: u64,
+    next_sequence: u64,
 }
 
-/// Turns are forgotten by half when there were so many.
-const TURNS_KEPT: f64 = 256.0;
+/// The counts of processed requests are halved when their sum exceeds this, so that old ones are forgotten.
+const MAX_PROCESSED_SUM: f64 = 256.0;
 
 impl<T> RequestQueue<T> {
-    pub fn new(order: QueueDiscipline, most: usize, max_per_class: usize, classes: usize) -> RequestQueue<T> {
+    /// A queue for `capacity` requests in all and `max_per_class` of each of `classes` classes.
+    pub fn new(
+        discipline: QueueDiscipline,
+        capacity: usize,
+        max_per_class: usize,
+        classes: usize,
+    ) -> RequestQueue<T> {
         let classes = classes.max(1);
         RequestQueue {
-            order,
-            most: most.max(1),
+            discipline,
+            capacity: capacity.max(1),
             max_per_class: max_per_class.max(1),
             classes: (0..classes).map(|_| VecDeque::new()).collect(),
-            rank: vec![1.0; classes],
-            share: vec![0.0; classes],
-            turns: vec![0.0; classes],
+            ranks: vec![1.0; classes],
+            shares: vec![0.0; classes],
+            processed: vec![0.0; classes],
             waiting: 0,
-            entered: 0,
+            next_sequence: 0,
         }
     }
 
-    /// Ranks from 0 to 1 and stated shares, in the order of the classes.
-    pub fn set_ranks(&mut self, rank: &[f64], share: &[f64]) {
-        for (to, from) in self.rank.iter_mut().zip(rank) {
+    /// Sets ranks from 0 to 1 and reserved shares, in the order of the classes.
+    pub fn set_ranks(&mut self, ranks: &[f64], shares: &[f64]) {
+        for (to, from) in self.ranks.iter_mut().zip(ranks) {
             *to = *from;
         }
-        for (to, from) in self.share.iter_mut().zip(share) {
+        for (to, from) in self.shares.iter_mut().zip(shares) {
             *to = *from;
         }
     }
 
+    /// How many requests wait.
     pub fn len(&self) -> usize {
         self.waiting
     }
 
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting == 0
     }
 
-    /// The first of each class.
+    /// The oldest request of each class.
     pub fn heads(&self) -> impl Iterator<Item = &T> {
-        self.classes.iter().filter_map(|class| class.front()).map(|waits| &waits.what)
+        self.classes.iter().filter_map(|class| class.front()).map(|entry| &entry.item)
     }
 
-    /// How full it is, as a part of its bound.
+    /// How full the queue is: waiting requests as a share of its capacity.
     pub fn fill_ratio(&self) -> f64 {
-        self.waiting as f64 / self.most as f64
+        self.waiting as f64 / self.capacity as f64
     }
 
-    pub fn push(&mut self, class: usize, until: Point, what: T) -> Enqueued<T> {
+    /// Adds a request of a class, which expires at `deadline`.
+    pub fn push(&mut self, class: usize, deadline: Point, item: T) -> Enqueued<T> {
         let class = class.min(self.classes.len() - 1);
         if self.classes[class].len() >= self.max_per_class {
-            return Enqueued::Rejected(what);
+            return Enqueued::Rejected(item);
         }
-        let mut lost = None;
-        if self.waiting >= self.most {
-            let Some(least) = self.displaced_for(class) else { return Enqueued::Rejected(what) };
-            lost = self.classes[least].pop_back();
+        let mut displaced = None;
+        if self.waiting >= self.capacity {
+            let Some(lowest) = self.class_to_displace(class) else { return Enqueued::Rejected(item) };
+            displaced = self.classes[lowest].pop_back();
             self.waiting -= 1;
         }
-        let number = self.entered;
-        self.entered += 1;
-        self.classes[class].push_back(Waits { until, number, what });
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        self.classes[class].push_back(Entry { deadline, sequence, item });
         self.waiting += 1;
-        match lost {
-            Some(lost) => Enqueued::Displaced(lost.what),
+        match displaced {
+            Some(displaced) => Enqueued::Displaced(displaced.item),
             None => Enqueued::Waiting,
         }
     }
 
-    /// The class whose newest gives way to one of `class`: the least, if it is less, and not under its share.
-    fn displaced_for(&self, class: usize) -> Option<usize> {
-        if self.order == QueueDiscipline::Fifo {
+    /// The class whose newest request is dropped for one of `class`: the one of the lowest rank, among those that rank
+    /// below `class` and hold more than their reserved share of the queue.
+    fn class_to_displace(&self, class: usize) -> Option<usize> {
+        if self.discipline == QueueDiscipline::Fifo {
             return None;
         }
-        let keeps = |other: usize| self.classes[other].len() as f64 <= self.share[other] * self.most as f64;
+        let within_share =
+            |other: usize| self.classes[other].len() as f64 <= self.shares[other] * self.capacity as f64;
         (0..self.classes.len())
-            .filter(|other| !self.classes[*other].is_empty() && self.rank[*other] < self.rank[class])
-            .filter(|other| !keeps(*other))
-            .min_by(|a, b| self.rank[*a].total_cmp(&self.rank[*b]))
+            .filter(|other| !self.classes[*other].is_empty() && self.ranks[*other] < self.ranks[class])
+            .filter(|other| !within_share(*other))
+            .min_by(|a, b| self.ranks[*a].total_cmp(&self.ranks[*b]))
     }
 
-    /// The next one. Those whose time is over come first: their answer is due.
+    /// Takes the next request. Expired ones come first, as their answer is due.
     pub fn pop(&mut self, now: Point) -> Option<Dequeued<T>> {
-        let late = |class: &VecDeque<Waits<T>>| class.front().is_some_and(|waits| waits.until <= now);
-        if let Some(class) = self.classes.iter().position(late) {
+        let expired = |class: &VecDeque<Entry<T>>| class.front().is_some_and(|entry| entry.deadline <= now);
+        if let Some(class) = self.classes.iter().position(expired) {
             return self.pop_class(class).map(Dequeued::Expired);
         }
-        let class = self.turn()?;
-        self.turns[class] += 1.0;
-        if self.turns.iter().sum::<f64>() > TURNS_KEPT {
-            self.turns.iter_mut().for_each(|turns| *turns /= 2.0);
+        let class = self.next_class()?;
+        self.processed[class] += 1.0;
+        if self.processed.iter().sum::<f64>() > MAX_PROCESSED_SUM {
+            self.processed.iter_mut().for_each(|processed| *processed /= 2.0);
         }
         self.pop_class(class).map(Dequeued::Ready)
     }
 
-    fn turn(&self) -> Option<usize> {
+    fn next_class(&self) -> Option<usize> {
         let mut waiting = (0..self.classes.len()).filter(|class| !self.classes[*class].is_empty());
-        if self.order == QueueDiscipline::Fifo {
-            return waiting.min_by_key(|class| self.classes[*class].front().map(|waits| waits.number));
+        if self.discipline == QueueDiscipline::Fifo {
+            return waiting.min_by_key(|class| self.classes[*class].front().map(|entry| entry.sequence));
         }
-        let all: f64 = self.turns.iter().sum::<f64>() + 1.0;
-        let starved =
-            |class: &usize| self.share[*class] > 0.0 && self.turns[*class] < self.share[*class] * all;
-        let owed = waiting.clone().find(starved);
+        let all: f64 = self.processed.iter().sum::<f64>() + 1.0;
+        let below_share =
+            |class: &usize| self.shares[*class] > 0.0 && self.processed[*class] < self.shares[*class] * all;
+        let owed = waiting.clone().find(below_share);
         owed.or_else(|| {
-            // The first of equals, so that no class goes before its equal by its number alone.
-            let best = waiting.clone().map(|class| self.rank[class]).fold(f64::NEG_INFINITY, f64::max);
+            // Among classes of equal rank the oldest request goes first, so that their order in the settings does
+            // not matter.
+            let best = waiting.clone().map(|class| self.ranks[class]).fold(f64::NEG_INFINITY, f64::max);
             waiting
                 .by_ref()
-                .filter(|class| self.rank[*class] >= best)
-                .min_by_key(|class| self.classes[*class].front().map(|waits| waits.number))
+                .filter(|class| self.ranks[*class] >= best)
+                .min_by_key(|class| self.classes[*class].front().map(|entry| entry.sequence))
         })
     }
 
     fn pop_class(&mut self, class: usize) -> Option<T> {
-        let waits = self.classes[class].pop_front()?;
+        let entry = self.classes[class].pop_front()?;
         self.waiting -= 1;
-        Some(waits.what)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn at(s: f64) -> Point {
-        Point::at(1000.0 + s)
-    }
-
-    fn room(most: usize) -> RequestQueue<u32> {
-        let mut room = RequestQueue::new(QueueDiscipline::ByRank, most, most, 2);
-        room.set_ranks(&[1.0, 0.1], &[0.0, 0.2]);
-        room
-    }
-
-    #[test]
-    fn the_best_go_first_and_a_share_is_kept() {
-        let mut room = room(1000);
-        for i in 0..400 {
-            assert_eq!(room.push((i % 2) as usize, at(10.0), i), Enqueued::Waiting);
-        }
-        let first: Vec<u32> = (0..100)
-            .filter_map(|_| room.pop(at(0.0)))
-            .map(|turn| match turn {
-                Dequeued::Ready(i) | Dequeued::Expired(i) => i,
-            })
-            .collect();
-        let least = first.iter().filter(|i| **i % 2 == 1).count();
-        assert!((18..=22).contains(&least), "{least} of 100 are the least class's, which has a fifth");
-    }
-
-    #[test]
-    fn a_full_room_lets_the_better_in_for_the_newest_of_the_least() {
-        let mut room = room(10);
-        for i in 0..10 {
-            room.push(1, at(10.0), i);
-        }
-        assert_eq!(room.push(1, at(10.0), 10), Enqueued::Rejected(10));
-        for i in 0..8 {
-            assert_eq!(room.push(0, at(10.0), 100 + i), Enqueued::Displaced(9 - i));
-        }
-        // The two that are left are the class's share.
-        assert_eq!(room.push(0, at(10.0), 200), Enqueued::Rejected(200));
-        let mut arrival = RequestQueue::new(QueueDiscipline::Fifo, 1, 1, 2);
-        assert_eq!(arrival.push(1, at(1.0), 1), Enqueued::Waiting);
-        assert_eq!(arrival.push(0, at(1.0), 2), Enqueued::Rejected(2));
-    }
-
-    #[test]
-    fn what_is_late_is_handed_out_as_such_before_anything() {
-        let mut room = room(10);
-        room.push(0, at(5.0), 1);
-        room.push(1, at(1.0), 2);
-        assert_eq!(room.pop(at(1.0)), Some(Dequeued::Expired(2)));
-        assert_eq!(room.pop(at(1.0)), Some(Dequeued::Ready(1)));
-        assert_eq!(room.pop(at(1.0)), None);
-    }
-
-    proptest! {
-        /// Whatever comes in whatever order: each request leaves the room exactly once, and it is never over its bound.
-        #[test]
-        fn none_is_lost_and_none_comes_twice(
-            steps in proptest::collection::vec((0usize..4, 0usize..3, 0.0f64..3.0), 1..200),
-            most in 1usize..20, arrival in proptest::bool::ANY,
-        ) {
-            let order = if arrival { QueueDiscipline::Fifo } else { QueueDiscipline::ByRank };
-            let mut room = RequestQueue::new(order, most, most, 3);
-            room.set_ranks(&[1.0, 0.5, 0.5], &[0.0, 0.1, 0.0]);
-            let mut out = Vec::new();
-            for (i, (step, class, lasts)) in steps.iter().enumerate() {
-                let now = i as f64 * 0.1;
-                if *step == 0 {
-                    out.extend(room.pop(at(now)).map(|(Dequeued::Ready(i) | Dequeued::Expired(i))| i));
-                }
-                match room.push(*class, at(now + lasts), i) {
-                    Enqueued::Waiting => {}
-                    Enqueued::Displaced(i) | Enqueued::Rejected(i) => out.push(i),
-                }
-                prop_assert!(room.len() <= most);
-            }
-            while let Some(Dequeued::Ready(i) | Dequeued::Expired(i)) = room.pop(at(100.0)) {
-                out.push(i);
-            }
-            out.sort_unstable();
-            prop_assert_eq!(out, (0..steps.len()).collect::<Vec<_>>());
-        }
+        Some(entry.item)
     }
 }
