--- a/crates/lemontide-shed/src/load_level.rs
+++ b/crates/lemontide-shed/src/load_level.rs
@@ -1,5 +1,6 @@
-//! One level of load from all gauges: 0 is free, 1 is at the limit, above it the controller falls behind. The
-//! tightest gauge tells, and the way down is held so that a steady load does not swing it.
+//! One load level from the utilization of all resources: 0 is free, 1 is at a limit, above 1 the controller falls
+//! behind. The most used resource sets it, and its fall is slowed down so that a steady load does not make it
+//! oscillate.
 
 use crate::utilization::Utilization;
 use lemontide::clock::Point;
@@ -9,20 +10,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Resource {
-    /// From an event's arrival to its turn at the deciding thread, over what is allowed.
+    /// Time from an event's arrival to its processing by the deciding thread, over the allowed time.
     #[serde(rename = "delay")]
     QueueDelay,
-    /// Requests that wait, over their queue.
+    /// Waiting requests over the capacity of their queue.
     #[serde(rename = "queue")]
     QueueLength,
-    /// How late the sockets' loop runs, over what is allowed.
+    /// Delay of the event loop that serves the sockets, over the allowed time.
     #[serde(rename = "loop")]
     EventLoopLag,
-    /// CPU of the process over its allowance.
+    /// CPU time of the process over its allowance.
     Cpu,
     /// Resident memory over its limit.
     Memory,
-    /// Requests and subscriptions in hand over their limit.
+    /// Requests and sessions in progress over their limit.
     #[serde(rename = "held")]
     InFlight,
     /// Open files over their limit.
@@ -30,6 +31,7 @@
     OpenFiles,
 }
 
+/// All resources, in the order of the enum.
 pub const ALL_RESOURCES: [Resource; 7] = [
     Resource::QueueDelay,
     Resource::QueueLength,
@@ -40,102 +42,108 @@
     Resource::OpenFiles,
 ];
 
-/// Shedding begins at this part of a limit, so that what is under way still fits. A queue that fills is late
-/// news, so it counts from earlier on.
-const BEGIN: [f64; 7] = [0.5, 0.25, 0.5, 0.9, 0.85, 0.9, 0.9];
-/// From there to a pressure of 1. A CPU that is used up is little harm while nothing waits: at its allowance it
-/// presses a little, past it as much as anything.
-const SPAN: [f64; 7] = [0.5, 0.75, 0.5, 0.12, 0.15, 0.1, 0.1];
-/// The level falls by at most this much a second: recovery goes in steps, without a burst when it ends.
-const FALL_PER_S: f64 = 0.4;
-/// What a level may differ before it moves at all.
+/// Utilization at which pressure begins, in the order of `ALL_RESOURCES`: low enough that requests in progress still
+/// fit. A queue that fills is a late sign of overload, so it counts from a lower share on.
+const PRESSURE_START: [f64; 7] = [0.5, 0.25, 0.5, 0.9, 0.85, 0.9, 0.9];
+/// From there to a pressure of 1. A busy CPU does little harm while nothing waits, so at its allowance its pressure is
+/// still below 1 and reaches 1 at 2 % more.
+const PRESSURE_RANGE: [f64; 7] = [0.5, 0.75, 0.5, 0.12, 0.15, 0.1, 0.1];
+/// The level falls by at most this much per second, so that load returns in steps and without a burst.
+const MAX_FALL_PER_S: f64 = 0.4;
+/// The level does not fall for a smaller difference.
 const DEAD_BAND: f64 = 0.03;
-/// The level is never higher: from there it falls within a few seconds, however far over a gauge was.
-const MOST: f64 = 2.0;
-/// With no fresh gauge at all the level is taken to be this: careful, not closed.
-const BLIND: f64 = 0.5;
+/// The level is capped here, so that it falls within a few seconds however far a utilization exceeded its limit.
+const MAX_LEVEL: f64 = 2.0;
+/// Minimum of the level while there is no recent reading at all: some shedding, but not of everything.
+const LEVEL_WITHOUT_READINGS: f64 = 0.5;
 
+/// The load level and what it is made from.
 #[derive(Clone, Debug)]
 pub struct LoadLevel {
-    gauges: [Utilization; 7],
+    utilization: [Utilization; 7],
     level: f64,
-    at: Option<Point>,
+    updated_at: Option<Point>,
 }
 
 impl Default for LoadLevel {
     fn default() -> LoadLevel {
-        let mut gauges = [Utilization::default(); 7];
-        // A core that is busy for a tenth of a second is no sign of anything; delays tell of bursts.
-        gauges[Resource::Cpu as usize] = Utilization::slow_rise();
-        LoadLevel { gauges, level: 0.0, at: None }
+        let mut utilization = [Utilization::default(); 7];
+        // A CPU that is busy for a tenth of a second is not overloaded; the delays show a burst.
+        utilization[Resource::Cpu as usize] = Utilization::slow_rise();
+        LoadLevel { utilization, level: 0.0, updated_at: None }
     }
 }
 
 impl LoadLevel {
-    pub fn observe(&mut self, now: Point, what: Resource, part: f64) {
-        self.gauges[what as usize].observe(now, part);
+    /// Takes a reading of a resource as a share of its limit.
+    pub fn observe(&mut self, now: Point, resource: Resource, share: f64) {
+        self.utilization[resource as usize].observe(now, share);
     }
 
-    /// Where each gauge stands: 0 below where shedding begins, 1 at its limit.
-    fn resource_pressure(&self, now: Point, what: Resource) -> Option<f64> {
-        let value = self.gauges[what as usize].value(now)?;
-        Some(((value - BEGIN[what as usize]) / SPAN[what as usize]).max(0.0))
+    /// Pressure of one resource: 0 below where shedding begins, 1 at the end of its range.
+    fn resource_pressure(&self, now: Point, resource: Resource) -> Option<f64> {
+        let value = self.utilization[resource as usize].value(now)?;
+        Some(((value - PRESSURE_START[resource as usize]) / PRESSURE_RANGE[resource as usize]).max(0.0))
     }
 
-    /// The tightest gauge, and its pressure.
+    /// The resource with the highest pressure, and that pressure.
     pub fn bottleneck(&self, now: Point) -> Option<(Resource, f64)> {
-        let all = ALL_RESOURCES.iter().filter_map(|what| Some((*what, self.resource_pressure(now, *what)?)));
+        let all = ALL_RESOURCES
+            .iter()
+            .filter_map(|resource| Some((*resource, self.resource_pressure(now, *resource)?)));
         all.max_by(|a, b| a.1.total_cmp(&b.1))
     }
 
-    /// The tightest pressure as the rate follows it; none without any fresh gauge.
+    /// The highest pressure, which the admission rate follows; `None` without any recent reading.
     pub fn pressure(&self, now: Point) -> Option<f64> {
-        self.bottleneck(now).map(|(_, pressure)| pressure.min(MOST))
+        self.bottleneck(now).map(|(_, pressure)| pressure.min(MAX_LEVEL))
     }
 
-    /// The pressure of the tightest limit that must not be passed at all: memory, files and what is in hand.
+    /// The highest pressure among the limits that must never be exceeded: memory, open files and requests and sessions
+    /// in progress.
     pub fn hard_limit_pressure(&self, now: Point) -> f64 {
         let hard = [Resource::Memory, Resource::OpenFiles, Resource::InFlight];
-        hard.iter().filter_map(|what| self.resource_pressure(now, *what)).fold(0.0, f64::max)
+        hard.iter().filter_map(|resource| self.resource_pressure(now, *resource)).fold(0.0, f64::max)
     }
 
-    /// The level as it is told and as waits follow it. Never falls where a gauge rises.
+    /// The level that is reported and that sets `retry_after`. It never falls because a utilization rose.
     pub fn level(&mut self, now: Point) -> f64 {
-        // A frozen process wakes with old gauges: they say nothing, and the level stays where it was.
+        // After a stall of the process the readings are stale and say nothing; the level then does not fall.
         let wanted = match self.bottleneck(now) {
-            Some((_, pressure)) => pressure.min(MOST),
-            None => self.level.max(BLIND),
+            Some((_, pressure)) => pressure.min(MAX_LEVEL),
+            None => self.level.max(LEVEL_WITHOUT_READINGS),
         };
-        let passed = self.at.map_or(f64::INFINITY, |at| (now - at).seconds().max(0.0));
-        self.at = Some(now);
+        let elapsed_s =
+            self.updated_at.map_or(f64::INFINITY, |updated_at| (now - updated_at).seconds().max(0.0));
+        self.updated_at = Some(now);
         if wanted > self.level {
             self.level = wanted;
         } else if self.level - wanted > DEAD_BAND || wanted <= 0.0 {
-            // Inside the band it stays, unless that would keep it off the ground.
-            self.level = (self.level - FALL_PER_S * passed).max(wanted);
+            // Within the dead band the level stays, unless it would then never reach 0.
+            self.level = (self.level - MAX_FALL_PER_S * elapsed_s).max(wanted);
         }
         self.level
     }
 
-    /// How short memory is: below 0 where shedding for it has not begun, 1 at its limit.
+    /// Pressure of memory alone: below 0 where shedding for it has not begun, 1 at its limit.
     pub fn memory_pressure(&self, now: Point) -> Option<f64> {
         let memory = Resource::Memory as usize;
-        Some((self.gauges[memory].value(now)? - BEGIN[memory]) / SPAN[memory])
+        Some((self.utilization[memory].value(now)? - PRESSURE_START[memory]) / PRESSURE_RANGE[memory])
     }
 
-    /// The process stood still for so long, as a part of the delay that is allowed: what came meanwhile waited.
-    /// The level rises at once, and falls from there in steps as always.
-    pub fn process_stalled(&mut self, now: Point, part: f64) {
-        self.gauges[Resource::QueueDelay as usize].raise_to(now, part.min(MOST));
+    /// The process stalled for this multiple of the allowed delay: what arrived meanwhile has waited. The level rises
+    /// at once and falls in steps as always.
+    pub fn process_stalled(&mut self, now: Point, delays: f64) {
+        self.utilization[Resource::QueueDelay as usize].raise_to(now, delays.min(MAX_LEVEL));
     }
 
-    /// All gauges for operators: their value and age in seconds.
+    /// The utilization of each resource and the age of its reading in seconds.
     pub fn utilization(&self, now: Point) -> Vec<(Resource, Option<f64>, Option<f64>)> {
         ALL_RESOURCES
             .iter()
-            .map(|what| {
-                let gauge = &self.gauges[*what as usize];
-                (*what, gauge.value(now), gauge.age_s(now))
+            .map(|resource| {
+                let utilization = &self.utilization[*resource as usize];
+                (*resource, utilization.value(now), utilization.age_s(now))
             })
             .collect()
     }
@@ -150,60 +158,64 @@
         Point::at(1000.0 + s)
     }
 
-    fn run(load: &mut LoadLevel, from: f64, seconds: f64, part: impl Fn(f64) -> f64) -> Vec<f64> {
+    /// Levels over this time at a queue delay that is read every 50 ms.
+    fn run(load: &mut LoadLevel, from_s: f64, seconds: f64, share: impl Fn(f64) -> f64) -> Vec<f64> {
         let steps = (seconds / 0.05) as usize;
         let level = |i: usize| {
-            let s = from + i as f64 * 0.05;
-            load.observe(at(s), Resource::QueueDelay, part(s));
+            let s = from_s + i as f64 * 0.05;
+            load.observe(at(s), Resource::QueueDelay, share(s));
             load.level(at(s))
         };
         (0..steps).map(level).collect()
     }
 
     #[test]
-    fn a_burst_is_noticed_at_once_and_left_in_steps() {
+    fn a_burst_raises_the_level_at_once_and_it_falls_in_steps() {
         let mut load = LoadLevel::default();
         run(&mut load, 0.0, 2.0, |_| 0.1);
         let burst = run(&mut load, 2.0, 1.0, |_| 3.0);
         assert!(burst[5] > 1.0, "{:?}", &burst[..8]);
         let after = run(&mut load, 3.0, 20.0, |_| 0.1);
-        assert!(after.windows(2).all(|w| w[0] - w[1] <= FALL_PER_S * 0.05 + DEAD_BAND + 1e-9), "steps");
+        assert!(
+            after.windows(2).all(|w| w[0] - w[1] <= MAX_FALL_PER_S * 0.05 + DEAD_BAND + 1e-9),
+            "in steps"
+        );
         assert_eq!(after.last(), Some(&0.0));
     }
 
     #[test]
-    fn missing_gauges_make_careful_and_frozen_ones_keep_the_level() {
+    fn without_readings_the_level_is_moderate_and_with_stale_ones_it_stays() {
         let mut load = LoadLevel::default();
-        assert_eq!(load.level(at(0.0)), BLIND);
+        assert_eq!(load.level(at(0.0)), LEVEL_WITHOUT_READINGS);
         load.observe(at(0.0), Resource::Memory, 0.96);
         let before = load.level(at(0.1));
         assert!(before > 0.7, "{before}");
-        assert_eq!(load.level(at(9.0)), before, "nothing fresh is known");
+        assert_eq!(load.level(at(9.0)), before, "there is no recent reading");
     }
 
     proptest! {
-        /// The level never falls because a gauge rose.
+        /// The level never falls because a utilization rose.
         #[test]
-        fn the_level_is_monotone_in_each_gauge(
-            parts in proptest::collection::vec(0.0f64..3.0, 7), which in 0usize..7, more in 0.0f64..2.0,
+        fn the_level_is_monotone_in_each_utilization(
+            shares in proptest::collection::vec(0.0f64..3.0, 7), which in 0usize..7, more in 0.0f64..2.0,
         ) {
-            let level = |parts: &[f64]| {
+            let level = |shares: &[f64]| {
                 let mut load = LoadLevel::default();
-                for (what, part) in ALL_RESOURCES.iter().zip(parts) {
-                    load.observe(at(0.0), *what, *part);
+                for (resource, share) in ALL_RESOURCES.iter().zip(shares) {
+                    load.observe(at(0.0), *resource, *share);
                 }
                 load.level(at(0.01))
             };
-            let mut higher = parts.clone();
+            let mut higher = shares.clone();
             higher[which] += more;
-            prop_assert!(level(&higher) >= level(&parts));
+            prop_assert!(level(&higher) >= level(&shares));
         }
 
         /// Under a steady load with noise the level stays within a narrow band once it has settled.
         #[test]
-        fn a_steady_load_does_not_swing_it(part in 0.0f64..1.5, seed in 1u64..1000) {
+        fn a_steady_load_does_not_make_the_level_oscillate(share in 0.0f64..1.5, seed in 1u64..1000) {
             let mut load = LoadLevel::default();
-            let noisy = |s: f64| part * (1.0 + 0.05 * ((s * 977.0 + seed as f64).sin()));
+            let noisy = |s: f64| share * (1.0 + 0.05 * ((s * 977.0 + seed as f64).sin()));
             run(&mut load, 0.0, 10.0, noisy);
             let settled = run(&mut load, 10.0, 10.0, noisy);
             let (low, high) = settled.iter().fold((f64::MAX, 0.0f64), |(l, h), v| (l.min(*v), h.max(*v)));
--- a/crates/lemontide-shed/src/shedder.rs
+++ b/crates/lemontide-shed/src/shedder.rs
@@ -1,5 +1,5 @@
-//! The controller's keeper: all readings come here, and each new request is judged here before anything is done for
-//! it. Ties the level, the gate, the tenants' shares and the relief of memory together.
+//! Load shedding of one controller: takes all readings, and decides about each new request before any work is done for
+//! it. Combines the load level, the admission rate, admission by class, tenant quotas and memory shedding.
 
 use crate::admission::{Admission, Class, Decision, Request};
 use crate::admission_rate::AdmissionRate;
@@ -9,19 +9,20 @@
 use lemontide::clock::{Point, Span};
 use serde::{Deserialize, Serialize};
 
-/// A gap in the beat from which the process stood still, and the level that it has then at least.
-const STOOD_STILL: Span = Span::of_millis(400);
+/// A gap between two ticks from which the process counts as stalled.
+const STALL: Span = Span::of_millis(400);
 
-/// What the operators state.
+/// What operators configure.
 #[derive(Clone, Debug)]
 pub struct LoadShedderSettings {
     pub classes: Vec<Class>,
-    /// Names and requests a second at this controller.
+    /// Tenants by name, each with its quota at this controller in requests per second.
     pub tenant_quotas: Vec<(String, f64)>,
-    /// The longest wait that viewers follow, and the longest hold.
+    /// The longest wait that viewers follow.
     pub max_retry_after: Span,
+    /// The longest time for which a request is held.
     pub max_hold: Span,
-    /// How long an event may wait for its turn.
+    /// How long an event may wait to be processed.
     pub max_delay: Span,
 }
 
@@ -31,14 +32,15 @@
     pub class: usize,
     pub tenant: &'a str,
     pub is_retry: bool,
+    /// Time left until the viewer's deadline.
     pub time_left: Span,
-    /// It was held before and is asked about again.
+    /// It was held before and is decided again.
     pub was_held: bool,
-    /// Nobody can hold it: it is judged at its head, before it is read.
+    /// It can't be held, as it is decided by its header, before it is read.
     pub decide_now: bool,
 }
 
-/// What became of each class's requests here.
+/// Counts of one class's requests by decision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassCounts {
     #[serde(rename = "taken")]
@@ -48,237 +50,164 @@
     pub rejected: u64,
 }
 
-/// All of it in figures.
+/// The state of load shedding, for operators.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct LoadSnapshot {
+    /// Load level: 0 is free, 1 is at a limit.
     pub level: f64,
-    /// Requests a second that may be taken; none where there is no limit.
+    /// Requests per second that may be admitted; `None` where there is no limit.
     #[serde(rename = "limit")]
     pub limit_per_s: Option<f64>,
-    /// The tightest gauge.
+    /// The resource with the highest pressure, if any is under pressure.
     #[serde(rename = "tightest")]
     pub bottleneck: Option<Resource>,
     #[serde(rename = "stage")]
     pub memory_stage: MemoryStage,
+    /// Requests that are held now.
     #[serde(rename = "holding")]
     pub held_requests: usize,
-    /// Each gauge as a part of its limit, and the age of its reading in seconds.
+    /// The utilization of each resource as a share of its limit, and the age of its reading in seconds.
     #[serde(rename = "gauges")]
     pub utilization: Vec<(Resource, Option<f64>, Option<f64>)>,
     #[serde(rename = "lanes")]
     pub classes: Vec<ClassCounts>,
 }
 
+/// Load shedding of one controller.
 pub struct LoadShedder {
-    load: LoadLevel,
-    rate: AdmissionRate,
-    gate: Admission,
-    tenants: TenantQuotas,
-    relief: MemoryShedder,
-    delay: Span,
-    beat: Option<Point>,
-    stage: MemoryStage,
+    load_level: LoadLevel,
+    admission_rate: AdmissionRate,
+    admission: Admission,
+    tenant_quotas: TenantQuotas,
+    memory: MemoryShedder,
+    max_delay: Span,
+    last_tick: Option<Point>,
+    memory_stage: MemoryStage,
     counts: Vec<ClassCounts>,
 }
 
 impl LoadShedder {
-    pub fn new(now: Point, terms: LoadShedderSettings, seed: u64) -> LoadShedder {
+    pub fn new(now: Point, settings: LoadShedderSettings, seed: u64) -> LoadShedder {
         LoadShedder {
-            load: LoadLevel::default(),
-            rate: AdmissionRate::new(now),
-            counts: vec![ClassCounts::default(); terms.classes.len()],
-            gate: Admission::new(now, terms.classes, terms.max_retry_after, terms.max_hold, seed),
-            tenants: TenantQuotas::new(now, terms.tenant_quotas),
-            relief: MemoryShedder::default(),
-            delay: terms.max_delay,
-            beat: None,
-            stage: MemoryStage::Free,
+            load_level: LoadLevel::default(),
+            admission_rate: AdmissionRate::new(now),
+            counts: vec![ClassCounts::default(); settings.classes.len()],
+            admission: Admission::new(
+                now,
+                settings.classes,
+                settings.max_retry_after,
+                settings.max_hold,
+                seed,
+            ),
+            tenant_quotas: TenantQuotas::new(now, settings.tenant_quotas),
+            memory: MemoryShedder::default(),
+            max_delay: settings.max_delay,
+            last_tick: None,
+            memory_stage: MemoryStage::Free,
         }
     }
 
-    /// A reading, as a part of its limit.
-    pub fn observe(&mut self, now: Point, what: Resource, part: f64) {
-        self.load.observe(now, what, part);
-        if what == Resource::Cpu {
-            self.rate.observe_cpu(part);
+    /// Takes a reading of a resource as a share of its limit.
+    pub fn observe(&mut self, now: Point, resource: Resource, share: f64) {
+        self.load_level.observe(now, resource, share);
+        if resource == Resource::Cpu {
+            self.admission_rate.observe_cpu(share);
         }
     }
 
-    /// Called regularly, every tenth of a second or so; what memory asks for.
+    /// Updates the load level, the admission rate and the memory stage, which it returns. To be called about every
+    /// 100 ms.
     pub fn tick(&mut self, now: Point) -> MemoryStage {
-        if let Some(before) = self.beat.replace(now) {
+        if let Some(before) = self.last_tick.replace(now) {
             let gap = now - before;
-            if gap >= STOOD_STILL {
-                self.load.process_stalled(now, gap.seconds() / self.delay.seconds().max(1e-3));
+            if gap >= STALL {
+                self.load_level.process_stalled(now, gap.seconds() / self.max_delay.seconds().max(1e-3));
             }
         }
-        self.load.level(now);
-        self.rate.tick(now, self.load.pressure(now), self.load.hard_limit_pressure(now));
-        self.stage = self.relief.update(now, self.load.memory_pressure(now));
-        self.stage
-    }
-
-    /// What to do with a request. Each request is judged once, or once more after a hold.
-    pub fn decide(&mut self, now: Point, asked: IncomingRequest) -> Decision {
-        let level = self.load.level(now);
-        if asked.was_held {
-            self.gate.hold_ended();
+        self.load_level.level(now);
+        self.admission_rate.tick(
+            now,
+            self.load_level.pressure(now),
+            self.load_level.hard_limit_pressure(now),
+        );
+        self.memory_stage = self.memory.update(now, self.load_level.memory_pressure(now));
+        self.memory_stage
+    }
+
+    /// Decides about a request. Each request is decided once, and once more after a hold.
+    pub fn decide(&mut self, now: Point, incoming: IncomingRequest) -> Decision {
+        let level = self.load_level.level(now);
+        if incoming.was_held {
+            self.admission.hold_ended();
         }
-        // A request that was held was counted already.
-        let past = !asked.was_held && self.tenants.exceeds_quota(now, asked.tenant);
+        // A request that was held counted against its tenant's quota already.
+        let tenant_over_quota = !incoming.was_held && self.tenant_quotas.exceeds_quota(now, incoming.tenant);
         let request = Request {
-            class: asked.class,
-            is_retry: asked.is_retry,
-            tenant_over_quota: past,
-            time_left: asked.time_left,
-            decide_now: asked.was_held || asked.decide_now,
+            class: incoming.class,
+            is_retry: incoming.is_retry,
+            tenant_over_quota,
+            time_left: incoming.time_left,
+            decide_now: incoming.was_held || incoming.decide_now,
         };
-        if !asked.was_held {
-            self.rate.request_arrived();
+        if !incoming.was_held {
+            self.admission_rate.request_arrived();
         }
-        let word = self.gate.decide(now, level, self.rate.limit_per_s(), request);
-        if let Some(counts) = self.counts.get_mut(asked.class) {
-            match word {
+        let decision = self.admission.decide(now, level, self.admission_rate.limit_per_s(), request);
+        if let Some(counts) = self.counts.get_mut(incoming.class) {
+            match decision {
                 Decision::Admit => counts.admitted += 1,
                 Decision::Hold { .. } => counts.held += 1,
                 Decision::Reject { .. } => counts.rejected += 1,
             }
         }
-        word
+        decision
     }
 
-    /// A request that was taken got its turn at the deciding thread.
+    /// The deciding thread has begun to process an admitted request.
     pub fn request_started(&mut self) {
-        self.rate.request_started();
+        self.admission_rate.request_started();
     }
 
-    /// The player of a held request went away.
+    /// The player of a held request has disconnected.
     pub fn held_request_cancelled(&mut self) {
-        self.gate.hold_ended();
+        self.admission.hold_ended();
     }
 
-    /// A wait for who is turned away for another reason than its own rank.
+    /// When a player may retry whose request is rejected for another reason than its own rank.
     pub fn retry_after(&mut self, now: Point) -> Span {
-        let level = self.load.level(now);
-        self.gate.retry_after(level)
+        let level = self.load_level.level(now);
+        self.admission.retry_after(level)
     }
 
-    /// What an answered request cost, in shots.
-    pub fn record_cost(&mut self, class: usize, shots: f64) {
-        self.gate.record_cost(class, shots);
+    /// Records what an answered request cost, in attempts.
+    pub fn record_cost(&mut self, class: usize, attempts: f64) {
+        self.admission.record_cost(class, attempts);
     }
 
+    /// Ranks of the classes from 0 to 1 by gain per cost, and their reserved shares.
     pub fn ranks_and_shares(&self) -> (&[f64], Vec<f64>) {
-        self.gate.ranks_and_shares()
+        self.admission.ranks_and_shares()
     }
 
+    /// Requests of all classes that were rejected.
     pub fn rejected_total(&self) -> u64 {
         self.counts.iter().map(|counts| counts.rejected).sum()
     }
 
+    /// The state of load shedding, for operators.
     pub fn snapshot(&mut self, now: Point) -> LoadSnapshot {
         LoadSnapshot {
-            level: self.load.level(now),
-            limit_per_s: self.rate.limit_per_s(),
-            bottleneck: self.load.bottleneck(now).filter(|(_, part)| *part > 0.0).map(|(what, _)| what),
-            memory_stage: self.stage,
-            held_requests: self.gate.held_count(),
-            utilization: self.load.utilization(now),
+            level: self.load_level.level(now),
+            limit_per_s: self.admission_rate.limit_per_s(),
+            bottleneck: self
+                .load_level
+                .bottleneck(now)
+                .filter(|(_, pressure)| *pressure > 0.0)
+                .map(|(resource, _)| resource),
+            memory_stage: self.memory_stage,
+            held_requests: self.admission.held_count(),
+            utilization: self.load_level.utilization(now),
             classes: self.counts.clone(),
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn at(s: f64) -> Point {
-        Point::at(1000.0 + s)
-    }
-
-    fn keeper() -> LoadShedder {
-        let class = |gain| Class { gain, mean_cost: 1.0, reserved_share: 0.0 };
-        let terms = LoadShedderSettings {
-            classes: vec![class(4.0), class(1.0)],
-            tenant_quotas: vec![("loud".into(), 10.0), ("quiet".into(), 10.0)],
-            max_retry_after: Span::of(2.0),
-            max_hold: Span::of(0.2),
-            max_delay: Span::of_millis(50),
-        };
-        LoadShedder::new(at(0.0), terms, 5)
-    }
-
-    fn asked(class: usize, tenant: &str) -> IncomingRequest<'_> {
-        IncomingRequest {
-            class,
-            tenant,
-            is_retry: false,
-            time_left: Span::of(3.0),
-            was_held: false,
-            decide_now: true,
-        }
-    }
-
-    /// Requests at a steady rate at a controller that can do so many a second; a beat every tenth of a second. Which
-    /// were taken.
-    fn run(
-        keeper: &mut LoadShedder,
-        from: f64,
-        per_s: [f64; 2],
-        can: f64,
-        tenant: fn(usize) -> &'static str,
-    ) -> Vec<bool> {
-        let [per_s, seconds] = per_s;
-        let (mut words, mut beats, mut taken) = (Vec::new(), 0.0, 0.0);
-        for i in 0..(seconds * per_s) as usize {
-            let now = from + i as f64 / per_s;
-            if now >= from + beats {
-                beats += 0.1;
-                keeper.observe(at(now), Resource::Cpu, (taken * 10.0 / can).min(1.0));
-                keeper.observe(at(now), Resource::QueueDelay, if taken * 10.0 > can { 1.0 } else { 0.1 });
-                keeper.tick(at(now));
-                taken = 0.0;
-            }
-            let take = keeper.decide(at(now), asked(0, tenant(i))) == Decision::Admit;
-            if take {
-                keeper.request_started();
-                taken += 1.0;
-            }
-            words.push(take);
-        }
-        words
-    }
-
-    #[test]
-    fn a_stall_is_noticed_by_its_own_gap_and_left_in_steps() {
-        let mut keeper = keeper();
-        assert!(run(&mut keeper, 0.0, [100.0, 3.0], 200.0, |_| "").iter().all(|take| *take));
-        // Stopped for two seconds: the first beat after it knows, before a request that waited was looked at.
-        keeper.tick(at(5.0));
-        assert!(keeper.snapshot(at(5.0)).level > 1.0);
-        let limit = keeper.snapshot(at(5.0)).limit_per_s.expect("there is one");
-        assert!((50.0..90.0).contains(&limit), "{limit} of a hundred");
-        let after = run(&mut keeper, 5.01, [100.0, 8.0], 200.0, |_| "");
-        let taken = |from: usize, to: usize| after[from..to].iter().filter(|take| **take).count();
-        assert!(taken(0, 100) <= 95, "no burst: {}", taken(0, 100));
-        assert_eq!(taken(600, 800), 200, "and all again a few seconds later");
-        let limit = keeper.snapshot(at(13.0)).limit_per_s;
-        assert!(limit.is_none_or(|limit| limit > 200.0), "only what the allowance can do: {limit:?}");
-    }
-
-    #[test]
-    fn a_tenant_alone_in_excess_does_not_cost_the_others_theirs() {
-        let mut keeper = keeper();
-        let tenant = |i: usize| if i % 40 == 1 { "quiet" } else { "loud" };
-        run(&mut keeper, 0.0, [100.0, 5.0], 200.0, |_| "");
-        // Forty times as many of one as of the other, and twice as many as can be done.
-        let words = run(&mut keeper, 5.0, [400.0, 20.0], 200.0, tenant);
-        let part = |quiet: bool| {
-            let of = words.iter().enumerate().filter(|(i, _)| (i % 40 == 1) == quiet);
-            let (all, taken) = of.fold((0, 0), |(all, taken), (_, take)| (all + 1, taken + u32::from(*take)));
-            f64::from(taken) / f64::from(all)
-        };
-        assert!(part(true) > 0.95 && part(false) < 0.55, "{} and {}", part(true), part(false));
-    }
-}
