--- a/crates/lemontide-fleet/src/lib.rs
+++ b/crates/lemontide-fleet/src/lib.rs
@@ -1,6 +1,6 @@
-//! Who is in the fleet, and what of the common work is whose: what hundreds of controllers would all do at once is
-//! shared out by place, though their views of the fleet differ. No sockets, no files, no clock: time comes from
-//! outside. What is promised under which views stands in `docs/design/fleet.md`.
+//! Membership views of a fleet of controllers, and how the controllers divide work that all of them would otherwise do at
+//! once, although their views differ. No sockets, no files, no clock: time comes as an argument. The guarantees under
+//! differing views are stated in `docs/design/fleet.md`.
 
 pub mod rendezvous;
 pub mod subset;
--- a/crates/lemontide-fleet/src/rendezvous.rs
+++ b/crates/lemontide-fleet/src/rendezvous.rs
@@ -1,74 +1,77 @@
-//! Which holders of a title an instance uses first: a weighted draw for each pair of instance and streamer.
+//! Which holders of a title an instance uses first, by weighted rendezvous hashing of instance and streamer.
 //!
-//! The draws of one streamer over the numbers of a fleet are a van der Corput sequence, so that the first n numbers are
-//! spread evenly and nobody's draw moves when another comes or goes. Each streamer takes the numbers in an order of its
-//! own (shuffled as in B. Burley, "Practical hash-based Owen scrambling", 2020), so that what falls to one says nothing
-//! of what falls to its neighbour. Weights count as in weighted rendezvous hashing.
+//! The hashes of one streamer over the numbers of a fleet are a van der Corput sequence, so that the first n numbers are
+//! spread evenly, and no hash changes when another instance comes or goes. Each streamer takes the numbers in an order
+//! of its own (shuffled as in B. Burley, "Practical hash-based Owen scrambling", 2020), so that the instances that fall
+//! to one streamer are independent of those that fall to its neighbour.
 
-/// Digits of a draw: more than the largest fleet has numbers.
-const DIGITS: u32 = 24;
+/// Bits of a hash: more than the numbers of the largest fleet have.
+const HASH_BITS: u32 = 24;
 
 /// A streamer that holds a title.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Holder {
-    /// Its number on the ring, the same for every instance.
+    /// What the streamer is hashed by; the same for every instance.
     pub streamer_key: u32,
-    /// Its size; one that is no number above 0 counts as the smallest.
+    /// Its size; a weight that is not finite or not above 0 counts as the smallest.
     pub weight: f64,
-    /// In the own zone, or where crossing costs nothing.
+    /// In the own zone, or where traffic between zones costs nothing.
     pub is_local: bool,
-    /// Known to be full, doubted, draining or gone: it makes room for the next.
+    /// Known to be full, suspected, draining or gone: others are used before it.
     pub unavailable: bool,
 }
 
-/// An instance's place among all.
+/// The hashes of one instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RendezvousHash {
     number: u32,
 }
 
 impl RendezvousHash {
+    /// The hashes of the instance with this number.
     pub fn new(number: u32) -> RendezvousHash {
         RendezvousHash { number }
     }
 
-    /// The draw of this instance at a streamer, from 0 up to 1.
-    pub fn unit_hash(&self, streamer: u32) -> f64 {
-        let seed = mix(u64::from(streamer));
-        let shuffled = (0..DIGITS).rev().fold(0, |drawn: u32, place| {
-            // A digit is flipped by chance, the same for all that share the digits before it.
-            let before = u64::from(self.number) >> (place + 1);
-            let flip = mix(seed ^ u64::from(place) << 32 ^ before) & 1;
-            drawn << 1 | (self.number >> place & 1) ^ flip as u32
+    /// The hash of this instance and a streamer, strictly between 0 and 1.
+    pub fn unit_hash(&self, streamer_key: u32) -> f64 {
+        let seed = mix(u64::from(streamer_key));
+        let shuffled = (0..HASH_BITS).rev().fold(0, |scrambled: u32, bit| {
+            // A bit is flipped pseudo-randomly, the same for all numbers that share the bits above it.
+            let bits_above = u64::from(self.number) >> (bit + 1);
+            let flip = mix(seed ^ u64::from(bit) << 32 ^ bits_above) & 1;
+            scrambled << 1 | (self.number >> bit & 1) ^ flip as u32
         });
-        (f64::from(shuffled.reverse_bits() >> (32 - DIGITS)) + 0.5) / f64::from(1u32 << DIGITS)
+        (f64::from(shuffled.reverse_bits() >> (32 - HASH_BITS)) + 0.5) / f64::from(1u32 << HASH_BITS)
     }
 
-    /// The least goes first, and each goes first as often as it weighs.
-    fn distance(&self, holder: &Holder) -> f64 {
+    /// Score of weighted rendezvous hashing: the lowest goes first, and each holder is first in proportion to its weight.
+    fn score(&self, holder: &Holder) -> f64 {
         let weight = if holder.weight.is_finite() { holder.weight.max(1e-6) } else { 1e-6 };
         -self.unit_hash(holder.streamer_key).ln() / weight
     }
 
-    /// The holders that this instance uses first, as indices, best first: `most` of them that are not spent, near ones
-    /// before others, but one of another zone among them where there is one and `most` is above 1. It never names
-    /// none while a holder is left: spent ones come last.
-    pub fn select(&self, holders: &[Holder], most: usize) -> Vec<usize> {
+    /// Indices of the holders that this instance uses first, best first, at most `max` and at least one. Available
+    /// holders come before unavailable ones, and local ones before others. With a `max` above 1 an available holder of
+    /// another zone is among them if there is one. While there is a holder at all, the result is not empty.
+    pub fn select(&self, holders: &[Holder], max: usize) -> Vec<usize> {
         let mut order: Vec<usize> = (0..holders.len()).collect();
-        let rank =
-            |at: &usize| (holders[*at].unavailable, !holders[*at].is_local, self.distance(&holders[*at]));
+        let rank = |index: &usize| {
+            let holder = &holders[*index];
+            (holder.unavailable, !holder.is_local, self.score(holder))
+        };
         order.sort_by(|a, b| {
             let (a, b) = (rank(a), rank(b));
             (a.0, a.1).cmp(&(b.0, b.1)).then(a.2.total_cmp(&b.2))
         });
-        let most = most.max(1);
-        let far = order.iter().position(|at| !holders[*at].is_local && !holders[*at].unavailable);
-        if let Some(far) = far.filter(|far| most > 1 && *far >= most) {
-            // A zone that is lost takes all near ones with it.
-            let at = order.remove(far);
-            order.insert(most - 1, at);
+        let max = max.max(1);
+        let remote = order.iter().position(|index| !holders[*index].is_local && !holders[*index].unavailable);
+        if let Some(remote) = remote.filter(|remote| max > 1 && *remote >= max) {
+            // The loss of the own zone takes all local holders with it.
+            let index = order.remove(remote);
+            order.insert(max - 1, index);
         }
-        order.truncate(most);
+        order.truncate(max);
         order
     }
 }
--- a/crates/lemontide-fleet/src/view.rs
+++ b/crates/lemontide-fleet/src/view.rs
@@ -1,19 +1,19 @@
-//! Who is in the fleet, how sure that is and how old: one type for settings alone, for what gossip tells, and for what
-//! a test writes down.
+//! One instance's view of the fleet: who is present, how certain that is and how old. The same type serves for settings
+//! alone, for membership from gossip, and for tests.
 
 use lemontide::clock::{Point, Span};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Instances in a fleet at most: a larger count is a mistake in the settings.
+/// Largest number of instances in a fleet: a larger one is a mistake in the settings.
 pub const MAX_INSTANCES: u32 = 65_536;
 
-/// A setting from which no view can be made: what it is, and the remedy.
+/// A setting from which no view can be made. Its message says what is wrong and how to correct it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetSettingsError {
     /// No instance at all, or more than `MAX_INSTANCES`.
     InstanceCount(u32),
-    /// The own number is not one of `0..count`.
+    /// The own number is not in `0..count`.
     InstanceNumber { number: u32, count: u32 },
 }
 
@@ -23,8 +23,12 @@
             FleetSettingsError::InstanceCount(count) => {
                 write!(f, "a fleet of {count} instances; give a number from 1 to {MAX_INSTANCES}")
             }
-            FleetSettingsError::InstanceNumber { number: me, count } => {
-                write!(f, "instance number {me} in a fleet of {count}; numbers run from 0 to {}", count - 1)
+            FleetSettingsError::InstanceNumber { number, count } => {
+                write!(
+                    f,
+                    "instance number {number} in a fleet of {count}; numbers run from 0 to {}",
+                    count - 1
+                )
             }
         }
     }
@@ -34,164 +38,199 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    Here,
-    Gone { since: Point },
+    Present,
+    Absent { since: Point },
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Member {
     state: State,
-    heard: Point,
+    /// Time of the latest report about it.
+    reported_at: Point,
 }
 
-/// One instance's view of the fleet. Numbers run from 0 to a count that the settings give, so that a number means the
-/// same turn and the same place to everybody, whoever is seen. News may be late, doubled, out of order or wrong.
+/// One instance's view of the fleet.
+///
+/// Instances are numbered from 0 to a count that the settings give, so that a number has the same turns (the time slots
+/// in which it may send to a fresh streamer) and the same hash in every view, whichever instances are present. Reports
+/// may be late, duplicated, out of order or wrong.
 #[derive(Clone, Debug)]
 pub struct FleetView {
-    me: u32,
-    count: u32,
-    born: Point,
-    /// None where nothing is ever heard: then everybody counts as here.
+    own_number: u32,
+    instance_count: u32,
+    reliable_since: Point,
+    /// The other instances; `None` without membership reports, where all count as present.
     others: Option<BTreeMap<u32, Member>>,
-    /// Another instance was heard under the own number.
-    doubled: bool,
-    /// When this view was last brought up to date.
-    fresh: Point,
+    /// Another instance was reported under the own number.
+    has_duplicate: bool,
+    refreshed_at: Point,
 }
 
-/// Numbers looked at to find who is missing before this one: a longer gap is not closed by one instance alone.
-const GAP_MOST: u32 = 64;
+/// How many numbers before the own one are checked for absence: one instance alone does not cover a longer gap.
+const MAX_GAP: u32 = 64;
 
 impl FleetView {
-    /// Settings alone: nothing is ever heard, and everybody is taken to be there.
-    pub fn from_settings(now: Point, me: u32, count: u32) -> Result<FleetView, FleetSettingsError> {
-        if count == 0 || count > MAX_INSTANCES {
-            return Err(FleetSettingsError::InstanceCount(count));
+    /// A view from settings alone: without reports, and with every instance present.
+    pub fn from_settings(
+        now: Point,
+        own_number: u32,
+        instance_count: u32,
+    ) -> Result<FleetView, FleetSettingsError> {
+        if instance_count == 0 || instance_count > MAX_INSTANCES {
+            return Err(FleetSettingsError::InstanceCount(instance_count));
         }
-        if me >= count {
-            return Err(FleetSettingsError::InstanceNumber { number: me, count });
+        if own_number >= instance_count {
+            return Err(FleetSettingsError::InstanceNumber { number: own_number, count: instance_count });
         }
-        Ok(FleetView { me, count, born: now, others: None, doubled: false, fresh: now })
-    }
-
-    /// The same fleet, of which this instance hears: nobody but itself is there until it is told so.
-    pub fn from_membership(now: Point, me: u32, count: u32) -> Result<FleetView, FleetSettingsError> {
-        Ok(FleetView { others: Some(BTreeMap::new()), ..FleetView::from_settings(now, me, count)? })
-    }
-
+        Ok(FleetView {
+            own_number,
+            instance_count,
+            reliable_since: now,
+            others: None,
+            has_duplicate: false,
+            refreshed_at: now,
+        })
+    }
+
+    /// A view that follows membership reports: only this instance is present until others are reported.
+    pub fn from_membership(
+        now: Point,
+        own_number: u32,
+        instance_count: u32,
+    ) -> Result<FleetView, FleetSettingsError> {
+        Ok(FleetView {
+            others: Some(BTreeMap::new()),
+            ..FleetView::from_settings(now, own_number, instance_count)?
+        })
+    }
+
+    /// The number of this instance.
     pub fn own_number(&self) -> u32 {
-        self.me
+        self.own_number
     }
 
+    /// How many instances the settings count.
     pub fn instance_count(&self) -> u32 {
-        self.count
+        self.instance_count
     }
 
-    /// Since when this instance runs, sees a majority and did not stand still.
+    /// Since when this instance has been running, seen a majority and not stalled.
     pub fn reliable_since(&self) -> Point {
-        self.born
+        self.reliable_since
     }
 
     /// Whether another instance runs under the own number.
     pub fn has_duplicate(&self) -> bool {
-        self.doubled
+        self.has_duplicate
     }
 
-    /// An instance was heard at that moment. What is older than the last word of it changes nothing; a number past the
-    /// count is nobody's.
+    /// An instance was reported present as of that time. A report older than the latest one about the same instance
+    /// changes nothing, nor does one about a number outside of the fleet.
     pub fn mark_present(&mut self, at: Point, number: u32) {
-        if number == self.me {
-            self.doubled = true;
+        if number == self.own_number {
+            self.has_duplicate = true;
         }
-        self.tell(at, number, State::Here);
+        self.update(at, number, State::Present);
     }
 
-    /// An instance was lost at that moment, or left.
+    /// An instance was reported lost or stopped as of that time.
     pub fn mark_absent(&mut self, at: Point, number: u32) {
-        if number == self.me {
-            self.doubled = false;
+        if number == self.own_number {
+            self.has_duplicate = false;
         }
-        self.tell(at, number, State::Gone { since: at });
+        self.update(at, number, State::Absent { since: at });
     }
 
-    fn tell(&mut self, at: Point, number: u32, state: State) {
+    fn update(&mut self, at: Point, number: u32, state: State) {
         let Some(others) = &mut self.others else { return };
-        if number >= self.count || number == self.me {
+        if number >= self.instance_count || number == self.own_number {
             return;
         }
         match others.get_mut(&number) {
-            Some(known) if at < known.heard => {}
+            Some(known) if at < known.reported_at => {}
             Some(known) => {
-                // Gone all along is gone since the first word of it.
-                let same = matches!((known.state, state), (State::Gone { .. }, State::Gone { .. }));
-                known.state = if same { known.state } else { state };
-                known.heard = at;
+                // A repeated report of absence keeps the time of the first one.
+                let still_absent =
+                    matches!((known.state, state), (State::Absent { .. }, State::Absent { .. }));
+                known.state = if still_absent { known.state } else { state };
+                known.reported_at = at;
             }
             None => {
-                others.insert(number, Member { state, heard: at });
+                others.insert(number, Member { state, reported_at: at });
             }
         }
     }
 
-    /// All that was heard up to this moment is in: the view is as old as its sources and no older. Who stood still for
-    /// longer than `oldest` itself missed what others saw meanwhile; who sees no majority is cut off, and when the cut
-    /// heals the others' views of it are as old as the cut. Both are as young as one that just started.
-    pub fn refresh(&mut self, now: Point, oldest: Span) {
-        if now - self.fresh > oldest || !self.has_majority() {
-            self.born = now;
+    /// All reports up to now were applied: the view is as old as its sources and no older.
+    ///
+    /// An instance that stalled for longer than `max_view_age` missed what others saw meanwhile. One without a majority
+    /// is partitioned, and when the partition heals, the others' views of it are as old as the partition. In both cases
+    /// the view counts as new, as after a start.
+    pub fn refresh(&mut self, now: Point, max_view_age: Span) {
+        if now - self.refreshed_at > max_view_age || !self.has_majority() {
+            self.reliable_since = now;
         }
-        self.fresh = now;
-    }
-
-    /// Numbers whose turns are this instance's to take, as nobody holds them: those before its own, as far back as
-    /// the next one that is there. None for one that is young or whose view is not brought up to date, as others'
-    /// views may differ, for one that sees no majority, as the others may be well, and for one of two under one number.
-    pub fn numbers_to_cover(&self, now: Point, oldest: Span) -> Vec<u32> {
-        // Missing here for two oldest views: in everybody's for one, and whoever came back is seen by now.
-        let wait = oldest * 2.0;
-        let able =
-            now - self.born >= wait && now - self.fresh <= oldest && self.has_majority() && !self.doubled;
-        let most = if able { self.count.min(GAP_MOST) } else { 0 };
-        let before = (1..most).map(|back| (self.me + self.count - back) % self.count);
+        self.refreshed_at = now;
+    }
+
+    /// Numbers of absent instances whose turns this instance takes: those directly before its own, back to the next
+    /// instance that is present.
+    ///
+    /// Empty while this instance is new or its view was not refreshed, as other views may differ; without a majority, as
+    /// the other instances may be running; and while another instance runs under the own number.
+    pub fn numbers_to_cover(&self, now: Point, max_view_age: Span) -> Vec<u32> {
+        // An instance that is absent here for two maximum ages of a view is absent in every view for one of them, and if
+        // it had come back, that would be known here by now.
+        let wait = max_view_age * 2.0;
+        let allowed = now - self.reliable_since >= wait
+            && now - self.refreshed_at <= max_view_age
+            && self.has_majority()
+            && !self.has_duplicate;
+        let end = if allowed { self.instance_count.min(MAX_GAP) } else { 0 };
+        let before =
+            (1..end).map(|back| (self.own_number + self.instance_count - back) % self.instance_count);
         before.take_while(|number| self.absent_for(now, *number, wait)).collect()
     }
 
-    /// Whether an instance is there, as far as this view tells; one never heard of is not.
+    /// Whether an instance is present in this view; one that was never reported is not.
     pub fn is_present(&self, number: u32) -> bool {
-        let Some(others) = &self.others else { return number < self.count };
-        let here = |member: &Member| member.state == State::Here;
-        number == self.me || others.get(&number).is_some_and(here)
+        let Some(others) = &self.others else { return number < self.instance_count };
+        let present = |member: &Member| member.state == State::Present;
+        number == self.own_number || others.get(&number).is_some_and(present)
     }
 
-    /// Whether an instance was not there for so long, as far as this view tells.
+    /// Whether an instance has been absent in this view for at least this time.
     pub fn absent_for(&self, now: Point, number: u32, span: Span) -> bool {
         let Some(others) = &self.others else { return false };
         match others.get(&number).map(|member| member.state) {
-            _ if number == self.me => false,
-            Some(State::Here) => false,
-            Some(State::Gone { since }) => now - since >= span,
-            // Never heard of since the own start.
-            None => now - self.born >= span,
+            _ if number == self.own_number => false,
+            Some(State::Present) => false,
+            Some(State::Absent { since }) => now - since >= span,
+            // Never reported since this view became reliable.
+            None => now - self.reliable_since >= span,
         }
     }
 
-    /// How many are there, this instance included.
+    /// How many instances are present, this one included.
     pub fn present_count(&self) -> u32 {
         match &self.others {
-            None => self.count,
-            Some(others) => 1 + others.values().filter(|member| member.state == State::Here).count() as u32,
+            None => self.instance_count,
+            Some(others) => {
+                1 + others.values().filter(|member| member.state == State::Present).count() as u32
+            }
         }
     }
 
-    /// The part of the fleet that was heard of within that span, from 0 to 1; settings alone are sure of nobody else.
+    /// The share of the fleet about which there was a report within this time, this instance included; from settings
+    /// alone only this instance is certain.
     pub fn confirmed_ratio(&self, now: Point, within: Span) -> f64 {
-        let fresh = |member: &&Member| now - member.heard <= within;
-        let heard = self.others.iter().flatten().filter(|(_, member)| fresh(member)).count();
-        (1 + heard) as f64 / f64::from(self.count)
+        let recent = |member: &&Member| now - member.reported_at <= within;
+        let reported = self.others.iter().flatten().filter(|(_, member)| recent(member)).count();
+        (1 + reported) as f64 / f64::from(self.instance_count)
     }
 
-    /// Whether more than half of all numbers are there: of two sides that don't see each other, one at most says so.
+    /// Whether more than half of all instances are present: at most one of two partitions has a majority.
     pub fn has_majority(&self) -> bool {
-        self.present_count() > self.count / 2
+        self.present_count() > self.instance_count / 2
     }
 }
--- a/crates/lemontide-fleet/tests/turns.rs
+++ b/crates/lemontide-fleet/tests/turns.rs
@@ -1,4 +1,5 @@
-//! The sum of what all instances send to a fresh streamer, under views that differ: real modules, each told by its view.
+//! Turns: the time slots in which an instance may send set-ups to a fresh streamer. While their views of the fleet
+//! differ, all instances together must not exceed the streamer's budget, and no two may cover the same absent number.
 
 use lemontide::clock::{Point, Span};
 use lemontide::control::Controller;
@@ -6,110 +7,117 @@
 use lemontide_fleet::FleetView;
 use proptest::prelude::*;
 
-const OLDEST: Span = Span::of_millis(3000);
-/// Clocks are off by this much at most, in seconds.
-const SKEW: f64 = 0.3;
+const MAX_VIEW_AGE: Span = Span::of_millis(3000);
+/// Clocks differ from true time by this much at most.
+const MAX_SKEW_S: f64 = 0.3;
 
 fn at(seconds: f64) -> Point {
     Point::at(1000.0 + seconds)
 }
 
-/// A delay in the given part of the oldest view, the same for the same message.
-fn delay(seed: u64, from: u32, to: u32, nth: usize) -> f64 {
+/// Pseudo-random delay in seconds of the n-th report about `from` on its way to `to`, below the maximum age of a view.
+fn delay_s(seed: u64, from: u32, to: u32, nth: usize) -> f64 {
     let mixed =
         (seed ^ u64::from(from) << 40 ^ u64::from(to) << 20 ^ nth as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    (mixed >> 40) as f64 / (1u64 << 24) as f64 * (OLDEST.seconds() - SKEW)
+    (mixed >> 40) as f64 / (1u64 << 24) as f64 * (MAX_VIEW_AGE.seconds() - MAX_SKEW_S)
 }
 
-/// What truly happens: at these seconds a number starts or stops. All run for long before second 0.
+/// The true history of a fleet, from which the views of its instances are derived. All instances have been running for
+/// long before second 0.
 #[derive(Clone, Debug)]
-struct Truth {
+struct History {
     count: u32,
     seed: u64,
-    /// Seconds at which each number's state turns, in order; it runs before the first.
-    turns: Vec<Vec<f64>>,
+    /// Seconds at which each instance alternately stops and starts, in order.
+    switches: Vec<Vec<f64>>,
     /// From and until when the numbers below a bound don't see the others.
-    cut: Option<(f64, f64, u32)>,
+    partition: Option<(f64, f64, u32)>,
 }
 
-impl Truth {
-    fn runs(&self, number: u32, t: f64) -> bool {
-        self.turns[number as usize].iter().filter(|turn| **turn <= t).count() % 2 == 0
+impl History {
+    fn is_running(&self, number: u32, t: f64) -> bool {
+        self.switches[number as usize].iter().filter(|switch| **switch <= t).count() % 2 == 0
     }
 
-    fn born(&self, number: u32, t: f64) -> f64 {
-        let starts = self.turns[number as usize].iter().skip(1).step_by(2);
+    fn last_start(&self, number: u32, t: f64) -> f64 {
+        let starts = self.switches[number as usize].iter().skip(1).step_by(2);
         starts.copied().take_while(|start| *start <= t).last().unwrap_or(-100.0)
     }
 
-    /// What one instance sees at that second: each change of another reaches it late, by up to the oldest view.
-    fn view(&self, me: u32, t: f64) -> FleetView {
-        let born = self.born(me, t);
-        let mut view = FleetView::from_membership(at(born), me, self.count).expect("a number of the fleet");
-        let mut told: Vec<(f64, f64, u32, bool)> = Vec::new();
-        for other in (0..self.count).filter(|other| *other != me) {
-            let mut news: Vec<(f64, bool)> = vec![(-90.0, true)];
-            news.extend(
-                self.turns[other as usize].iter().enumerate().map(|(nth, turn)| (*turn, nth % 2 == 1)),
-            );
-            if let Some((from, until, _)) = self.cut.filter(|cut| (me < cut.2) != (other < cut.2)) {
-                news.retain(|(when, _)| *when < from || *when > until);
-                news.extend([(from, false), (until, self.runs(other, until))]);
-                news.sort_by(|a, b| a.0.total_cmp(&b.0));
+    /// The view of one instance at that second: each change of another reaches it late, by up to the maximum age of a
+    /// view.
+    fn view(&self, own_number: u32, t: f64) -> FleetView {
+        let started = self.last_start(own_number, t);
+        let mut view =
+            FleetView::from_membership(at(started), own_number, self.count).expect("a number of the fleet");
+        let mut reports: Vec<(f64, f64, u32, bool)> = Vec::new();
+        for other in (0..self.count).filter(|other| *other != own_number) {
+            let mut changes: Vec<(f64, bool)> = vec![(-90.0, true)];
+            let switches = self.switches[other as usize].iter().enumerate();
+            changes.extend(switches.map(|(nth, switch)| (*switch, nth % 2 == 1)));
+            let separated = |partition: &(f64, f64, u32)| (own_number < partition.2) != (other < partition.2);
+            if let Some((from, until, _)) = self.partition.filter(separated) {
+                changes.retain(|(when, _)| *when < from || *when > until);
+                changes.extend([(from, false), (until, self.is_running(other, until))]);
+                changes.sort_by(|a, b| a.0.total_cmp(&b.0));
             }
-            let arrives = |nth: usize, when: f64| when.max(born) + delay(self.seed, other, me, nth);
-            told.extend(
-                news.iter().enumerate().map(|(nth, (when, here))| (arrives(nth, *when), *when, other, *here)),
+            let arrives =
+                |nth: usize, when: f64| when.max(started) + delay_s(self.seed, other, own_number, nth);
+            reports.extend(
+                changes
+                    .iter()
+                    .enumerate()
+                    .map(|(nth, (when, present))| (arrives(nth, *when), *when, other, *present)),
             );
         }
-        told.sort_by(|a, b| a.0.total_cmp(&b.0));
-        // What came is handed over all the time, the last of it now.
-        let mut told = told.into_iter().peekable();
-        let beats = (0..).map(|beat| born + f64::from(beat) * 0.5).take_while(|now| *now < t);
-        for now in beats.chain([t]) {
-            while let Some((_, when, other, here)) = told.next_if(|(arrives, ..)| *arrives <= now) {
-                if here {
+        reports.sort_by(|a, b| a.0.total_cmp(&b.0));
+        // Reports are applied every half second, the last ones now.
+        let mut reports = reports.into_iter().peekable();
+        let refreshes = (0..).map(|nth| started + f64::from(nth) * 0.5).take_while(|now| *now < t);
+        for now in refreshes.chain([t]) {
+            while let Some((_, when, other, present)) = reports.next_if(|(arrives, ..)| *arrives <= now) {
+                if present {
                     view.mark_present(at(when), other);
                 } else {
                     view.mark_absent(at(when), other);
                 }
             }
-            view.refresh(at(now), OLDEST);
+            view.refresh(at(now), MAX_VIEW_AGE);
         }
         view
     }
 
-    /// Numbers that each running instance stands for at that second.
-    fn heirs(&self, t: f64, oldest: Span) -> Vec<(u32, FleetView, Vec<u32>)> {
-        let running = (0..self.count).filter(|number| self.runs(*number, t));
-        let seen = running.map(|number| (number, self.view(number, t)));
-        seen.map(|(number, view)| (number, view.clone(), view.numbers_to_cover(at(t), oldest))).collect()
+    /// Each running instance at that second, with the absent numbers that it covers.
+    fn coverage(&self, t: f64, max_view_age: Span) -> Vec<(u32, Vec<u32>)> {
+        let running = (0..self.count).filter(|number| self.is_running(*number, t));
+        running.map(|number| (number, self.view(number, t).numbers_to_cover(at(t), max_view_age))).collect()
     }
 
-    /// The most that stand for one number at any look.
-    fn most_heirs(&self, oldest: Span) -> usize {
-        let most = |t: f64| {
-            let heirs = self.heirs(t, oldest);
-            let of = |number: u32| heirs.iter().filter(|(.., stands)| stands.contains(&number)).count();
-            (0..self.count).map(of).max().unwrap_or(0)
+    /// The largest number of instances that cover one number at any of the times checked.
+    fn max_coverage(&self, max_view_age: Span) -> usize {
+        let max_at = |t: f64| {
+            let coverage = self.coverage(t, max_view_age);
+            let covering =
+                |number: u32| coverage.iter().filter(|(_, covered)| covered.contains(&number)).count();
+            (0..self.count).map(covering).max().unwrap_or(0)
         };
-        (0..24).map(|look| most(f64::from(look) * 2.7)).max().unwrap_or(0)
+        (0..24).map(|check| max_at(f64::from(check) * 2.7)).max().unwrap_or(0)
     }
 
-    /// What all modules together send to a streamer that started a moment ago, in one window from that second on, when
-    /// each has as many wishes as it can send.
+    /// How many set-ups all instances together send to a streamer that started a second before `t`, in one window from
+    /// `t` on, when each has as many requests as it can send.
     fn sent(&self, t: f64, budget: f64) -> usize {
         let mut sent = 0;
-        for (number, _, stands) in self.heirs(t, OLDEST) {
-            let skew = (f64::from(number % 3) - 1.0) * SKEW;
-            let mut module = fleet_of(self.count, number, budget, at(self.born(number, t) + skew));
+        for (number, covered) in self.coverage(t, MAX_VIEW_AGE) {
+            let skew_s = (f64::from(number % 3) - 1.0) * MAX_SKEW_S;
+            let mut module = fleet_of(self.count, number, budget, at(self.last_start(number, t) + skew_s));
             learn(&mut module, t - 1.0);
-            module.stands_for(true, &stands, at(t + skew) + OLDEST);
+            module.stands_for(true, &covered, at(t + skew_s) + MAX_VIEW_AGE);
             for step in 0..20 {
-                let now = at(t + skew + f64::from(step) * WINDOW / 20.0);
+                let now = at(t + skew_s + f64::from(step) * WINDOW_S / 20.0);
                 loop {
                     let before = module.results.shots.len();
-                    module.take(now, &wish(step, now));
+                    module.take(now, &request(step, now));
                     if module.results.shots.len() == before {
                         break;
                     }
@@ -121,10 +129,10 @@
     }
 }
 
-/// Seconds in which a cold streamer holds its budget.
-const WINDOW: f64 = 1.0;
+/// Time in which a cold streamer must get no more than its budget.
+const WINDOW_S: f64 = 1.0;
 
-/// The one streamer, started at that second.
+/// Tells the module of the one streamer, which started at that second.
 fn learn(module: &mut Controller, started: f64) {
     let line = Line {
         streamer: "s".into(),
@@ -138,7 +146,7 @@
     module.learn(at(started), &[line], true);
 }
 
-fn wish(id: u32, now: Point) -> Wish<'static> {
+fn request(id: u32, now: Point) -> Wish<'static> {
     Wish {
         id,
         lane: "free",
@@ -153,13 +161,14 @@
     }
 }
 
-/// The module of one instance of a fleet whose one streamer holds so many set-ups a window at its coldest.
-fn fleet_of(count: u32, me: u32, budget: f64, born: Point) -> Controller {
+/// The decision module of one instance of a fleet with one streamer, which takes `budget` set-ups in a window when it is
+/// coldest.
+fn fleet_of(count: u32, own_number: u32, budget: f64, started: Point) -> Controller {
     let number = |name: &str, value: f64| (name.to_owned(), Value::Number(value));
     let word = |name: &str, value: &str| (name.to_owned(), Value::Text(value.to_owned()));
-    let sheet: Sheet = [
+    let settings: Sheet = [
         number("controllers", f64::from(count)),
-        number("me", f64::from(me)),
+        number("me", f64::from(own_number)),
         number("cells", 1.0),
         number("ladder.kb.0", 1.0),
         number("ladder.gain.0", 1.0),
@@ -167,29 +176,29 @@
         word("lanes.0.repeat", "free"),
         number("lanes.0.cut_off", 5.0),
         word("kinds.0", "std"),
-        // Twice its pace for a window, at half its pace, over ten seconds.
+        // Ten seconds cold, from half its pace on, and in a window twice that pace.
         number("kind_streams.0", budget * 10.0),
         number("cold.span", 10.0),
         number("cold.from", 0.5),
         number("cold.multiple", 2.0),
-        number("cold.window", WINDOW),
-        number("clocks.apart", 2.0 * SKEW),
+        number("cold.window", WINDOW_S),
+        number("clocks.apart", 2.0 * MAX_SKEW_S),
         number("link.kb_per_weight", 1e9),
         number("shots.most", 1.0),
     ]
     .into_iter()
     .collect();
-    Controller::start(born, u64::from(me), &sheet)
+    Controller::start(started, u64::from(own_number), &settings)
 }
 
-fn truth() -> impl Strategy<Value = Truth> {
+fn history() -> impl Strategy<Value = History> {
     let times = prop::collection::vec(0.0..60.0f64, 0..4);
-    let cut = prop::option::of((0.0..40.0f64, 1.0..25.0f64, 0u32..24));
-    (1u32..24, any::<u64>(), prop::collection::vec(times, 24), cut).prop_map(
-        |(count, seed, mut turns, cut)| {
-            turns.iter_mut().for_each(|times| times.sort_by(f64::total_cmp));
-            let cut = cut.map(|(from, long, bound)| (from, from + long, bound));
-            Truth { count, seed, turns, cut }
+    let partition = prop::option::of((0.0..40.0f64, 1.0..25.0f64, 0u32..24));
+    (1u32..24, any::<u64>(), prop::collection::vec(times, 24), partition).prop_map(
+        |(count, seed, mut switches, partition)| {
+            switches.iter_mut().for_each(|times| times.sort_by(f64::total_cmp));
+            let partition = partition.map(|(from, length_s, bound)| (from, from + length_s, bound));
+            History { count, seed, switches, partition }
         },
     )
 }
@@ -197,137 +206,145 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(40) })]
 
-    /// Killed, restarted and cut in any mix, with every view up to the oldest age and clocks apart: what all modules
-    /// together send never passes the budget of a window, wherever it begins, and no number has two heirs.
+    /// For any mix of stops, starts and a partition, with views up to the maximum age and clocks apart: all instances
+    /// together never exceed the budget of a window, wherever it begins, and no number is covered twice.
     #[test]
-    fn all_together_stay_within_the_budget(truth in truth(), budget in 1.5..30.0f64, moments in prop::collection::vec(0.0..70.0f64, 12)) {
-        for t in moments {
-            let sent = truth.sent(t, budget);
+    fn all_instances_together_stay_within_the_budget(history in history(), budget in 1.5..30.0f64, starts in prop::collection::vec(0.0..70.0f64, 12)) {
+        for t in starts {
+            let sent = history.sent(t, budget);
             prop_assert!(sent as f64 <= budget, "{sent} of {budget} from second {t}");
         }
-        let heirs = truth.most_heirs(OLDEST);
-        prop_assert!(heirs <= 1, "{heirs} heirs of one number");
+        let covering = history.max_coverage(MAX_VIEW_AGE);
+        prop_assert!(covering <= 1, "{covering} instances cover one number");
     }
 }
 
-/// The wait for others' views is what keeps two heirs of one number apart: without it a fleet of which some come back
-/// has several.
+/// Without the wait for other views, several instances cover the same number after some of the fleet have restarted.
 #[test]
-fn without_the_wait_a_number_has_two_heirs() {
-    let lives = |number: u32| match number {
+fn without_the_wait_a_number_is_covered_twice() {
+    let switches = |number: u32| match number {
         9 | 10 | 17 | 18 => vec![20.0],
         11 | 12 | 19 | 20 => vec![20.0, 25.2],
         _ => Vec::new(),
     };
-    let heirs = |seed: u64, oldest: Span| {
-        let truth = Truth { count: 24, seed, turns: (0..24).map(lives).collect(), cut: None };
-        truth.most_heirs(oldest)
+    let covering = |seed: u64, max_view_age: Span| {
+        let history = History { count: 24, seed, switches: (0..24).map(switches).collect(), partition: None };
+        history.max_coverage(max_view_age)
     };
-    assert!((0..6).all(|seed| heirs(seed, OLDEST) == 1));
-    assert!((0..6).any(|seed| heirs(seed, Span::ZERO) > 1));
+    assert!((0..6).all(|seed| covering(seed, MAX_VIEW_AGE) == 1));
+    assert!((0..6).any(|seed| covering(seed, Span::ZERO) > 1));
 }
 
-/// Settings alone: what is decided without a view, each number its own turns and nobody another's.
+/// With settings alone each instance uses its own turns and covers no other number.
 #[test]
 fn settings_alone_give_each_number_its_own_turns() {
     for count in [1, 7, 300] {
         let view = FleetView::from_settings(at(0.0), count - 1, count).expect("a number of the fleet");
-        assert!(view.numbers_to_cover(at(99.0), OLDEST).is_empty() && view.present_count() == count);
+        assert!(view.numbers_to_cover(at(99.0), MAX_VIEW_AGE).is_empty() && view.present_count() == count);
     }
     let mut sent = Vec::new();
-    for me in 0..4 {
-        let mut module = fleet_of(4, me, 1.5, at(-100.0));
+    for own_number in 0..4 {
+        let mut module = fleet_of(4, own_number, 1.5, at(-100.0));
         learn(&mut module, 0.0);
-        // Four turns of two windows are one round.
+        // Four turns of two windows each are one round.
         for step in 0..160 {
             let now = at(f64::from(step) * 0.05);
             let before = module.results.shots.len();
-            module.take(now, &wish(step as u32, now));
-            sent.extend((module.results.shots.len() > before).then_some((now.turn(Span::of(2.0)), me)));
+            module.take(now, &request(step as u32, now));
+            sent.extend(
+                (module.results.shots.len() > before).then_some((now.turn(Span::of(2.0)), own_number)),
+            );
         }
     }
     sent.sort_unstable();
     let turns: std::collections::BTreeSet<i64> = sent.iter().map(|(turn, _)| *turn).collect();
-    assert_eq!((sent.len(), turns.len()), (4, 4), "each once, in a turn of its own: {sent:?}");
+    assert_eq!((sent.len(), turns.len()), (4, 4), "each sends once, in its own turn: {sent:?}");
 }
 
-/// The turns of the dead are not lost, and come back with them.
+/// The turns of absent instances are not lost, and go back to them when they return.
 #[test]
-fn the_next_that_is_there_stands_for_the_missing() {
+fn the_next_present_instance_covers_absent_ones() {
     let mut view = FleetView::from_membership(at(0.0), 5, 8).expect("a number of the fleet");
-    let stands = |view: &mut FleetView, now: f64| {
-        // Each second, as what is heard is handed over.
-        (0..4).rev().for_each(|back| view.refresh(at(now - f64::from(back)), OLDEST));
-        view.numbers_to_cover(at(now), OLDEST)
+    let covered = |view: &mut FleetView, now: f64| {
+        // Once per second, as reports are applied.
+        (0..4).rev().for_each(|back| view.refresh(at(now - f64::from(back)), MAX_VIEW_AGE));
+        view.numbers_to_cover(at(now), MAX_VIEW_AGE)
     };
     (0..8).filter(|number| *number != 5).for_each(|number| view.mark_present(at(1.0), number));
-    (0..20).for_each(|now| view.refresh(at(f64::from(now)), OLDEST));
-    assert!(stands(&mut view, 20.0).is_empty());
+    (0..20).for_each(|now| view.refresh(at(f64::from(now)), MAX_VIEW_AGE));
+    assert!(covered(&mut view, 20.0).is_empty());
     [4, 3, 1].into_iter().for_each(|number| view.mark_absent(at(20.0), number));
-    assert!(stands(&mut view, 23.0).is_empty(), "others may not know yet");
-    assert_eq!(stands(&mut view, 26.0), [4, 3], "1 is the second's to stand for");
+    assert!(covered(&mut view, 23.0).is_empty(), "other views may not show it yet");
+    assert_eq!(covered(&mut view, 26.0), [4, 3], "1 is covered by 2");
     view.mark_present(at(28.0), 4);
-    assert!(stands(&mut view, 28.0).is_empty(), "3 is its own neighbour's again");
+    assert!(covered(&mut view, 28.0).is_empty(), "3 is covered by 4 again");
     view.mark_absent(at(28.5), 4);
-    (29..40).for_each(|now| view.refresh(at(f64::from(now)), OLDEST));
-    assert_eq!(stands(&mut view, 40.0), [4, 3]);
+    (29..40).for_each(|now| view.refresh(at(f64::from(now)), MAX_VIEW_AGE));
+    assert_eq!(covered(&mut view, 40.0), [4, 3]);
     view.mark_present(at(41.0), 5);
-    assert!(stands(&mut view, 41.0).is_empty(), "two of one number");
+    assert!(covered(&mut view, 41.0).is_empty(), "another instance runs under the own number");
     view.mark_absent(at(42.0), 5);
-    assert_eq!(stands(&mut view, 43.0), [4, 3]);
+    assert_eq!(covered(&mut view, 43.0), [4, 3]);
 }
 
-/// An instance that stood still acts on no old view, and is young when it goes on.
+/// An instance that stalled does not act on its old view, and counts as newly started when it continues.
 #[test]
-fn who_stood_still_stands_for_nobody_until_its_view_has_caught_up() {
+fn a_stalled_instance_covers_no_number_until_its_view_is_reliable_again() {
     let mut view = FleetView::from_membership(at(0.0), 1, 4).expect("a number of the fleet");
     [2, 3].into_iter().for_each(|number| view.mark_present(at(1.0), number));
-    (0..12).for_each(|now| view.refresh(at(f64::from(now)), OLDEST));
-    assert_eq!(view.numbers_to_cover(at(11.0), OLDEST), [0], "never heard of since the start");
+    (0..12).for_each(|now| view.refresh(at(f64::from(now)), MAX_VIEW_AGE));
+    assert_eq!(view.numbers_to_cover(at(11.0), MAX_VIEW_AGE), [0], "never reported since the start");
+    assert!(
+        view.numbers_to_cover(at(15.0), MAX_VIEW_AGE).is_empty(),
+        "the view was not refreshed for longer than its maximum age"
+    );
+    view.refresh(at(15.0), MAX_VIEW_AGE);
     assert!(
-        view.numbers_to_cover(at(15.0), OLDEST).is_empty(),
-        "nothing came in for longer than the oldest view"
+        view.numbers_to_cover(at(15.0), MAX_VIEW_AGE).is_empty(),
+        "other instances saw what this one missed"
     );
-    view.refresh(at(15.0), OLDEST);
-    assert!(view.numbers_to_cover(at(15.0), OLDEST).is_empty(), "others saw what it did not");
-    (16..22).for_each(|now| view.refresh(at(f64::from(now)), OLDEST));
-    assert_eq!(view.numbers_to_cover(at(21.0), OLDEST), [0]);
+    (16..22).for_each(|now| view.refresh(at(f64::from(now)), MAX_VIEW_AGE));
+    assert_eq!(view.numbers_to_cover(at(21.0), MAX_VIEW_AGE), [0]);
 }
 
 #[test]
-fn the_smaller_side_of_a_cut_stands_for_nobody() {
-    for (seen, stands) in [(3, false), (4, false), (5, true)] {
+fn the_smaller_side_of_a_partition_covers_no_number() {
+    for (present, covers) in [(3, false), (4, false), (5, true)] {
         let mut view = FleetView::from_membership(at(0.0), 0, 8).expect("a number of the fleet");
-        (1..seen).for_each(|number| view.mark_present(at(1.0), number));
-        (0..60).for_each(|now| view.refresh(at(f64::from(now)), OLDEST));
-        assert_eq!(!view.numbers_to_cover(at(60.0), OLDEST).is_empty(), stands, "{seen} of 8 seen");
+        (1..present).for_each(|number| view.mark_present(at(1.0), number));
+        (0..60).for_each(|now| view.refresh(at(f64::from(now)), MAX_VIEW_AGE));
+        assert_eq!(
+            !view.numbers_to_cover(at(60.0), MAX_VIEW_AGE).is_empty(),
+            covers,
+            "{present} of 8 present"
+        );
     }
 }
 
-/// Two of one number: neither sends to a cold streamer, and what stood for others lapses by itself.
+/// Of two instances under one number neither sends to a cold streamer, and the cover for others expires by itself.
 #[test]
-fn turns_that_are_lost_or_past_are_not_used() {
-    let sent = |own: bool, missing: &[u32], until: f64| {
+fn lost_or_expired_turns_are_not_used() {
+    let sent = |own: bool, covered: &[u32], until: f64| {
         let mut module = fleet_of(2, 0, 3.0, at(-100.0));
         learn(&mut module, 0.0);
-        module.stands_for(own, missing, at(until));
+        module.stands_for(own, covered, at(until));
         for step in 0..40 {
             let now = at(f64::from(step) * 0.1);
-            module.take(now, &wish(step, now));
+            module.take(now, &request(step, now));
         }
         module.results.shots.len()
     };
-    let (alone, with, late, doubled) =
+    let (own, covering, expired, duplicate) =
         (sent(true, &[], 9.0), sent(true, &[1], 9.0), sent(true, &[1], -1.0), sent(false, &[], 9.0));
-    assert!(with > alone && alone > 0, "{with} and {alone}");
-    assert_eq!((late, doubled), (alone, 0));
+    assert!(covering > own && own > 0, "{covering} and {own}");
+    assert_eq!((expired, duplicate), (own, 0));
 }
 
 #[test]
-fn odd_figures_and_news_do_no_harm() {
-    for (me, count) in [(0, 0), (3, 3), (9, 2), (0, u32::MAX)] {
-        let wrong = FleetView::from_settings(at(0.0), me, count).expect_err("unusable");
-        assert!(wrong.to_string().contains("give") || wrong.to_string().contains("run from"), "{wrong}");
+fn invalid_settings_and_reports_do_no_harm() {
+    for (own_number, count) in [(0, 0), (3, 3), (9, 2), (0, u32::MAX)] {
+        let error = FleetView::from_settings(at(0.0), own_number, count).expect_err("invalid settings");
+        assert!(error.to_string().contains("give") || error.to_string().contains("run from"), "{error}");
     }
     let mut view = FleetView::from_membership(at(0.0), 1, 3).expect("a number of the fleet");
     view.mark_present(at(5.0), 700);
@@ -336,17 +353,17 @@
     view.mark_absent(at(4.0), 2);
     assert!(
         view.is_present(1) && view.is_present(2) && !view.is_present(0) && !view.is_present(700),
-        "old news changes nothing"
+        "an old report changes nothing"
     );
     assert_eq!((view.present_count(), view.has_majority()), (2, true));
-    assert!((view.confirmed_ratio(at(6.0), OLDEST) - 2.0 / 3.0).abs() < 1e-9);
+    assert!((view.confirmed_ratio(at(6.0), MAX_VIEW_AGE) - 2.0 / 3.0).abs() < 1e-9);
     let mut module = fleet_of(3, 1, 2.0, at(-100.0));
     learn(&mut module, 0.0);
     module.stands_for(true, &[700, u32::MAX, 1], at(50.0));
     module.favour("nobody", true);
     for step in 0..100 {
         let now = at(f64::from(step) * 0.1);
-        module.take(now, &wish(step, now));
+        module.take(now, &request(step, now));
     }
     assert!(!module.results.shots.is_empty());
 }
