--- a/crates/lemontide-fleet/tests/turns.rs
+++ b/crates/lemontide-fleet/tests/turns.rs
@@ -132,7 +132,7 @@
 /// Time in which a cold streamer must get no more than its budget.
 const WINDOW_S: f64 = 1.0;
 
-/// Tells the module of the one streamer, which started at that second.
+/// Registers the one streamer with the module, as started at that second.
 fn learn(module: &mut Controller, started: f64) {
     let line = Line {
         streamer: "s".into(),
--- a/crates/lemontide-shed/src/admission_rate.rs
+++ b/crates/lemontide-shed/src/admission_rate.rs
@@ -79,6 +79,7 @@
 }
 
 impl AdmissionRate {
+    /// No limit until the first pressure or the first estimate of the capacity.
     pub fn new(now: Point) -> AdmissionRate {
         AdmissionRate {
             limit_per_s: None,
--- a/crates/lemontide-shed/src/concurrency.rs
+++ b/crates/lemontide-shed/src/concurrency.rs
@@ -31,6 +31,7 @@
 }
 
 impl ConcurrencyLimit {
+    /// The limit of a streamer about which nothing is known.
     pub fn new(now: Point) -> ConcurrencyLimit {
         ConcurrencyLimit {
             limit: INITIAL_LIMIT,
--- a/crates/lemontide-shed/src/connection_limits.rs
+++ b/crates/lemontide-shed/src/connection_limits.rs
@@ -66,6 +66,7 @@
 }
 
 impl ConnectionLimiter {
+    /// A limiter without any connections.
     pub fn new(limits: ConnectionLimits) -> ConnectionLimiter {
         ConnectionLimiter {
             limits,
@@ -188,6 +189,7 @@
         closed
     }
 
+    /// Figures about connections now and since the start.
     pub fn counts(&self) -> ConnectionCounts {
         ConnectionCounts {
             open: self.connections.len(),
--- a/crates/lemontide-shed/src/shedder.rs
+++ b/crates/lemontide-shed/src/shedder.rs
@@ -87,6 +87,7 @@
 }
 
 impl LoadShedder {
+    /// The seed makes `retry_after` and holds reproducible.
     pub fn new(now: Point, settings: LoadShedderSettings, seed: u64) -> LoadShedder {
         LoadShedder {
             load_level: LoadLevel::default(),
