--- a/crates/lemontide-front/src/connections.rs
+++ b/crates/lemontide-front/src/connections.rs
@@ -12,7 +12,9 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
 use lemontide::clock::{Point, Span};
-use lemontide_shed::door::{Bounds, Counts, Door, Knock};
+use lemontide_shed::connection_limits::{
+    AcceptDecision, ConnectionCounts, ConnectionLimiter, ConnectionLimits,
+};
 use lemontide_wire::clock::Clock;
 use lemontide_wire::hint::Hint;
 use lemontide_wire::play::Answer;
@@ -43,7 +45,7 @@
 /// Bounds of the HTTP stack.
 #[derive(Clone, Copy, Debug)]
 pub struct Stack {
-    pub bounds: Bounds,
+    pub bounds: ConnectionLimits,
     /// The time in which a request must be there, that a connection may be idle, and that it may take no bytes.
     pub request: Duration,
     pub idle: Duration,
@@ -53,7 +55,7 @@
 /// All connections.
 pub struct Hall {
     clock: Clock,
-    door: Mutex<Door>,
+    door: Mutex<ConnectionLimiter>,
     tasks: Mutex<HashMap<u64, AbortHandle>>,
 }
 
@@ -62,8 +64,8 @@
 }
 
 impl Hall {
-    pub fn new(clock: Clock, bounds: Bounds) -> Hall {
-        Hall { clock, door: Mutex::new(Door::new(bounds)), tasks: Mutex::default() }
+    pub fn new(clock: Clock, bounds: ConnectionLimits) -> Hall {
+        Hall { clock, door: Mutex::new(ConnectionLimiter::new(bounds)), tasks: Mutex::default() }
     }
 
     fn now(&self) -> Point {
@@ -78,11 +80,11 @@
 
     /// Closes connections that have been idle for so long, so many at most.
     pub fn close_idle(&self, least: Span, most: usize) {
-        let closed = lock(&self.door).idle_for(self.now(), least, most);
+        let closed = lock(&self.door).close_idle(self.now(), least, most);
         closed.into_iter().for_each(|id| self.close(id));
     }
 
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> ConnectionCounts {
         lock(&self.door).counts()
     }
 }
@@ -109,7 +111,7 @@
 
 impl Drop for Visit {
     fn drop(&mut self) {
-        lock(&self.hall.door).gone(self.id);
+        lock(&self.hall.door).remove(self.id);
         lock(&self.hall.tasks).remove(&self.id);
     }
 }
@@ -129,14 +131,14 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let knock = lock(&hall.door).knock(hall.now(), from.ip());
+        let knock = lock(&hall.door).try_accept(hall.now(), from.ip());
         let id = match knock {
-            Knock::Open(id) => id,
-            Knock::InPlaceOf(id, closed) => {
+            AcceptDecision::Accept(id) => id,
+            AcceptDecision::AcceptAndClose(id, closed) => {
                 hall.close(closed);
                 id
             }
-            Knock::Full | Knock::NetworkFull => {
+            AcceptDecision::LimitReached | AcceptDecision::NetworkLimitReached => {
                 // One try: who is turned away at the door costs no wait.
                 let _ = socket.try_write(&answer("too many connections", None));
                 continue;
@@ -338,7 +340,7 @@
         if self.since - self.told >= TOLD_EVERY {
             self.told = self.since;
             let hall = &self.visit.hall;
-            lock(&hall.door).idle(hall.now(), self.visit.id);
+            lock(&hall.door).mark_idle(hall.now(), self.visit.id);
         }
     }
 }
@@ -383,7 +385,7 @@
                 this.visit.state.store(COMES, Ordering::Relaxed);
             }
             if this.state() == COMES {
-                lock(&this.visit.hall.door).busy(this.visit.id);
+                lock(&this.visit.hall.door).mark_busy(this.visit.id);
             }
             return Poll::Ready(Ok(()));
         }
@@ -423,7 +425,7 @@
             this.since = Instant::now();
             this.visit.state.store(RESTS, Ordering::Relaxed);
             let hall = &this.visit.hall;
-            lock(&hall.door).idle(hall.now(), this.visit.id);
+            lock(&hall.door).mark_idle(hall.now(), this.visit.id);
             // The stack may not read again before bytes come: the time of resting is kept from here on.
             let _ = this.keeps_time(cx);
         }
