--- a/crates/lemontide-cli/src/soak.rs
+++ b/crates/lemontide-cli/src/soak.rs
@@ -44,7 +44,7 @@
     if args.front {
         return play_front(&program, args);
     }
-    let options = Options { program, seconds: args.seconds };
+    let options = Options { program, scenario_length_s: args.seconds };
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let seeds = args.seed..args.seed.saturating_add(args.count);
     let outcomes = runtime.block_on(async {
@@ -54,7 +54,7 @@
     let (mut broken, mut late) = (Vec::new(), Vec::new());
     for outcome in outcomes {
         let outcome = outcome?;
-        if !outcome.is_judged {
+        if !outcome.is_conclusive {
             late.push(outcome.seed);
         } else if !outcome.report.is_empty() {
             broken.push(outcome.seed);
@@ -80,7 +80,7 @@
             let scratch = tempfile::tempdir()?;
             let kept = args.logs.as_ref().map(|logs| logs.join(format!("front-{seed}")));
             let folder = std::path::absolute(kept.as_deref().unwrap_or(scratch.path()))?;
-            let outcome = front::play(seed, program, args.seconds, &folder).await?;
+            let outcome = front::run_seed(seed, program, args.seconds, &folder).await?;
             println!("{}", outcome.summary);
             if !outcome.verdict.is_clean() {
                 print!("{}", outcome.verdict.table());
@@ -110,12 +110,12 @@
         if let Some(folder) = &folder {
             std::fs::create_dir_all(folder)?;
         }
-        let outcome = soak::play(seed, options, folder.as_deref().unwrap_or(scratch.path())).await?;
+        let outcome = soak::run_seed(seed, options, folder.as_deref().unwrap_or(scratch.path())).await?;
         println!("{}", outcome.summary);
         if !outcome.report.is_empty() {
             println!("{}", outcome.report);
         }
-        if outcome.is_judged || plays >= PLAYS_MOST {
+        if outcome.is_conclusive || plays >= PLAYS_MOST {
             return Ok(outcome);
         }
         println!("seed {seed}: this machine was late, so it is played again");
--- a/crates/lemontide-standin/src/soak/client.rs
+++ b/crates/lemontide-standin/src/soak/client.rs
@@ -1,13 +1,13 @@
 //! Clients of one node: connections that stay, leave early, write slowly, send as a connection closes, and go on until
 //! the node is killed.
 
-mod bad;
+mod faulty;
 
-pub use bad::{run_bad, run_idle, run_repeater, BAD_CLIENT_WAITS};
+pub use faulty::{run_bad, run_idle, run_repeater, BAD_CLIENT_WAITS};
 
+use super::event_log::{Answer, ClientConnection, FaultyClient, Recorder, Request, CLASSES};
 use super::node::{Node, Status};
 use super::plan::{draw, Plan};
-use super::record::{Answer, BadClient, ClientConnection, Record, Request, CLASSES};
 use crate::platform::bytes_of;
 use bytes::{Bytes, BytesMut};
 use lemontide_platform::codec::{cause, Body, Codec, Figures, Message, SetUp};
@@ -37,7 +37,7 @@
 /// What clients need of the run.
 pub struct World {
     pub plan: Arc<Plan>,
-    pub record: Arc<Record>,
+    pub recorder: Arc<Recorder>,
     pub node: Arc<Node>,
     /// No request is begun after this moment, in seconds.
     pub last_request: f64,
@@ -87,7 +87,7 @@
 
 /// The message that asks for a session, or hands it over where `at` names its server.
 pub fn hand_over(plan: &Plan, request: &Request, at: &str) -> Message {
-    let wait = (request.class.deadline * 1e3) as u64;
+    let wait = (request.class.deadline_s * 1e3) as u64;
     let mut set_up = set_up(plan, request.class.name, wait, request.id);
     if let Some(figures) = &mut set_up.figures {
         figures.at = Some(at.to_owned());
@@ -99,7 +99,7 @@
 pub async fn run(world: Arc<World>, slot: u64) {
     let (mut number, mut connections) = (0, 0);
     let mut crossed = Vec::new();
-    while world.record.now() < world.until {
+    while world.recorder.now() < world.until {
         if !may_connect(&world) {
             sleep(BETWEEN_CONNECTS).await;
             continue;
@@ -119,7 +119,7 @@
             number: &mut number,
             writes,
             open: BTreeSet::new(),
-            is_first: true,
+            nothing_sent: true,
             sends_no_more: false,
             resets: false,
             noise: None,
@@ -127,8 +127,8 @@
         for request in std::mem::take(&mut crossed) {
             connection.send_again(request);
         }
-        let record = world.record.clone();
-        let write = tokio::spawn(write_all(record, write, written));
+        let recorder = world.recorder.clone();
+        let write = tokio::spawn(write_all(recorder, write, written));
         crossed = connection.attend(&mut read).await;
         connection.tell_noise();
         if connection.resets {
@@ -160,13 +160,13 @@
 fn may_connect(world: &World) -> bool {
     match *world.node.status.borrow() {
         Status::Up => true,
-        Status::Terminating(since) => world.record.now() - since < NEW_CONNECTIONS_FOR,
+        Status::Terminating(since) => world.recorder.now() - since < NEW_CONNECTIONS_FOR,
         Status::Down => false,
     }
 }
 
 async fn write_all(
-    record: Arc<Record>,
+    recorder: Arc<Recorder>,
     mut socket: OwnedWriteHalf,
     mut writes: mpsc::UnboundedReceiver<Write>,
 ) {
@@ -183,9 +183,9 @@
             return;
         }
         if let Some(request) = request {
-            let now = record.now();
-            if let Some(request) = record.book().request(request.id) {
-                request.sent = request.sent.min(now);
+            let now = recorder.now();
+            if let Some(request) = recorder.event_log().request(request.id) {
+                request.sent_at = request.sent_at.min(now);
             }
         }
         if closes_half {
@@ -203,7 +203,7 @@
     writes: mpsc::UnboundedSender<Write>,
     /// Requests that wait for an answer here.
     open: BTreeSet<u64>,
-    is_first: bool,
+    nothing_sent: bool,
     /// It has closed its half, or sent what can't be read: nothing it sends now would be taken.
     sends_no_more: bool,
     /// It ends with a reset.
@@ -217,12 +217,12 @@
     async fn attend(&mut self, socket: &mut OwnedReadHalf) -> Vec<Request> {
         let mut bytes = BytesMut::new();
         let mut status = self.world.node.status.subscribe();
-        let mut next = self.world.record.now() + 0.05 * draw(self.world.plan.seed, self.slot, 1);
+        let mut next = self.world.recorder.now() + 0.05 * draw(self.world.plan.seed, self.slot, 1);
         let mut cancels: Vec<(f64, u64)> = Vec::new();
         let mut rush = self.world.rush.subscribe();
         let mut rushed = *rush.borrow_and_update();
         loop {
-            let now = self.world.record.now();
+            let now = self.world.recorder.now();
             if now >= self.world.until || *status.borrow_and_update() == Status::Down {
                 return Vec::new();
             }
@@ -249,7 +249,7 @@
                         return Vec::new();
                     }
                 }
-                () = sleep_until(self.world.record.instant(due)) => {
+                () = sleep_until(self.world.recorder.instant(due)) => {
                     if let Some(place) = cancels.iter().position(|(at, _)| *at <= due) {
                         if self.leave(cancels.swap_remove(place).1) {
                             return Vec::new();
@@ -274,40 +274,40 @@
 
     /// Sends the next request; when its client leaves, if it does.
     fn send(&mut self) -> Option<(f64, u64)> {
-        let now = self.world.record.now();
+        let now = self.world.recorder.now();
         if now >= self.world.last_request || self.sends_no_more {
             return None;
         }
         *self.number += 1;
-        let (plan, record) = (&self.world.plan, &self.world.record);
+        let (plan, recorder) = (&self.world.plan, &self.world.recorder);
         let place = ((self.world.node.at as u64) << 40) | (self.slot << 24) | *self.number;
         let draw = |what: u64| draw(plan.seed ^ 0xc11e, place, what);
         let number = (draw(0) * 2f64.powi(53)) as u64;
         let id = (number << 8) | (self.world.node.at as u64 + 1);
         let class = CLASSES[usize::from(draw(1) < 0.6)];
         let is_short = draw(2) < 0.03;
-        let wait = if is_short { 0.05 + 0.3 * draw(3) } else { class.deadline };
+        let wait = if is_short { 0.05 + 0.3 * draw(3) } else { class.deadline_s };
         let set_up = set_up(plan, class.name, (wait * 1e3) as u64, id);
         let request = Request {
             id,
             class,
             node: self.world.node.at,
             connection: self.key,
-            sent: f64::INFINITY,
-            wait,
-            is_repeated: false,
-            is_first: std::mem::take(&mut self.is_first),
-            left: None,
+            sent_at: f64::INFINITY,
+            client_timeout_s: wait,
+            reuses_id: false,
+            is_first_on_connection: std::mem::take(&mut self.nothing_sent),
+            left_at: None,
             answers: Vec::new(),
-            closed: None,
-            is_sent_again: false,
-            over: None,
+            connection_closed_at: None,
+            is_resent: false,
+            ended_at: None,
         };
-        let mut book = record.book();
-        let at = book.requests.len();
-        book.by_id.insert(id, at);
-        book.requests.push(request.clone());
-        drop(book);
+        let mut event_log = recorder.event_log();
+        let at = event_log.requests.len();
+        event_log.request_index_by_id.insert(id, at);
+        event_log.requests.push(request.clone());
+        drop(event_log);
         let bytes = bytes_of(Message { session: id, body: Body::SetUp(set_up) });
         let pauses = if draw(4) < plan.odds.slow_writer { SLOW_WRITE * draw(5) } else { 0.0 };
         let misuse = misuse(plan, draw(8));
@@ -327,7 +327,7 @@
         match misuse {
             Misuse::ClosesHalf => {}
             Misuse::SendsNoise => {
-                self.noise = Some(self.world.record.now());
+                self.noise = Some(self.world.recorder.now());
                 let _ = self.writes.send(Write::of(NOISE.to_vec()));
             }
             Misuse::Resets => {
@@ -340,42 +340,42 @@
     /// Records whether the node closed the connection on which it was sent what can't be read.
     fn tell_noise(&mut self) {
         let Some(sent) = self.noise else { return };
-        let (record, node) = (&self.world.record, self.world.node.at);
-        let now = record.now();
-        let mut book = record.book();
-        let client = BadClient {
+        let (recorder, node) = (&self.world.recorder, self.world.node.at);
+        let now = recorder.now();
+        let mut event_log = recorder.event_log();
+        let client = FaultyClient {
             node,
-            what: "noise behind a request",
-            connected: sent,
-            heard: Some(now),
+            input: "noise behind a request",
+            connected_at: sent,
+            responded_at: Some(now),
             was_served: false,
-            is_void: book.has_gone(node, sent),
+            is_excused: event_log.stopped_after(node, sent),
         };
-        book.bad_clients.push(client);
+        event_log.faulty_clients.push(client);
     }
 
     /// The client closes its connection: it waits for nothing on it any more.
     fn leave_all(&self) {
-        let now = self.world.record.now();
-        let mut book = self.world.record.book();
+        let now = self.world.recorder.now();
+        let mut event_log = self.world.recorder.event_log();
         for id in &self.open {
-            if let Some(request) = book.request(*id) {
-                request.left = Some(now);
+            if let Some(request) = event_log.request(*id) {
+                request.left_at = Some(now);
             }
         }
-        book.client_closes.push((now, self.key));
+        event_log.client_closes.push((now, self.key));
     }
 
     /// A request that crossed a close is sent once more, as it was.
     fn send_again(&mut self, request: Request) {
         let id = request.id;
-        let wait = (request.wait * 1e3) as u64;
+        let wait = (request.client_timeout_s * 1e3) as u64;
         let set_up = set_up(&self.world.plan, request.class.name, wait, id);
-        if let Some(again) = self.world.record.book().request(id) {
-            again.is_sent_again = true;
+        if let Some(again) = self.world.recorder.event_log().request(id) {
+            again.is_resent = true;
             again.connection = self.key;
-            again.sent = f64::INFINITY;
-            again.is_first = std::mem::take(&mut self.is_first);
+            again.sent_at = f64::INFINITY;
+            again.is_first_on_connection = std::mem::take(&mut self.nothing_sent);
         }
         let bytes = bytes_of(Message { session: id, body: Body::SetUp(set_up) });
         let _ = self.writes.send(Write { request: Some(request), ..Write::of(bytes) });
@@ -384,25 +384,25 @@
 
     /// The client cancels, or ends what stands, or closes its connection; true where it closes.
     fn leave(&mut self, id: u64) -> bool {
-        let now = self.world.record.now();
-        let mut book = self.world.record.book();
+        let now = self.world.recorder.now();
+        let mut event_log = self.world.recorder.event_log();
         let is_open = self.open.contains(&id);
         if is_open && draw(self.world.plan.seed, id, 0x1eaf) < 0.4 {
-            drop(book);
+            drop(event_log);
             self.leave_all();
             return true;
         }
         if self.sends_no_more {
             return false;
         }
-        let Some(request) = book.request(id) else { return false };
+        let Some(request) = event_log.request(id) else { return false };
         if is_open {
-            request.left = Some(now);
+            request.left_at = Some(now);
             self.open.remove(&id);
-        } else if request.over.is_none() {
-            request.over = Some(now);
+        } else if request.ended_at.is_none() {
+            request.ended_at = Some(now);
         }
-        drop(book);
+        drop(event_log);
         let bytes = bytes_of(Message { session: id, body: Body::release(cause::NORMAL) });
         let _ = self.writes.send(Write::of(bytes));
         false
@@ -410,11 +410,11 @@
 
     /// Hears the node; when what stands from now on is ended by its client, if it is.
     fn hear(&mut self, message: Message) -> Option<(f64, u64)> {
-        let now = self.world.record.now();
+        let now = self.world.recorder.now();
         let id = message.session;
-        let mut book = self.world.record.book();
-        let made = book.made.get(&id).cloned().unwrap_or_default();
-        let request = book.request(id)?;
+        let mut event_log = self.world.recorder.event_log();
+        let made = event_log.descriptions_by_session.get(&id).cloned().unwrap_or_default();
+        let request = event_log.request(id)?;
         let stands = request.answers.last().is_some_and(|answer| answer.1 == Answer::Served);
         match message.body {
             Body::Answer { description, .. } => {
@@ -425,7 +425,7 @@
                 return (ends < 0.3).then_some((now + 4.0 * ends, id));
             }
             Body::Release { .. } | Body::Move if stands => {
-                request.over.get_or_insert(now);
+                request.ended_at.get_or_insert(now);
             }
             Body::Release { cause, .. } => {
                 let is_refusal = [cause::FULL, cause::TURNED_BACK, cause::MOOT].contains(&cause);
@@ -439,16 +439,16 @@
 
     /// The node closed the connection.
     fn closed(&mut self) -> Vec<Request> {
-        let now = self.world.record.now();
+        let now = self.world.recorder.now();
         let mut crossed = Vec::new();
-        let mut book = self.world.record.book();
+        let mut event_log = self.world.recorder.event_log();
         for id in &self.open {
-            let Some(request) = book.request(*id) else { continue };
-            let crosses = now - request.sent <= CROSSES_WITHIN && !self.sends_no_more;
-            if crosses && !request.is_sent_again {
+            let Some(request) = event_log.request(*id) else { continue };
+            let crosses = now - request.sent_at <= CROSSES_WITHIN && !self.sends_no_more;
+            if crosses && !request.is_resent {
                 crossed.push(request.clone());
             } else {
-                request.closed = Some(now);
+                request.connection_closed_at = Some(now);
             }
         }
         crossed
@@ -457,22 +457,22 @@
 
 /// How long after its time a client still listens for an answer.
 pub fn listens_until(request: &Request) -> f64 {
-    request.sent + request.wait + GIVES_UP_AFTER
+    request.sent_at + request.client_timeout_s + GIVES_UP_AFTER
 }
 
 /// Hands all that stands over to a node that was started again, and goes on hearing it there.
 pub async fn hand_over_all(world: Arc<World>, name: impl Fn(usize) -> String) {
     let standing: Vec<(Request, usize)> = {
-        let book = world.record.book();
+        let event_log = world.recorder.event_log();
         let stands = |request: &&Request| {
             let served = matches!(request.answers.first(), Some((_, Answer::Served)));
-            request.node == world.node.at && served && request.over.is_none()
+            request.node == world.node.at && served && request.ended_at.is_none()
         };
         let server = |request: &Request| {
-            let attempts = book.attempts.iter().rev().filter(|attempt| attempt.id == request.id);
-            attempts.clone().find(|attempt| attempt.answered.is_some()).map(|attempt| attempt.server)
+            let attempts = event_log.attempts.iter().rev().filter(|attempt| attempt.id == request.id);
+            attempts.clone().find(|attempt| attempt.answered_at.is_some()).map(|attempt| attempt.server)
         };
-        let standing = book.requests.iter().filter(stands);
+        let standing = event_log.requests.iter().filter(stands);
         standing.filter_map(|request| Some((request.clone(), server(request)?))).collect()
     };
     let Ok(Ok(mut socket)) = timeout(CONNECT_WITHIN, TcpStream::connect(world.node.listen)).await else {
@@ -487,9 +487,9 @@
     let mut bytes = BytesMut::new();
     while matches!(socket.read_buf(&mut bytes).await, Ok(1..)) {
         while let Ok(Some(message)) = Codec.decode(&mut bytes) {
-            let now = world.record.now();
-            if let Some(request) = world.record.book().request(message.session) {
-                request.over.get_or_insert(now);
+            let now = world.recorder.now();
+            if let Some(request) = world.recorder.event_log().request(message.session) {
+                request.ended_at.get_or_insert(now);
             }
         }
     }
--- a/crates/lemontide-standin/src/soak/client/bad.rs
+++ b/crates/lemontide-standin/src/soak/client/faulty.rs
@@ -9,7 +9,7 @@
 /// Clients that send what can't be used, one after the other.
 pub async fn run_bad(world: Arc<World>) {
     let mut number = 0;
-    while world.record.now() < world.last_request {
+    while world.recorder.now() < world.last_request {
         sleep(BETWEEN_BAD_CLIENTS).await;
         if *world.node.status.borrow() != Status::Up {
             continue;
@@ -38,36 +38,36 @@
 }
 
 async fn bad_client(world: Arc<World>, number: u64) {
-    let connected = world.record.now();
+    let connected = world.recorder.now();
     let (what, bytes) = bad_bytes(&world, number);
     let Ok(Ok(mut socket)) = timeout(CONNECT_WITHIN, TcpStream::connect(world.node.listen)).await else {
         return;
     };
-    let mut client = BadClient {
+    let mut client = FaultyClient {
         node: world.node.at,
-        what,
-        connected,
-        heard: None,
+        input: what,
+        connected_at: connected,
+        responded_at: None,
         was_served: false,
-        is_void: socket.write_all(&bytes).await.is_err(),
+        is_excused: socket.write_all(&bytes).await.is_err(),
     };
     let mut heard = [0; 512];
     let wait = Duration::from_secs_f64(BAD_CLIENT_WAITS + 0.5);
     if let Ok(read) = timeout(wait, socket.read(&mut heard)).await {
-        client.heard = Some(world.record.now());
+        client.responded_at = Some(world.recorder.now());
         let mut said = BytesMut::from(&heard[..read.unwrap_or(0)]);
         let answer = Codec.decode(&mut said);
         client.was_served = matches!(answer, Ok(Some(Message { body: Body::Answer { .. }, .. })));
     }
-    let mut book = world.record.book();
-    client.is_void |= book.has_gone(world.node.at, connected);
-    book.bad_clients.push(client);
+    let mut event_log = world.recorder.event_log();
+    client.is_excused |= event_log.stopped_after(world.node.at, connected);
+    event_log.faulty_clients.push(client);
 }
 
 /// Opens connections to a node on which nothing is ever said, until as many are open as the plan says.
 pub async fn run_idle(world: Arc<World>) {
     let mut open = Vec::new();
-    while world.record.now() < world.until {
+    while world.recorder.now() < world.until {
         if *world.node.status.borrow() != Status::Up {
             open.clear();
         } else if open.len() < world.plan.idle_connections {
@@ -83,7 +83,7 @@
 /// Sends one request after the other, each once more under its number soon after it was cancelled, answered or left.
 pub async fn run_repeater(world: Arc<World>) {
     let mut number = 0;
-    while world.record.now() < world.last_request {
+    while world.recorder.now() < world.last_request {
         sleep(BETWEEN_BAD_CLIENTS / 2).await;
         if *world.node.status.borrow() == Status::Up {
             number += 1;
@@ -95,29 +95,29 @@
 async fn repeat(world: Arc<World>, number: u64) {
     let id = 0x4e9e_0000_0000_0000 | ((world.node.at as u64) << 32) | number;
     let class = CLASSES[1];
-    let now = world.record.now();
+    let now = world.recorder.now();
     let request = Request {
         id,
         class,
         node: world.node.at,
         connection: ClientConnection::default(),
-        sent: now,
-        wait: class.deadline,
-        is_repeated: true,
-        is_first: true,
-        left: None,
+        sent_at: now,
+        client_timeout_s: class.deadline_s,
+        reuses_id: true,
+        is_first_on_connection: true,
+        left_at: None,
         answers: Vec::new(),
-        closed: None,
-        is_sent_again: true,
-        over: None,
+        connection_closed_at: None,
+        is_resent: true,
+        ended_at: None,
     };
     {
-        let mut book = world.record.book();
-        let at = book.requests.len();
-        book.by_id.insert(id, at);
-        book.requests.push(request);
+        let mut event_log = world.recorder.event_log();
+        let at = event_log.requests.len();
+        event_log.request_index_by_id.insert(id, at);
+        event_log.requests.push(request);
     }
-    let set_up = set_up(&world.plan, class.name, (class.deadline * 1e3) as u64, id);
+    let set_up = set_up(&world.plan, class.name, (class.deadline_s * 1e3) as u64, id);
     let bytes = bytes_of(Message { session: id, body: Body::SetUp(set_up) });
     for time in 0..3 {
         let Ok(Ok(mut socket)) = timeout(CONNECT_WITHIN, TcpStream::connect(world.node.listen)).await else {
--- a/crates/lemontide-standin/src/soak/record.rs
+++ b/crates/lemontide-standin/src/soak/event_log.rs
@@ -10,15 +10,15 @@
 pub struct Class {
     pub name: &'static str,
     /// It may be set up again without harm.
-    pub is_safe: bool,
+    pub is_idempotent: bool,
     /// Latency goal and deadline, in seconds.
-    pub goal: f64,
-    pub deadline: f64,
+    pub latency_goal_s: f64,
+    pub deadline_s: f64,
 }
 
 pub const CLASSES: [Class; 2] = [
-    Class { name: "proevelektion", is_safe: false, goal: 0.8, deadline: 3.0 },
-    Class { name: "genafspil", is_safe: true, goal: 1.5, deadline: 5.0 },
+    Class { name: "proevelektion", is_idempotent: false, latency_goal_s: 0.8, deadline_s: 3.0 },
+    Class { name: "genafspil", is_idempotent: true, latency_goal_s: 1.5, deadline_s: 5.0 },
 ];
 
 /// How a client's request was answered.
@@ -48,21 +48,21 @@
     /// The connection that it was last sent on.
     pub connection: ClientConnection,
     /// When its last byte was written, and how long the client waits.
-    pub sent: f64,
-    pub wait: f64,
+    pub sent_at: f64,
+    pub client_timeout_s: f64,
     /// Its client sends it again under its number, which is its own fault: only the rule on duplicates holds for it.
-    pub is_repeated: bool,
+    pub reuses_id: bool,
     /// It was the first on its connection.
-    pub is_first: bool,
+    pub is_first_on_connection: bool,
     /// The client cancelled it or closed its connection.
-    pub left: Option<f64>,
+    pub left_at: Option<f64>,
     pub answers: Vec<(f64, Answer)>,
     /// The node closed its connection without an answer.
-    pub closed: Option<f64>,
+    pub connection_closed_at: Option<f64>,
     /// It crossed that close and was sent once more.
-    pub is_sent_again: bool,
+    pub is_resent: bool,
     /// After it was served: its client heard that it is over, or ended it.
-    pub over: Option<f64>,
+    pub ended_at: Option<f64>,
 }
 
 /// How an attempt ended at its server.
@@ -71,9 +71,9 @@
     /// The server's refusal or failure was written; `ran` is false where it says that nothing ran.
     Answered { ran: bool },
     /// The session stood and is over.
-    Stood,
+    SessionEnded,
     /// The node gave it up, and the server has read that.
-    GivenUp,
+    Abandoned,
     /// Its connection closed or its server died.
     ConnectionClosed,
 }
@@ -85,12 +85,12 @@
     pub node: usize,
     pub class: String,
     /// When its first and last bytes came from the node.
-    pub first_byte: f64,
-    pub last_byte: f64,
+    pub first_byte_at: f64,
+    pub last_byte_at: f64,
     /// When it arrived whole at the server, behind the network.
-    pub arrived: Option<f64>,
+    pub arrived_at: Option<f64>,
     /// The server's answer that the session stands was written to the socket.
-    pub answered: Option<f64>,
+    pub answered_at: Option<f64>,
     pub ended: Option<(f64, AttemptEnd)>,
     /// When the server's own release of what stood was written, and on which of its connections.
     pub release_written: Option<(f64, u64)>,
@@ -98,14 +98,14 @@
 
 impl Attempt {
     /// Until when it is out: from its arriving whole until its end is written or it is given up.
-    pub fn over(&self) -> f64 {
+    pub fn outstanding_until(&self) -> f64 {
         let ended = self.ended.map(|(at, _)| at);
-        self.answered.into_iter().chain(ended).fold(f64::INFINITY, f64::min)
+        self.answered_at.into_iter().chain(ended).fold(f64::INFINITY, f64::min)
     }
 
     /// Whether the server said that nothing of it ran, or never saw it.
     pub fn never_ran(&self) -> bool {
-        self.arrived.is_none() || matches!(self.ended, Some((_, AttemptEnd::Answered { ran: false })))
+        self.arrived_at.is_none() || matches!(self.ended, Some((_, AttemptEnd::Answered { ran: false })))
     }
 }
 
@@ -118,17 +118,17 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct ListEvent {
+pub struct ListChange {
     pub at: f64,
     pub position: u64,
     pub server: usize,
     pub state: ListState,
     /// When each node was first written it on a connection, or started with it.
-    pub written: Vec<Option<f64>>,
+    pub sent_to_node_at: Vec<Option<f64>>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Signal {
+pub enum NodeEvent {
     Started,
     Ready,
     Terminate,
@@ -136,7 +136,7 @@
     Reconfigure,
     /// It ended by itself; true where nothing is wrong with that.
     Exited {
-        well: bool,
+        is_expected: bool,
     },
 }
 
@@ -147,94 +147,100 @@
     pub from: f64,
     pub until: f64,
     /// New connections tell at once: only the open ones fell silent.
-    pub open_ones_only: bool,
+    pub open_connections_only: bool,
 }
 
 /// A client that sent what can't be used.
 #[derive(Clone, Debug)]
-pub struct BadClient {
+pub struct FaultyClient {
     pub node: usize,
-    pub what: &'static str,
-    pub connected: f64,
+    pub input: &'static str,
+    pub connected_at: f64,
     /// A refusal, an error or a close came.
-    pub heard: Option<f64>,
+    pub responded_at: Option<f64>,
     pub was_served: bool,
     /// It waits for no word, as its node went meanwhile.
-    pub is_void: bool,
+    pub is_excused: bool,
 }
 
 /// Set-ups that a server takes from all nodes in every such window until it is warm; times in seconds since its start.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdBudget {
-    pub sends: f64,
-    pub window: f64,
-    pub span: f64,
+    pub set_ups_per_window: f64,
+    pub window_s: f64,
+    pub cold_span_s: f64,
 }
 
 impl ColdBudget {
     /// With the slack for chance: a server falls when it gets more.
-    pub fn most(&self) -> f64 {
-        self.sends + 2.0 * self.sends.sqrt() + 2.0
+    pub fn max_set_ups(&self) -> f64 {
+        self.set_ups_per_window + 2.0 * self.set_ups_per_window.sqrt() + 2.0
     }
 }
 
 #[derive(Default)]
-pub struct Book {
+pub struct EventLog {
     pub requests: Vec<Request>,
-    pub by_id: HashMap<u64, usize>,
+    pub request_index_by_id: HashMap<u64, usize>,
     pub attempts: Vec<Attempt>,
     /// What servers made, by session.
-    pub made: HashMap<u64, Vec<String>>,
-    pub list: Vec<ListEvent>,
-    pub signals: Vec<(f64, usize, Signal)>,
+    pub descriptions_by_session: HashMap<u64, Vec<String>>,
+    pub list_changes: Vec<ListChange>,
+    pub node_events: Vec<(f64, usize, NodeEvent)>,
     pub outages: Vec<Outage>,
-    pub bad_clients: Vec<BadClient>,
+    pub faulty_clients: Vec<FaultyClient>,
     /// Breaches of memory or descriptor limits, as they were read.
-    pub over_limit: Vec<(f64, usize, String)>,
+    pub limit_breaches: Vec<(f64, usize, String)>,
     /// The longest that the stand-ins themselves were late, in seconds, and when.
-    pub lateness: (f64, f64),
+    pub max_lateness: (f64, f64),
     /// Connections that clients closed, and when.
     pub client_closes: Vec<(f64, ClientConnection)>,
     /// Servers that died, and when.
-    pub deaths: Vec<(f64, usize)>,
+    pub server_crashes: Vec<(f64, usize)>,
     pub cold_budget: Option<ColdBudget>,
 }
 
-impl Book {
+impl EventLog {
     pub fn request(&mut self, id: u64) -> Option<&mut Request> {
-        let at = *self.by_id.get(&id)?;
+        let at = *self.request_index_by_id.get(&id)?;
         self.requests.get_mut(at)
     }
 
     /// The last signal of a node before a moment that `which` picks.
-    pub fn last_signal(&self, node: usize, before: f64, which: impl Fn(Signal) -> bool) -> Option<f64> {
-        let of = |(at, of, signal): &&(f64, usize, Signal)| *of == node && *at <= before && which(*signal);
-        self.signals.iter().rev().find(of).map(|(at, ..)| *at)
+    pub fn last_node_event(
+        &self,
+        node: usize,
+        before: f64,
+        which: impl Fn(NodeEvent) -> bool,
+    ) -> Option<f64> {
+        let of = |(at, of, signal): &&(f64, usize, NodeEvent)| *of == node && *at <= before && which(*signal);
+        self.node_events.iter().rev().find(of).map(|(at, ..)| *at)
     }
 
     /// Whether a node was told to go, or went, after a moment.
-    pub fn has_gone(&self, node: usize, after: f64) -> bool {
-        let goes = |signal| matches!(signal, Signal::Kill | Signal::Terminate | Signal::Exited { .. });
-        self.next_signal(node, after, goes).is_some()
+    pub fn stopped_after(&self, node: usize, after: f64) -> bool {
+        let goes =
+            |signal| matches!(signal, NodeEvent::Kill | NodeEvent::Terminate | NodeEvent::Exited { .. });
+        self.next_node_event(node, after, goes).is_some()
     }
 
     /// The first such signal after a moment.
-    pub fn next_signal(&self, node: usize, after: f64, which: impl Fn(Signal) -> bool) -> Option<f64> {
-        let of = |(at, of, signal): &&(f64, usize, Signal)| *of == node && *at >= after && which(*signal);
-        self.signals.iter().find(of).map(|(at, ..)| *at)
+    pub fn next_node_event(&self, node: usize, after: f64, which: impl Fn(NodeEvent) -> bool) -> Option<f64> {
+        let of = |(at, of, signal): &&(f64, usize, NodeEvent)| *of == node && *at >= after && which(*signal);
+        self.node_events.iter().find(of).map(|(at, ..)| *at)
     }
 }
 
 /// The record of one run, shared by all stand-ins.
-pub struct Record {
+pub struct Recorder {
     start: Instant,
     pub started: SystemTime,
-    book: Mutex<Book>,
+    event_log: Mutex<EventLog>,
 }
 
-impl Record {
-    pub fn start() -> Record {
-        Record { start: Instant::now(), started: SystemTime::now(), book: Mutex::default() }
+impl Recorder {
+    pub fn start() -> Recorder {
+        Recorder { start: Instant::now(), started: SystemTime::now(), event_log: Mutex::default() }
     }
 
     /// Seconds since the start of the run.
@@ -247,12 +253,12 @@
         tokio::time::Instant::from_std(self.start + std::time::Duration::from_secs_f64(at.max(0.0)))
     }
 
-    pub fn book(&self) -> MutexGuard<'_, Book> {
-        self.book.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn event_log(&self) -> MutexGuard<'_, EventLog> {
+        self.event_log.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn signal(&self, node: usize, signal: Signal) {
+    pub fn record_node_event(&self, node: usize, signal: NodeEvent) {
         let now = self.now();
-        self.book().signals.push((now, node, signal));
+        self.event_log().node_events.push((now, node, signal));
     }
 }
--- a/crates/lemontide-standin/src/soak/front.rs
+++ b/crates/lemontide-standin/src/soak/front.rs
@@ -34,7 +34,7 @@
 }
 
 /// The day of a seed: viewers come for so many seconds.
-pub fn draw(seed: u64, seconds: f64) -> io::Result<Day> {
+pub fn generate_day(seed: u64, seconds: f64) -> io::Result<Day> {
     let mut day: Day = serde_json::from_str(BASE)?;
     let mut chance = StdRng::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x6672_6f6e);
     (day.name, day.about) = (format!("front-{seed}"), String::new());
@@ -93,8 +93,8 @@
 }
 
 /// Plays the day of a seed.
-pub async fn play(seed: u64, program: &Path, seconds: f64, folder: &Path) -> io::Result<Outcome> {
-    let day = draw(seed, seconds)?;
+pub async fn run_seed(seed: u64, program: &Path, seconds: f64, folder: &Path) -> io::Result<Outcome> {
+    let day = generate_day(seed, seconds)?;
     day.check().map_err(|(path, what)| io::Error::other(format!("seed {seed}: {path}: {what}")))?;
     let troubles: Vec<String> = day.troubles.iter().map(kind).collect();
     let controllers = day.controllers.len();
--- a/crates/lemontide-standin/src/soak/mod.rs
+++ b/crates/lemontide-standin/src/soak/mod.rs
@@ -3,28 +3,28 @@
 //! stand-ins, `front` draws days of the other program, `node` is a controller's process, `record` keeps what crossed, `judge` reads it, `report` prints it.
 
 mod client;
-pub mod discovery;
+pub mod event_log;
 pub mod front;
-pub mod judge;
+pub mod invariants;
 mod node;
 mod plan;
-pub mod record;
 mod report;
-mod server;
+pub mod stub_discovery;
+mod stub_server;
 
 use client::World;
-use discovery::{list_event, Discovery};
+use event_log::{ListState, Recorder};
 use node::Node;
 use plan::{draw, Event, Mode, Plan};
-use record::{ListState, Record};
 use serde_json::{json, Value as Json};
-use server::Server;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use stub_discovery::{new_list_change, StubDiscovery};
+use stub_server::StubServer;
 use tokio::time::{sleep, sleep_until};
 
 /// After the script of a run its open requests are waited for, in seconds.
@@ -48,7 +48,7 @@
     /// The program that is run as `PROGRAM serve`.
     pub program: PathBuf,
     /// Length of the script of events, in seconds.
-    pub seconds: f64,
+    pub scenario_length_s: f64,
 }
 
 /// How a run ended.
@@ -59,28 +59,28 @@
     /// What broke, in the form of the operators' reports; empty where nothing did.
     pub report: String,
     /// False where the stand-ins were late, and no rule is broken but such as they may have broken by that.
-    pub is_judged: bool,
+    pub is_conclusive: bool,
 }
 
 /// The parts of one run.
 struct Cluster {
     plan: Arc<Plan>,
-    record: Arc<Record>,
-    servers: Vec<Arc<Server>>,
-    discoveries: Vec<Arc<Discovery>>,
+    recorder: Arc<Recorder>,
+    servers: Vec<Arc<StubServer>>,
+    discoveries: Vec<Arc<StubDiscovery>>,
     nodes: Vec<Arc<Node>>,
     worlds: Vec<Arc<World>>,
 }
 
 /// Plays one seed.
-pub async fn play(seed: u64, options: &Options, folder: &Path) -> io::Result<Outcome> {
-    let plan = Arc::new(Plan::draw(seed, options.seconds));
-    let record = Arc::new(Record::start());
-    let cluster = Cluster::new(plan.clone(), record.clone(), &options.program, folder);
+pub async fn run_seed(seed: u64, options: &Options, folder: &Path) -> io::Result<Outcome> {
+    let plan = Arc::new(Plan::draw(seed, options.scenario_length_s));
+    let recorder = Arc::new(Recorder::start());
+    let cluster = Cluster::new(plan.clone(), recorder.clone(), &options.program, folder);
     for server in 0..plan.servers {
         cluster.change_list(&[(server, ListState::Ready)], true);
     }
-    let lateness = tokio::spawn(watch_lateness(record.clone()));
+    let lateness = tokio::spawn(watch_lateness(recorder.clone()));
     for node in &cluster.nodes {
         tokio::spawn(node.clone().watch());
         node.start().await?;
@@ -89,7 +89,7 @@
         for slot in 0..plan.connections as u64 {
             tokio::spawn(client::run(world.clone(), slot));
         }
-        if plan.bad_clients {
+        if plan.faulty_clients {
             tokio::spawn(client::run_bad(world.clone()));
         }
         if plan.repeaters {
@@ -103,53 +103,53 @@
     for (at, event) in plan.events.clone() {
         tokio::spawn(happen(cluster.clone(), at, event));
     }
-    sleep_until(record.instant(plan.seconds + WAIT_AFTER)).await;
-    let end = record.now();
+    sleep_until(recorder.instant(plan.seconds + WAIT_AFTER)).await;
+    let end = recorder.now();
     lateness.abort();
-    let breaks = judge::judge(&record.book(), end);
+    let violations = invariants::check_invariants(&recorder.event_log(), end);
     for node in &cluster.nodes {
         node.end().await;
     }
-    let book = record.book();
-    std::fs::write(folder.join("record.txt"), report::record(&plan, &book))?;
-    let was_late = book.lateness.0 > LATE_MOST;
-    let is_judged = !was_late || breaks.iter().any(|found| !found.rule.is_timed());
+    let event_log = recorder.event_log();
+    std::fs::write(folder.join("record.txt"), report::event_log_text(&plan, &event_log))?;
+    let was_late = event_log.max_lateness.0 > LATE_MOST;
+    let is_conclusive = !was_late || violations.iter().any(|found| !found.invariant.depends_on_timing());
     let logs: Vec<PathBuf> = cluster.nodes.iter().map(|node| node.log_file()).collect();
     Ok(Outcome {
         seed,
-        summary: report::summary(&plan, &book, &breaks),
-        report: report::report(&plan, &record, &book, &breaks, &logs),
-        is_judged,
+        summary: report::summary(&plan, &event_log, &violations),
+        report: report::report(&plan, &recorder, &event_log, &violations, &logs),
+        is_conclusive,
     })
 }
 
 impl Cluster {
-    fn new(plan: Arc<Plan>, record: Arc<Record>, program: &Path, folder: &Path) -> Cluster {
+    fn new(plan: Arc<Plan>, recorder: Arc<Recorder>, program: &Path, folder: &Path) -> Cluster {
         // Each run has addresses of its own, and each process a port of its own.
         let network = [100 + RUNS.fetch_add(1, Ordering::Relaxed) % 100, 0];
         let port = 10_000 + (std::process::id() % 5_000) as u16 * 4;
         let address = |node: usize, last: u8, port: u16| {
             SocketAddr::from((Ipv4Addr::new(127, network[0], 100 + node as u8, last), port))
         };
-        let server = |at| Server::start(plan.clone(), record.clone(), at, network, port);
+        let server = |at| StubServer::start(plan.clone(), recorder.clone(), at, network, port);
         let servers: Vec<_> = (0..plan.servers).map(server).collect();
         let discovery = |node| {
             let addresses = (1..=DISCOVERY_ADDRESSES).map(|last| address(node, last, port + DISCOVERY_PORT));
-            Discovery::start(node, record.clone(), addresses.collect())
+            StubDiscovery::start(node, recorder.clone(), addresses.collect())
         };
         let discoveries: Vec<_> = (0..plan.nodes).map(discovery).collect();
         let settings = node::settings(&plan);
-        record.book().cold_budget = node::cold_budget(&settings);
+        recorder.event_log().cold_budget = node::cold_budget(&settings);
         let node = |at: usize| {
             let listen = address(at, 1, port + CLIENTS_PORT);
             let discovery = discoveries[at].clone();
-            Node::new(&plan, (at, listen), (program, folder), (record.clone(), discovery), settings.clone())
+            Node::new(&plan, (at, listen), (program, folder), (recorder.clone(), discovery), settings.clone())
         };
         let nodes: Vec<_> = (0..plan.nodes).map(node).collect();
         let world = |node: &Arc<Node>| {
             Arc::new(World {
                 plan: plan.clone(),
-                record: record.clone(),
+                recorder: recorder.clone(),
                 node: node.clone(),
                 last_request: plan.seconds - QUIET_END,
                 until: plan.seconds + WAIT_AFTER,
@@ -157,18 +157,18 @@
             })
         };
         let worlds = nodes.iter().map(world).collect();
-        Cluster { plan, record, servers, discoveries, nodes, worlds }
+        Cluster { plan, recorder, servers, discoveries, nodes, worlds }
     }
 
     /// Tells all nodes of changes of the list.
     fn change_list(&self, changes: &[(usize, ListState)], is_start: bool) {
         for (server, state) in changes {
-            let position = self.record.book().list.len() as u64 + 1;
-            let event = list_event(&self.record, self.plan.nodes, *server, *state, position);
-            self.record.book().list.push(event);
+            let position = self.recorder.event_log().list_changes.len() as u64 + 1;
+            let event = new_list_change(&self.recorder, self.plan.nodes, *server, *state, position);
+            self.recorder.event_log().list_changes.push(event);
             for (node, discovery) in self.discoveries.iter().enumerate() {
                 let entry = self.entry(node, *server, *state, is_start);
-                discovery.tell(is_start && *server == 0, vec![entry]);
+                discovery.publish(is_start && *server == 0, vec![entry]);
             }
         }
     }
@@ -196,7 +196,7 @@
 
 /// Does what the script says, in its time.
 async fn happen(cluster: Arc<Cluster>, at: f64, event: Event) {
-    sleep_until(cluster.record.instant(at)).await;
+    sleep_until(cluster.recorder.instant(at)).await;
     let done = match event {
         Event::Server { server, mode } => {
             cluster.servers[server].set_mode(mode);
@@ -239,8 +239,8 @@
 
 /// Nothing passes to or from the servers of a zone for a while, but for those that have another trouble.
 async fn cut_zone(cluster: &Cluster, zone: usize, seconds: f64) {
-    let in_zone = |server: &&Arc<Server>| cluster.plan.zone(server.at()) == cluster.plan.zone(zone);
-    let cut: Vec<&Arc<Server>> =
+    let in_zone = |server: &&Arc<StubServer>| cluster.plan.zone(server.at()) == cluster.plan.zone(zone);
+    let cut: Vec<&Arc<StubServer>> =
         cluster.servers.iter().filter(in_zone).filter(|server| server.mode() == Mode::Normal).collect();
     cut.iter().for_each(|server| server.set_mode(Mode::Silent));
     sleep(Duration::from_secs_f64(seconds)).await;
@@ -263,14 +263,14 @@
 }
 
 /// Measures how late the stand-ins themselves are.
-async fn watch_lateness(record: Arc<Record>) {
+async fn watch_lateness(recorder: Arc<Recorder>) {
     loop {
-        let due = record.now() + LOOK_AT_LATENESS.as_secs_f64();
-        sleep_until(record.instant(due)).await;
-        let now = record.now();
-        let mut book = record.book();
-        if now - due > book.lateness.0 {
-            book.lateness = (now - due, now);
+        let due = recorder.now() + LOOK_AT_LATENESS.as_secs_f64();
+        sleep_until(recorder.instant(due)).await;
+        let now = recorder.now();
+        let mut event_log = recorder.event_log();
+        if now - due > event_log.max_lateness.0 {
+            event_log.max_lateness = (now - due, now);
         }
     }
 }
--- a/crates/lemontide-standin/src/soak/node.rs
+++ b/crates/lemontide-standin/src/soak/node.rs
@@ -1,8 +1,8 @@
 //! One controller as a real process: started, signalled, watched and started again.
 
-use super::discovery::Discovery;
+use super::event_log::{ColdBudget, NodeEvent, Recorder, CLASSES};
 use super::plan::Plan;
-use super::record::{ColdBudget, Record, Signal, CLASSES};
+use super::stub_discovery::StubDiscovery;
 use crate::platform;
 use lemontide_platform::codec::Body;
 use nix::sys::signal::{kill, Signal as UnixSignal};
@@ -51,8 +51,8 @@
     pub status: watch::Sender<Status>,
     program: PathBuf,
     folder: PathBuf,
-    record: Arc<Record>,
-    discovery: Arc<Discovery>,
+    recorder: Arc<Recorder>,
+    discovery: Arc<StubDiscovery>,
     settings: Json,
     zone: String,
     signals_in_series: bool,
@@ -70,8 +70,8 @@
     let classes: Vec<Json> = CLASSES
         .iter()
         .map(|class| {
-            let effect = if class.is_safe { "read_like" } else { "non_idempotent" };
-            json!({"name": class.name, "worth": 1, "aim": class.goal, "hard_limit": class.deadline, "effect": effect})
+            let effect = if class.is_idempotent { "read_like" } else { "non_idempotent" };
+            json!({"name": class.name, "worth": 1, "aim": class.latency_goal_s, "hard_limit": class.deadline_s, "effect": effect})
         })
         .collect();
     settings["classes"] = json!(classes);
@@ -89,9 +89,13 @@
 /// What servers take while they are cold, by these settings; the page's rule 4.
 pub fn cold_budget(settings: &Json) -> Option<ColdBudget> {
     let number = |name: &str| settings.pointer(name).and_then(Json::as_f64);
-    let (span, window) = (number("/rules/cold").filter(|span| *span > 0.0)?, number("/rules/fall")?);
-    let pace = number("/family_info/kind_slots/0")? / span * number("/rules/cold_from")?;
-    Some(ColdBudget { sends: number("/rules/fall_multiple")? * pace * window, window, span })
+    let (cold_span_s, window_s) = (number("/rules/cold").filter(|span| *span > 0.0)?, number("/rules/fall")?);
+    let pace = number("/family_info/kind_slots/0")? / cold_span_s * number("/rules/cold_from")?;
+    Some(ColdBudget {
+        set_ups_per_window: number("/rules/fall_multiple")? * pace * window_s,
+        window_s,
+        cold_span_s,
+    })
 }
 
 impl Node {
@@ -100,7 +104,7 @@
         plan: &Plan,
         (at, listen): (usize, SocketAddr),
         (program, folder): (&Path, &Path),
-        (record, discovery): (Arc<Record>, Arc<Discovery>),
+        (recorder, discovery): (Arc<Recorder>, Arc<StubDiscovery>),
         settings: Json,
     ) -> Arc<Node> {
         Arc::new(Node {
@@ -109,7 +113,7 @@
             status: watch::channel(Status::Down).0,
             program: program.to_owned(),
             folder: folder.to_owned(),
-            record,
+            recorder,
             discovery,
             settings,
             zone: plan.zone(at),
@@ -133,7 +137,7 @@
         let mut settings = self.settings.clone();
         settings["me"] = json!(self.at);
         settings["zone"] = json!(self.zone);
-        let (position, known) = self.discovery.known();
+        let (position, known) = self.discovery.snapshot();
         let config = json!({
             "name": format!("n{}", self.at), "listen": self.listen, "seed": format!("{:x}", start * 64 + self.at as u64),
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
@@ -150,7 +154,7 @@
     pub async fn start(self: &Arc<Node>) -> io::Result<()> {
         self.starts.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let position = self.write_config()?;
-        self.discovery.mark_known(position);
+        self.discovery.mark_sent_up_to(position);
         let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log_file())?;
         let command = format!("ulimit -n {SOCKETS}; exec \"$0\" --log-text serve");
         let child = Command::new("/bin/sh")
@@ -166,10 +170,10 @@
             .stderr(log)
             .kill_on_drop(true)
             .spawn()?;
-        self.record.signal(self.at, Signal::Started);
+        self.recorder.record_node_event(self.at, NodeEvent::Started);
         *self.child.lock().await = Some(child);
         if timeout(READY_WITHIN, self.passes_a_test()).await.is_ok() {
-            self.record.signal(self.at, Signal::Ready);
+            self.recorder.record_node_event(self.at, NodeEvent::Ready);
             self.status.send_replace(Status::Up);
         }
         Ok(())
@@ -196,15 +200,15 @@
 
     /// SIGTERM, SIGKILL at the earliest, and a new process.
     pub async fn restart(self: Arc<Node>) -> io::Result<()> {
-        let now = self.record.now();
-        self.record.signal(self.at, Signal::Terminate);
+        let now = self.recorder.now();
+        self.recorder.record_node_event(self.at, NodeEvent::Terminate);
         self.status.send_replace(Status::Terminating(now));
         self.signal(UnixSignal::SIGTERM).await;
         for signal in SERIES.into_iter().filter(|_| self.signals_in_series) {
             sleep(BETWEEN_SIGNALS).await;
             self.signal(signal).await;
         }
-        tokio::time::sleep_until(self.record.instant(now + KILL_AFTER)).await;
+        tokio::time::sleep_until(self.recorder.instant(now + KILL_AFTER)).await;
         self.kill_and_start().await
     }
 
@@ -222,14 +226,14 @@
             let _ = child.start_kill();
             let _ = child.wait().await;
         }
-        self.record.signal(self.at, Signal::Kill);
+        self.recorder.record_node_event(self.at, NodeEvent::Kill);
     }
 
     pub async fn reconfigure(&self, times: usize) -> io::Result<()> {
         for _ in 0..times {
-            self.discovery.move_on();
+            self.discovery.move_to_next_address();
             self.write_config()?;
-            self.record.signal(self.at, Signal::Reconfigure);
+            self.recorder.record_node_event(self.at, NodeEvent::Reconfigure);
             self.signal(UnixSignal::SIGHUP).await;
             sleep(Duration::from_millis(200)).await;
         }
@@ -250,7 +254,10 @@
                 }
                 Ok(Some(code)) => {
                     let was_asked = matches!(*self.status.borrow(), Status::Terminating(_));
-                    self.record.signal(self.at, Signal::Exited { well: was_asked && code.success() });
+                    self.recorder.record_node_event(
+                        self.at,
+                        NodeEvent::Exited { is_expected: was_asked && code.success() },
+                    );
                     child.take();
                 }
                 Err(_) => {}
@@ -259,14 +266,14 @@
     }
 
     fn measure(&self, id: u32) {
-        let now = self.record.now();
+        let now = self.recorder.now();
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
         let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let kb = resident.and_then(|line| line.trim().trim_end_matches(" kB").parse::<u64>().ok());
         let descriptors = std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count) as u64;
         if kb.is_some_and(|kb| kb > MEMORY_MB * 1024) || descriptors > SOCKETS {
             let what = format!("{} kB resident, {descriptors} descriptors", kb.unwrap_or_default());
-            self.record.book().over_limit.push((now, self.at, what));
+            self.recorder.event_log().limit_breaches.push((now, self.at, what));
         }
     }
 }
--- a/crates/lemontide-standin/src/soak/plan.rs
+++ b/crates/lemontide-standin/src/soak/plan.rs
@@ -113,7 +113,7 @@
     pub requests_per_s: f64,
     /// The longest delay of a connection to a server in each direction, in seconds.
     pub delay_most: f64,
-    pub bad_clients: bool,
+    pub faulty_clients: bool,
     /// Clients that send a request again under its number.
     pub repeaters: bool,
     /// Connections to each node that say nothing.
@@ -144,7 +144,7 @@
             connections: if is_crowd { 24 } else { chance.random_range(4..=10) },
             requests_per_s: if is_crowd { 6.0 } else { chance.random_range(1.5..4.0) },
             delay_most: [0.0, 0.002, 0.05, 0.3][chance.random_range(0..4)],
-            bad_clients: chance.random_bool(0.4),
+            faulty_clients: chance.random_bool(0.4),
             repeaters: chance.random_bool(0.4),
             idle_connections: if chance.random_bool(0.2) { 400 } else { 0 },
             places: None,
--- a/crates/lemontide-standin/src/soak/report.rs
+++ b/crates/lemontide-standin/src/soak/report.rs
@@ -1,8 +1,10 @@
 //! A run in words: one line where all is well, and the form of the operators' reports where a rule is broken.
 
-use super::judge::{end_of, Break, Rule};
+use super::event_log::{
+    Answer, Attempt, ClientConnection, EventLog, ListState, NodeEvent, Recorder, Request,
+};
+use super::invariants::{attempt_outcome, Invariant, Violation};
 use super::plan::Plan;
-use super::record::{Answer, Attempt, Book, ClientConnection, ListState, Record, Request, Signal};
 use super::server_name;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -15,98 +17,108 @@
 const LINE_MOST: usize = 400;
 
 /// One line on a run.
-pub fn summary(plan: &Plan, book: &Book, breaks: &[Break]) -> String {
-    let served = book.requests.iter().filter(|r| r.answers.iter().any(|a| a.1 == Answer::Served)).count();
-    let arrived = book.attempts.iter().filter(|attempt| attempt.arrived.is_some()).count();
-    let verdict =
-        if breaks.is_empty() { "no rule broken".to_owned() } else { format!("{} breaks", breaks.len()) };
+pub fn summary(plan: &Plan, event_log: &EventLog, violations: &[Violation]) -> String {
+    let served =
+        event_log.requests.iter().filter(|r| r.answers.iter().any(|a| a.1 == Answer::Served)).count();
+    let arrived = event_log.attempts.iter().filter(|attempt| attempt.arrived_at.is_some()).count();
+    let verdict = if violations.is_empty() {
+        "no rule broken".to_owned()
+    } else {
+        format!("{} violations", violations.len())
+    };
     format!(
         "seed {}: {} nodes, {} servers, {} requests, {served} served, {} attempts, {arrived} arrived, late {:.0} ms: {verdict}",
-        plan.seed, plan.nodes, plan.servers, book.requests.len(), book.attempts.len(), book.lateness.0 * 1e3,
+        plan.seed, plan.nodes, plan.servers, event_log.requests.len(), event_log.attempts.len(), event_log.max_lateness.0 * 1e3,
     )
 }
 
 /// All requests and attempts of a run, its signals and its list: kept beside the logs.
-pub fn record(plan: &Plan, book: &Book) -> String {
+pub fn event_log_text(plan: &Plan, event_log: &EventLog) -> String {
     let mut text = String::new();
     // Writing to a string does not fail.
-    let _ = write_signals(&mut text, book).and_then(|()| write_list(&mut text, plan, book));
-    for request in &book.requests {
-        let _ = write_session(&mut text, plan, book, request.id);
+    let _ = write_signals(&mut text, event_log).and_then(|()| write_list(&mut text, plan, event_log));
+    for request in &event_log.requests {
+        let _ = write_session(&mut text, plan, event_log, request.id);
     }
     text
 }
 
 /// What broke, with all that is known of it.
-pub fn report(plan: &Plan, record: &Record, book: &Book, breaks: &[Break], logs: &[PathBuf]) -> String {
-    if breaks.is_empty() {
+pub fn report(
+    plan: &Plan,
+    recorder: &Recorder,
+    event_log: &EventLog,
+    violations: &[Violation],
+    logs: &[PathBuf],
+) -> String {
+    if violations.is_empty() {
         return String::new();
     }
     let mut text = String::new();
     // Writing to a string does not fail.
-    let _ = write_report(&mut text, plan, record, book, breaks, logs);
+    let _ = write_report(&mut text, plan, recorder, event_log, violations, logs);
     text
 }
 
 fn write_report(
     text: &mut String,
     plan: &Plan,
-    record: &Record,
-    book: &Book,
-    breaks: &[Break],
+    recorder: &Recorder,
+    event_log: &EventLog,
+    violations: &[Violation],
     logs: &[PathBuf],
 ) -> std::fmt::Result {
-    let started = record.started.duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64());
+    let started = recorder.started.duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64());
     writeln!(text, "What went wrong")?;
     writeln!(text, "seed {}, {} nodes; second 0 was {started:.3} (Unix)", plan.seed, plan.nodes)?;
-    let mut by_rule: BTreeMap<Rule, Vec<&Break>> = BTreeMap::new();
-    for found in breaks {
-        by_rule.entry(found.rule).or_default().push(found);
+    let mut by_invariant: BTreeMap<Invariant, Vec<&Violation>> = BTreeMap::new();
+    for found in violations {
+        by_invariant.entry(found.invariant).or_default().push(found);
     }
-    for (rule, found) in &by_rule {
-        writeln!(text, "\n{} ({} times)", rule.text(), found.len())?;
-        for Break { session, what, .. } in found.iter().take(CASES_MOST) {
-            writeln!(text, "{what}")?;
+    for (invariant, found) in &by_invariant {
+        writeln!(text, "\n{} ({} times)", invariant.description(), found.len())?;
+        for Violation { session, details, .. } in found.iter().take(CASES_MOST) {
+            writeln!(text, "{details}")?;
             if let Some(id) = session {
-                write_session(text, plan, book, *id)?;
+                write_session(text, plan, event_log, *id)?;
             }
         }
     }
-    write_signals(text, book)?;
-    write_list(text, plan, book)?;
+    write_signals(text, event_log)?;
+    write_list(text, plan, event_log)?;
     writeln!(text, "\nEvents of the seed")?;
     for (at, event) in &plan.events {
         writeln!(text, "{at:.3} {event:?}")?;
     }
-    let sessions: Vec<u64> = breaks.iter().filter_map(|found| found.session).take(CASES_MOST).collect();
+    let sessions: Vec<u64> = violations.iter().filter_map(|found| found.session).take(CASES_MOST).collect();
     for (node, log) in logs.iter().enumerate() {
         write_log(text, node, log, &sessions)?;
     }
     Ok(())
 }
 
-fn write_session(text: &mut String, plan: &Plan, book: &Book, id: u64) -> std::fmt::Result {
-    if let Some(request) = book.by_id.get(&id).map(|at| &book.requests[*at]) {
+fn write_session(text: &mut String, plan: &Plan, event_log: &EventLog, id: u64) -> std::fmt::Result {
+    if let Some(request) = event_log.request_index_by_id.get(&id).map(|at| &event_log.requests[*at]) {
         writeln!(text, "client: {}", client_line(request))?;
     }
-    for attempt in book.attempts.iter().filter(|attempt| attempt.id == id) {
+    for attempt in event_log.attempts.iter().filter(|attempt| attempt.id == id) {
         writeln!(text, "  backend {}", attempt_line(plan, attempt))?;
     }
     Ok(())
 }
 
 fn client_line(request: &Request) -> String {
-    let safety = if request.class.is_safe { "safe" } else { "unsafe" };
-    let mut end = match (request.answers.first(), request.left, request.closed) {
+    let safety = if request.class.is_idempotent { "safe" } else { "unsafe" };
+    let mut end = match (request.answers.first(), request.left_at, request.connection_closed_at) {
         (Some((at, answer)), ..) => format!("ended {at:.3}: {answer:?}"),
         (None, Some(at), _) => format!("left {at:.3}"),
         (None, None, Some(at)) => format!("connection closed {at:.3}"),
         (None, None, None) => "never ended".to_owned(),
     };
-    if let Some(at) = request.over {
+    if let Some(at) = request.ended_at {
         let _ = write!(end, ", over {at:.3}");
     }
-    if request.is_sent_again {
+    if request.is_resent {
         end += ", sent again after a close";
     }
     format!(
@@ -114,8 +126,8 @@
         request.id,
         request.class.name,
         connection_name(&request.connection),
-        request.sent,
-        request.wait
+        request.sent_at,
+        request.client_timeout_s
     )
 }
 
@@ -125,13 +137,13 @@
         "{} from n{}: bytes {:.3} to {:.3}, taken {}, answered {}, ended {}, released {}: {}",
         server_name(plan.seed, attempt.server),
         attempt.node,
-        attempt.first_byte,
-        attempt.last_byte,
-        time(attempt.arrived),
-        time(attempt.answered),
+        attempt.first_byte_at,
+        attempt.last_byte_at,
+        time(attempt.arrived_at),
+        time(attempt.answered_at),
         time(attempt.ended.map(|(at, _)| at)),
         time(attempt.release_written.map(|(at, _)| at)),
-        end_of(attempt),
+        attempt_outcome(attempt),
     )
 }
 
@@ -140,26 +152,26 @@
     format!("n{} by c{}.{}", connection.node, connection.client, connection.number)
 }
 
-fn write_signals(text: &mut String, book: &Book) -> std::fmt::Result {
+fn write_signals(text: &mut String, event_log: &EventLog) -> std::fmt::Result {
     writeln!(text, "\nSignals")?;
-    for (at, node, signal) in &book.signals {
+    for (at, node, signal) in &event_log.node_events {
         let what = match signal {
-            Signal::Started => "started",
-            Signal::Ready => "ready",
-            Signal::Terminate => "SIGTERM",
-            Signal::Kill => "SIGKILL",
-            Signal::Reconfigure => "SIGHUP",
-            Signal::Exited { well: true } => "ended",
-            Signal::Exited { well: false } => "crashed",
+            NodeEvent::Started => "started",
+            NodeEvent::Ready => "ready",
+            NodeEvent::Terminate => "SIGTERM",
+            NodeEvent::Kill => "SIGKILL",
+            NodeEvent::Reconfigure => "SIGHUP",
+            NodeEvent::Exited { is_expected: true } => "ended",
+            NodeEvent::Exited { is_expected: false } => "crashed",
         };
         writeln!(text, "n{node} {at:.3} {what}")?;
     }
     Ok(())
 }
 
-fn write_list(text: &mut String, plan: &Plan, book: &Book) -> std::fmt::Result {
+fn write_list(text: &mut String, plan: &Plan, event_log: &EventLog) -> std::fmt::Result {
     writeln!(text, "\nThe list of servers")?;
-    for event in &book.list {
+    for event in &event_log.list_changes {
         let state = match event.state {
             ListState::Ready => "ready",
             ListState::Draining => "draining",
@@ -174,9 +186,9 @@
         )?;
     }
     let closes: Vec<String> =
-        book.client_closes.iter().map(|(at, of)| format!("{} {at:.3}", connection_name(of))).collect();
+        event_log.client_closes.iter().map(|(at, of)| format!("{} {at:.3}", connection_name(of))).collect();
     writeln!(text, "Connections that clients closed: {}", closes.join(", "))?;
-    for (at, server) in &book.deaths {
+    for (at, server) in &event_log.server_crashes {
         writeln!(text, "{at:.3} {} died", server_name(plan.seed, *server))?;
     }
     Ok(())
--- a/crates/lemontide-standin/src/soak/discovery.rs
+++ b/crates/lemontide-standin/src/soak/stub_discovery.rs
@@ -1,7 +1,7 @@
 //! A stand-in of the discovery service of one node: numbered events, a word a second, and outages of every kind.
 
-use super::record::{ListEvent, ListState, Outage, Record};
-use super::server::bind;
+use super::event_log::{ListChange, ListState, Outage, Recorder};
+use super::stub_server::bind;
 use serde_json::{json, Value as Json};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -28,21 +28,21 @@
     last: u64,
 }
 
-pub struct Discovery {
+pub struct StubDiscovery {
     node: usize,
-    record: Arc<Record>,
+    recorder: Arc<Recorder>,
     addresses: Vec<SocketAddr>,
     /// Events as this node reads them; the first is the whole list of the start.
     events: Mutex<Vec<Json>>,
     status: watch::Sender<Status>,
 }
 
-impl Discovery {
-    pub fn start(node: usize, record: Arc<Record>, addresses: Vec<SocketAddr>) -> Arc<Discovery> {
+impl StubDiscovery {
+    pub fn start(node: usize, recorder: Arc<Recorder>, addresses: Vec<SocketAddr>) -> Arc<StubDiscovery> {
         let status = Status { address: 0, is_down: false, silent_before: None, last: 0 };
-        let discovery = Arc::new(Discovery {
+        let discovery = Arc::new(StubDiscovery {
             node,
-            record,
+            recorder,
             addresses,
             events: Mutex::default(),
             status: watch::channel(status).0,
@@ -62,7 +62,7 @@
     }
 
     /// Tells an event; positions count from 1.
-    pub fn tell(&self, is_full: bool, servers: Vec<Json>) {
+    pub fn publish(&self, is_full: bool, servers: Vec<Json>) {
         let mut events = self.events();
         let position = events.len() as u64 + 1;
         events.push(
@@ -73,30 +73,35 @@
     }
 
     /// What a configuration holds of the list, up to the position that is given with it.
-    pub fn known(&self) -> (u64, Json) {
+    pub fn snapshot(&self) -> (u64, Json) {
         let entries = self.events().clone();
         (entries.len() as u64, json!({"pos": entries.len(), "entries": entries}))
     }
 
     /// A process starts, which reads all events up to this position in its configuration.
-    pub fn mark_known(&self, last: u64) {
+    pub fn mark_sent_up_to(&self, last: u64) {
         for position in 1..=last {
-            self.mark_written(position);
+            self.mark_sent(position);
         }
     }
 
-    fn mark_written(&self, position: u64) {
-        let now = self.record.now();
-        let mut book = self.record.book();
-        for event in book.list.iter_mut().filter(|event| event.position == position) {
-            event.written[self.node].get_or_insert(now);
+    fn mark_sent(&self, position: u64) {
+        let now = self.recorder.now();
+        let mut event_log = self.recorder.event_log();
+        for event in event_log.list_changes.iter_mut().filter(|event| event.position == position) {
+            event.sent_to_node_at[self.node].get_or_insert(now);
         }
     }
 
-    fn outage(&self, seconds: f64, open_ones_only: bool) {
-        let from = self.record.now();
+    fn outage(&self, seconds: f64, open_connections_only: bool) {
+        let from = self.recorder.now();
         let until = from + seconds;
-        self.record.book().outages.push(Outage { node: self.node, from, until, open_ones_only });
+        self.recorder.event_log().outages.push(Outage {
+            node: self.node,
+            from,
+            until,
+            open_connections_only,
+        });
     }
 
     pub async fn go_down(&self, seconds: f64) {
@@ -108,31 +113,31 @@
 
     pub async fn fall_silent(&self, seconds: f64) {
         self.outage(seconds, true);
-        let now = self.record.now();
+        let now = self.recorder.now();
         self.status.send_modify(|status| status.silent_before = Some(now));
         sleep(Duration::from_secs_f64(seconds)).await;
         self.status.send_modify(|status| status.silent_before = None);
     }
 
     /// Goes on at the next address.
-    pub fn move_on(&self) {
+    pub fn move_to_next_address(&self) {
         let most = self.addresses.len();
         self.status.send_modify(|status| status.address = (status.address + 1).min(most - 1));
     }
 }
 
 /// An event of the record, before it is told.
-pub fn list_event(
-    record: &Record,
+pub fn new_list_change(
+    recorder: &Recorder,
     nodes: usize,
     server: usize,
     state: ListState,
     position: u64,
-) -> ListEvent {
-    ListEvent { at: record.now(), position, server, state, written: vec![None; nodes] }
+) -> ListChange {
+    ListChange { at: recorder.now(), position, server, state, sent_to_node_at: vec![None; nodes] }
 }
 
-async fn listen(discovery: Arc<Discovery>, address: usize) {
+async fn listen(discovery: Arc<StubDiscovery>, address: usize) {
     let mut status = discovery.status.subscribe();
     loop {
         let serves = |status: &Status| status.address == address && !status.is_down;
@@ -157,8 +162,8 @@
 }
 
 /// Serves one follower until the service moves or goes down.
-async fn follow(discovery: Arc<Discovery>, address: usize, mut socket: TcpStream) {
-    let opened = discovery.record.now();
+async fn follow(discovery: Arc<StubDiscovery>, address: usize, mut socket: TcpStream) {
+    let opened = discovery.recorder.now();
     let mut status = discovery.status.subscribe();
     let Some(mut last) = timeout(WORD_EVERY, asked(&mut socket)).await.ok().flatten() else { return };
     loop {
@@ -181,7 +186,7 @@
                 if socket.write_all((line + "\n").as_bytes()).await.is_err() {
                     return;
                 }
-                discovery.mark_written(position);
+                discovery.mark_sent(position);
                 last = position;
             }
             if socket.write_all(format!("{last}\n").as_bytes()).await.is_err() {
--- a/crates/lemontide-standin/src/soak/server.rs
+++ b/crates/lemontide-standin/src/soak/stub_server.rs
@@ -6,8 +6,8 @@
 pub use connection::bind;
 use connection::listen;
 
+use super::event_log::{Attempt, AttemptEnd, Recorder};
 use super::plan::{draw, Mode, Plan};
-use super::record::{Attempt, AttemptEnd, Record};
 use crate::platform::bytes_of;
 use bytes::Bytes;
 use lemontide::interface::Load;
@@ -92,10 +92,10 @@
     connections: u64,
 }
 
-pub struct Server {
+pub struct StubServer {
     at: usize,
     plan: Arc<Plan>,
-    record: Arc<Record>,
+    recorder: Arc<Recorder>,
     state: Mutex<State>,
     /// Counts the deaths; connections end with their process.
     process: watch::Sender<u64>,
@@ -103,24 +103,24 @@
     addresses: Vec<SocketAddr>,
 }
 
-impl Server {
+impl StubServer {
     /// Starts a server that listens at an address of its own for each node.
     pub fn start(
         plan: Arc<Plan>,
-        record: Arc<Record>,
+        recorder: Arc<Recorder>,
         at: usize,
         network: [u8; 2],
         port: u16,
-    ) -> Arc<Server> {
+    ) -> Arc<StubServer> {
         let address = |node: usize| {
             let ip = Ipv4Addr::new(127, network[0], network[1].wrapping_add(node as u8), at as u8 + 1);
             SocketAddr::from((ip, port))
         };
-        let server = Arc::new(Server {
+        let server = Arc::new(StubServer {
             at,
             addresses: (0..plan.nodes).map(address).collect(),
             plan,
-            record,
+            recorder,
             state: Mutex::new(State {
                 mode: Mode::Normal,
                 sessions: Vec::new(),
@@ -154,14 +154,15 @@
     }
 
     pub fn set_mode(&self, mode: Mode) {
-        let now = self.record.now();
+        let now = self.recorder.now();
         let mut state = self.state();
         if mode == Mode::Dead && state.mode != Mode::Dead {
-            let mut book = self.record.book();
-            book.deaths.push((now, self.at));
+            let mut event_log = self.recorder.event_log();
+            event_log.server_crashes.push((now, self.at));
             for session in state.sessions.drain(..) {
-                let end = if session.stands { AttemptEnd::Stood } else { AttemptEnd::ConnectionClosed };
-                book.attempts[session.attempt].ended = Some((now, end));
+                let end =
+                    if session.stands { AttemptEnd::SessionEnded } else { AttemptEnd::ConnectionClosed };
+                event_log.attempts[session.attempt].ended = Some((now, end));
             }
             state.links.clear();
             state.released.clear();
@@ -181,8 +182,8 @@
     }
 
     fn end(&self, attempt: usize, end: AttemptEnd) {
-        let now = self.record.now();
-        self.record.book().attempts[attempt].ended.get_or_insert((now, end));
+        let now = self.recorder.now();
+        self.recorder.event_log().attempts[attempt].ended.get_or_insert((now, end));
     }
 
     /// Sends on a connection of this number, or on any to the node where it is gone; whether there was one.
@@ -190,7 +191,7 @@
         let of_node = state.links.iter().filter(|link| link.node == node);
         let link = of_node.clone().find(|link| link.connection == connection).or(of_node.clone().next_back());
         let Some(link) = link else { return false };
-        let at = self.record.now() + link.delay;
+        let at = self.recorder.now() + link.delay;
         link.out.send(Out::Bytes { at, bytes: bytes_of(message), mark }).is_ok()
     }
 
@@ -206,7 +207,7 @@
     }
 
     /// A message arrives, behind the network.
-    fn take(self: &Arc<Server>, node: usize, connection: u64, message: Message, attempt: Option<usize>) {
+    fn take(self: &Arc<StubServer>, node: usize, connection: u64, message: Message, attempt: Option<usize>) {
         let Message { session, body } = message;
         match body {
             Body::Test => {
@@ -218,8 +219,8 @@
             }
             Body::SetUp(set_up) => {
                 let Some(attempt) = attempt else { return };
-                let now = self.record.now();
-                self.record.book().attempts[attempt].arrived = Some(now);
+                let now = self.recorder.now();
+                self.recorder.event_log().attempts[attempt].arrived_at = Some(now);
                 let new = Session { id: session, attempt, node, connection, stands: false };
                 let has_room = self.take_up(new);
                 let treatment =
@@ -245,7 +246,10 @@
         let place = state.sessions.iter().position(setting_up);
         if let Some(place) = place.or_else(|| state.sessions.iter().position(standing)) {
             let session = state.sessions.remove(place);
-            self.end(session.attempt, if session.stands { AttemptEnd::Stood } else { AttemptEnd::GivenUp });
+            self.end(
+                session.attempt,
+                if session.stands { AttemptEnd::SessionEnded } else { AttemptEnd::Abandoned },
+            );
         }
         // To acknowledge it is free.
         if self.plan.seed.is_multiple_of(2) {
@@ -266,16 +270,16 @@
     /// The end of a connection may overtake what was written shortly before it: releases are said on another one, at
     /// once or when one is opened, and count from then on.
     fn release_again(&self, connection: u64) {
-        let since = self.record.now() - OVERTAKEN;
+        let since = self.recorder.now() - OVERTAKEN;
         let state = self.state();
         for (_, node, session, attempt) in &state.released {
-            let mut book = self.record.book();
-            let written = &mut book.attempts[*attempt].release_written;
+            let mut event_log = self.recorder.event_log();
+            let written = &mut event_log.attempts[*attempt].release_written;
             if !written.is_some_and(|(at, on)| on == connection && at >= since) {
                 continue;
             }
             *written = None;
-            drop(book);
+            drop(event_log);
             let release = Message { session: *session, body: Body::release(cause::NORMAL) };
             self.say(&state, *node, connection, release, Mark::Released(*attempt));
         }
@@ -284,8 +288,8 @@
     /// Waits for the moment in which viewers look, as the run's clock has it.
     async fn until_viewers_look(&self) {
         let phase = VIEWERS_LOOK_EVERY * draw(self.plan.seed, 0x0c10, 0);
-        let looks = ((self.record.now() - phase) / VIEWERS_LOOK_EVERY).ceil();
-        tokio::time::sleep_until(self.record.instant(phase + looks * VIEWERS_LOOK_EVERY)).await;
+        let looks = ((self.recorder.now() - phase) / VIEWERS_LOOK_EVERY).ceil();
+        tokio::time::sleep_until(self.recorder.instant(phase + looks * VIEWERS_LOOK_EVERY)).await;
     }
 
     fn has_session(&self, attempt: usize) -> bool {
@@ -300,7 +304,8 @@
 
     fn treatment(&self, id: u64, attempt: usize) -> Treatment {
         let odds = &self.plan.odds;
-        let earlier = self.record.book().attempts[..attempt].iter().filter(|a| a.id == id).count() as u64;
+        let earlier =
+            self.recorder.event_log().attempts[..attempt].iter().filter(|a| a.id == id).count() as u64;
         let mut rest = draw(self.plan.seed, id, earlier);
         let all = [
             (odds.refused, Treatment::Release(cause::FULL)),
@@ -327,7 +332,7 @@
 
 /// Does with a set-up what is drawn for it.
 async fn treat(
-    server: Arc<Server>,
+    server: Arc<StubServer>,
     node: usize,
     connection: u64,
     id: u64,
@@ -372,7 +377,7 @@
             let state = server.state();
             let link = state.links.iter().find(|link| link.connection == connection);
             if let Some(link) = link {
-                let at = server.record.now() + link.delay;
+                let at = server.recorder.now() + link.delay;
                 let _ = link.out.send(Out::Bytes { at, bytes: noise, mark });
             }
         }
@@ -405,7 +410,7 @@
 
 /// The session stands from now on; false where it was given up.
 fn stand(
-    server: &Server,
+    server: &StubServer,
     node: usize,
     connection: u64,
     id: u64,
@@ -413,7 +418,7 @@
     treatment: Treatment,
 ) -> bool {
     let description = format!("{id:016x} by {} for attempt {attempt}", server.at);
-    server.record.book().made.entry(id).or_default().push(description.clone());
+    server.recorder.event_log().descriptions_by_session.entry(id).or_default().push(description.clone());
     server.with_session(attempt, |state, session| {
         session.stands = true;
         if treatment == Treatment::LoseAnswer {
@@ -437,22 +442,22 @@
 }
 
 /// The viewer of a session ends it there. Its client is owed the answer all the same, and no release.
-fn viewer_leaves(server: &Server, id: u64, attempt: usize) {
+fn viewer_leaves(server: &StubServer, id: u64, attempt: usize) {
     let Some(session) = server.forget(attempt) else { return };
-    server.end(attempt, AttemptEnd::Stood);
-    let now = server.record.now();
-    if let Some(request) = server.record.book().request(id) {
-        request.over.get_or_insert(now);
+    server.end(attempt, AttemptEnd::SessionEnded);
+    let now = server.recorder.now();
+    if let Some(request) = server.recorder.event_log().request(id) {
+        request.ended_at.get_or_insert(now);
     }
     let left = Message { session: id, body: Body::release(cause::CANCELLED) };
     server.say(&server.state(), session.node, session.connection, left, Mark::Nothing);
 }
 
 /// What stood has come to its end.
-fn end_of_play(server: &Server, attempt: usize) {
+fn end_of_play(server: &StubServer, attempt: usize) {
     let Some(session) = server.forget(attempt) else { return };
-    server.end(attempt, AttemptEnd::Stood);
-    let now = server.record.now();
+    server.end(attempt, AttemptEnd::SessionEnded);
+    let now = server.recorder.now();
     let mut state = server.state();
     state.released.retain(|released| now - released.0 < RELEASE_AGAIN);
     state.released.push((now, session.node, session.id, attempt));
--- a/crates/lemontide-standin/src/soak/server/connection.rs
+++ b/crates/lemontide-standin/src/soak/stub_server/connection.rs
@@ -17,7 +17,7 @@
 const BETWEEN_PIECES: Duration = Duration::from_millis(2);
 
 /// Accepts the connections of one node while the process lives.
-pub(super) async fn listen(server: Arc<Server>, node: usize) {
+pub(super) async fn listen(server: Arc<StubServer>, node: usize) {
     let mut mode = server.mode.subscribe();
     loop {
         if mode.wait_for(|mode| *mode != Mode::Dead).await.is_err() {
@@ -51,7 +51,7 @@
 }
 
 /// Runs one connection until either end closes it, or the process dies.
-async fn serve(server: Arc<Server>, node: usize, socket: TcpStream) {
+async fn serve(server: Arc<StubServer>, node: usize, socket: TcpStream) {
     let _ = socket.set_nodelay(true);
     let odds = &server.plan.odds;
     let number = {
@@ -62,7 +62,7 @@
     let connection = (number << 8) | server.at as u64;
     let place = (server.at * 64 + node) as u64;
     let draw = |what: u64| draw(server.plan.seed, place + 0xc000, number * 8 + what);
-    let opened = server.record.now();
+    let opened = server.recorder.now();
     let delay = server.plan.delay_most * draw(0);
     let ready = if draw(1) < odds.late_connection { opened + draw(2) } else { opened };
     let closes = (draw(3) < odds.early_close).then(|| opened + 0.2 + 3.0 * draw(4));
@@ -97,31 +97,31 @@
     }
 }
 
-async fn close_at(server: &Server, closes: Option<f64>) {
+async fn close_at(server: &StubServer, closes: Option<f64>) {
     match closes {
-        Some(at) => sleep_until(server.record.instant(at)).await,
+        Some(at) => sleep_until(server.recorder.instant(at)).await,
         None => std::future::pending().await,
     }
 }
 
 /// Reads what a node writes, and passes it on as the network delivers it. Ends only where nothing more arrives.
 async fn read_all(
-    server: &Server,
+    server: &StubServer,
     node: usize,
     mut socket: OwnedReadHalf,
     arrivals: mpsc::UnboundedSender<(f64, Arrival)>,
     delivered: impl Fn(f64) -> f64,
 ) {
     let mut bytes = BytesMut::new();
-    let mut first_byte = None;
+    let mut first_byte_at = None;
     loop {
         let read = socket.read_buf(&mut bytes).await;
-        let now = server.record.now();
+        let now = server.recorder.now();
         if !matches!(read, Ok(1..)) {
             let _ = arrivals.send((delivered(now), Arrival::End));
             return std::future::pending().await;
         }
-        let mut began = *first_byte.get_or_insert(now);
+        let mut began = *first_byte_at.get_or_insert(now);
         loop {
             match Codec.decode(&mut bytes) {
                 Ok(Some(message)) => {
@@ -135,48 +135,48 @@
                 Err(_) => return,
             }
         }
-        first_byte = (!bytes.is_empty()).then_some(began);
+        first_byte_at = (!bytes.is_empty()).then_some(began);
     }
 }
 
 fn record_attempt(
-    server: &Server,
+    server: &StubServer,
     node: usize,
     message: &Message,
-    first_byte: f64,
-    last_byte: f64,
+    first_byte_at: f64,
+    last_byte_at: f64,
 ) -> Option<usize> {
     let Body::SetUp(set_up) = &message.body else { return None };
-    let mut book = server.record.book();
-    book.attempts.push(Attempt {
+    let mut event_log = server.recorder.event_log();
+    event_log.attempts.push(Attempt {
         id: message.session,
         server: server.at,
         node,
         class: set_up.lane.clone(),
-        first_byte,
-        last_byte,
-        arrived: None,
-        answered: None,
+        first_byte_at,
+        last_byte_at,
+        arrived_at: None,
+        answered_at: None,
         ended: None,
         release_written: None,
     });
-    Some(book.attempts.len() - 1)
+    Some(event_log.attempts.len() - 1)
 }
 
 /// Hands over what arrives, in order and in its time.
 async fn deliver(
-    server: &Arc<Server>,
+    server: &Arc<StubServer>,
     node: usize,
     connection: u64,
     mut arrivals: mpsc::UnboundedReceiver<(f64, Arrival)>,
 ) {
     while let Some((at, arrival)) = arrivals.recv().await {
-        sleep_until(server.record.instant(at)).await;
+        sleep_until(server.recorder.instant(at)).await;
         server.passes().await;
         match arrival {
             Arrival::Message(message, attempt) => server.take(node, connection, *message, attempt),
             Arrival::End => {
-                server.close(connection, AttemptEnd::GivenUp);
+                server.close(connection, AttemptEnd::Abandoned);
                 return;
             }
         }
@@ -184,7 +184,7 @@
 }
 
 struct Writer {
-    server: Arc<Server>,
+    server: Arc<StubServer>,
     connection: u64,
     socket: OwnedWriteHalf,
     in_pieces: bool,
@@ -197,7 +197,7 @@
             match out {
                 Out::Close { reset } => return reset,
                 Out::Bytes { at, bytes, mark } => {
-                    sleep_until(self.server.record.instant(at)).await;
+                    sleep_until(self.server.recorder.instant(at)).await;
                     self.server.passes().await;
                     if self.write(&bytes, mark).await.is_err() {
                         // The reading half tells of the end.
@@ -222,19 +222,19 @@
     }
 
     fn mark(&self, mark: Mark) {
-        let now = self.server.record.now();
+        let now = self.server.recorder.now();
         if let Mark::Ended(attempt, _) = mark {
             self.server.forget(attempt);
         }
-        let mut book = self.server.record.book();
+        let mut event_log = self.server.recorder.event_log();
         match mark {
             Mark::Nothing => {}
-            Mark::Answered(attempt) => book.attempts[attempt].answered = Some(now),
+            Mark::Answered(attempt) => event_log.attempts[attempt].answered_at = Some(now),
             Mark::Ended(attempt, end) => {
-                book.attempts[attempt].ended.get_or_insert((now, end));
+                event_log.attempts[attempt].ended.get_or_insert((now, end));
             }
             Mark::Released(attempt) => {
-                book.attempts[attempt].release_written.get_or_insert((now, self.connection));
+                event_log.attempts[attempt].release_written.get_or_insert((now, self.connection));
             }
         }
     }
