--- a/crates/lemontide-standin/src/soak/client.rs
+++ b/crates/lemontide-standin/src/soak/client.rs
@@ -3,7 +3,7 @@
 
 mod faulty;
 
-pub use faulty::{run_bad, run_idle, run_repeater, BAD_CLIENT_WAITS};
+pub use faulty::{run_faulty, run_idle, run_repeating, FAULTY_CLIENT_TIMEOUT_S};
 
 use super::event_log::{Answer, ClientConnection, FaultyClient, Recorder, Request, CLASSES};
 use super::node::{Node, Status};
@@ -22,62 +22,62 @@
 use tokio_util::codec::Decoder;
 
 /// After SIGTERM new connections are opened for so long, in seconds.
-const NEW_CONNECTIONS_FOR: f64 = 0.3;
+const CONNECT_AFTER_SIGTERM_S: f64 = 0.3;
 /// A set-up that crosses a close within this time is sent once more, in seconds.
-const CROSSES_WITHIN: f64 = 0.05;
+const CLOSE_RACE_S: f64 = 0.05;
 /// A request is unanswered for good so long after its time, in seconds.
-const GIVES_UP_AFTER: f64 = 1.0;
+const GIVE_UP_AFTER_S: f64 = 1.0;
 /// What no message begins with.
-const NOISE: [u8; 8] = [0; 8];
+const GARBAGE: [u8; 8] = [0; 8];
 /// The longest that a slow writer takes for one message, in seconds.
-const SLOW_WRITE: f64 = 0.15;
-const CONNECT_WITHIN: Duration = Duration::from_millis(500);
-const BETWEEN_CONNECTS: Duration = Duration::from_millis(30);
+const MAX_SLOW_WRITE_S: f64 = 0.15;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const CONNECT_INTERVAL: Duration = Duration::from_millis(30);
 
 /// What clients need of the run.
-pub struct World {
+pub struct ClientContext {
     pub plan: Arc<Plan>,
     pub recorder: Arc<Recorder>,
     pub node: Arc<Node>,
     /// No request is begun after this moment, in seconds.
-    pub last_request: f64,
-    pub until: f64,
+    pub last_request_at: f64,
+    pub run_until: f64,
     /// Requests that each client has sent at once, or is to.
-    pub rush: watch::Sender<usize>,
+    pub rush_requests: watch::Sender<usize>,
 }
 
 /// Something that is written by the writer of a connection.
-struct Write {
+struct OutgoingMessage {
     bytes: Vec<u8>,
     /// It is the set-up of this request; slowly, where `pauses` is above 0 seconds.
     request: Option<Request>,
-    pauses: f64,
+    write_duration_s: f64,
     /// The client closes its half behind it.
-    closes_half: bool,
+    half_closes: bool,
 }
 
-impl Write {
-    fn of(bytes: Vec<u8>) -> Write {
-        Write { bytes, request: None, pauses: 0.0, closes_half: false }
+impl OutgoingMessage {
+    fn of(bytes: Vec<u8>) -> OutgoingMessage {
+        OutgoingMessage { bytes, request: None, write_duration_s: 0.0, half_closes: false }
     }
 }
 
 /// What a client does to its own connection behind a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Misuse {
-    ClosesHalf,
-    Resets,
-    SendsNoise,
+enum ConnectionFault {
+    HalfClose,
+    Reset,
+    SendGarbage,
 }
 
 /// Titles that are asked for.
-const TITLES: u64 = 8;
+const TITLE_COUNT: u64 = 8;
 
 fn set_up(plan: &Plan, class: &str, wait_ms: u64, id: u64) -> SetUp {
     SetUp {
         lane: class.into(),
         tenant: plan.tenant(id),
-        title: format!("t{}", id % TITLES),
+        title: format!("t{}", id % TITLE_COUNT),
         wait_ms,
         figures: Some(Figures { home: 0, copies: plan.servers, top: 1, again: false, at: None }),
         description: Bytes::from_static(b"asked"),
@@ -96,42 +96,42 @@
 }
 
 /// Runs one client, connection after connection.
-pub async fn run(world: Arc<World>, slot: u64) {
-    let (mut number, mut connections) = (0, 0);
-    let mut crossed = Vec::new();
-    while world.recorder.now() < world.until {
-        if !may_connect(&world) {
-            sleep(BETWEEN_CONNECTS).await;
+pub async fn run(context: Arc<ClientContext>, slot: u64) {
+    let (mut request_count, mut connection_count) = (0, 0);
+    let mut to_resend = Vec::new();
+    while context.recorder.now() < context.run_until {
+        if !may_connect(&context) {
+            sleep(CONNECT_INTERVAL).await;
             continue;
         }
-        let Ok(Ok(socket)) = timeout(CONNECT_WITHIN, TcpStream::connect(world.node.listen)).await else {
-            sleep(BETWEEN_CONNECTS).await;
+        let Ok(Ok(socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen)).await else {
+            sleep(CONNECT_INTERVAL).await;
             continue;
         };
         let _ = socket.set_nodelay(true);
         let (mut read, write) = socket.into_split();
         let (writes, written) = mpsc::unbounded_channel();
-        connections += 1;
+        connection_count += 1;
         let mut connection = Connection {
-            world: world.clone(),
-            key: ClientConnection { node: world.node.at, client: slot, number: connections },
+            context: context.clone(),
+            key: ClientConnection { node: context.node.at, client: slot, number: connection_count },
             slot,
-            number: &mut number,
+            request_count: &mut request_count,
             writes,
-            open: BTreeSet::new(),
+            unanswered: BTreeSet::new(),
             nothing_sent: true,
-            sends_no_more: false,
-            resets: false,
-            noise: None,
+            sending_stopped: false,
+            ends_with_reset: false,
+            garbage_sent_at: None,
         };
-        for request in std::mem::take(&mut crossed) {
-            connection.send_again(request);
+        for request in std::mem::take(&mut to_resend) {
+            connection.resend(request);
         }
-        let recorder = world.recorder.clone();
+        let recorder = context.recorder.clone();
         let write = tokio::spawn(write_all(recorder, write, written));
-        crossed = connection.attend(&mut read).await;
-        connection.tell_noise();
-        if connection.resets {
+        to_resend = connection.exchange(&mut read).await;
+        connection.record_garbage_result();
+        if connection.ends_with_reset {
             let _ = read.as_ref().set_zero_linger();
         }
         drop(connection);
@@ -140,27 +140,27 @@
 }
 
 /// What a client does behind a request, by a number from 0 to 1.
-fn misuse(plan: &Plan, drawn: f64) -> Option<Misuse> {
+fn connection_fault(plan: &Plan, drawn: f64) -> Option<ConnectionFault> {
     let odds = &plan.odds;
     let all = [
-        (odds.half_closes, Misuse::ClosesHalf),
-        (odds.resets, Misuse::Resets),
-        (odds.spoils_own, Misuse::SendsNoise),
+        (odds.half_closes, ConnectionFault::HalfClose),
+        (odds.resets, ConnectionFault::Reset),
+        (odds.spoils_own, ConnectionFault::SendGarbage),
     ];
     let mut rest = drawn;
-    for (chance, misuse) in all {
+    for (chance, connection_fault) in all {
         if rest < chance {
-            return Some(misuse);
+            return Some(connection_fault);
         }
         rest -= chance;
     }
     None
 }
 
-fn may_connect(world: &World) -> bool {
-    match *world.node.status.borrow() {
+fn may_connect(context: &ClientContext) -> bool {
+    match *context.node.status.borrow() {
         Status::Up => true,
-        Status::Terminating(since) => world.recorder.now() - since < NEW_CONNECTIONS_FOR,
+        Status::Terminating(since) => context.recorder.now() - since < CONNECT_AFTER_SIGTERM_S,
         Status::Down => false,
     }
 }
@@ -168,15 +168,15 @@
 async fn write_all(
     recorder: Arc<Recorder>,
     mut socket: OwnedWriteHalf,
-    mut writes: mpsc::UnboundedReceiver<Write>,
+    mut writes: mpsc::UnboundedReceiver<OutgoingMessage>,
 ) {
-    while let Some(Write { bytes, request, pauses, closes_half }) = writes.recv().await {
-        let pieces = if pauses > 0.0 { 3 } else { 1 };
+    while let Some(OutgoingMessage { bytes, request, write_duration_s, half_closes }) = writes.recv().await {
+        let pieces = if write_duration_s > 0.0 { 3 } else { 1 };
         let mut is_written = true;
         for piece in bytes.chunks(bytes.len().div_ceil(pieces).max(1)) {
             is_written &= socket.write_all(piece).await.is_ok();
-            if pauses > 0.0 {
-                sleep(Duration::from_secs_f64(pauses / 3.0)).await;
+            if write_duration_s > 0.0 {
+                sleep(Duration::from_secs_f64(write_duration_s / 3.0)).await;
             }
         }
         if !is_written {
@@ -188,7 +188,7 @@
                 request.sent_at = request.sent_at.min(now);
             }
         }
-        if closes_half {
+        if half_closes {
             let _ = socket.shutdown().await;
             return;
         }
@@ -196,70 +196,70 @@
 }
 
 struct Connection<'a> {
-    world: Arc<World>,
+    context: Arc<ClientContext>,
     key: ClientConnection,
     slot: u64,
-    number: &'a mut u64,
-    writes: mpsc::UnboundedSender<Write>,
+    request_count: &'a mut u64,
+    writes: mpsc::UnboundedSender<OutgoingMessage>,
     /// Requests that wait for an answer here.
-    open: BTreeSet<u64>,
+    unanswered: BTreeSet<u64>,
     nothing_sent: bool,
     /// It has closed its half, or sent what can't be read: nothing it sends now would be taken.
-    sends_no_more: bool,
+    sending_stopped: bool,
     /// It ends with a reset.
-    resets: bool,
+    ends_with_reset: bool,
     /// When it sent what can't be read.
-    noise: Option<f64>,
+    garbage_sent_at: Option<f64>,
 }
 
 impl Connection<'_> {
     /// Sends and reads until the connection is over; the requests that crossed its close.
-    async fn attend(&mut self, socket: &mut OwnedReadHalf) -> Vec<Request> {
+    async fn exchange(&mut self, socket: &mut OwnedReadHalf) -> Vec<Request> {
         let mut bytes = BytesMut::new();
-        let mut status = self.world.node.status.subscribe();
-        let mut next = self.world.recorder.now() + 0.05 * draw(self.world.plan.seed, self.slot, 1);
+        let mut status = self.context.node.status.subscribe();
+        let mut next = self.context.recorder.now() + 0.05 * draw(self.context.plan.seed, self.slot, 1);
         let mut cancels: Vec<(f64, u64)> = Vec::new();
-        let mut rush = self.world.rush.subscribe();
-        let mut rushed = *rush.borrow_and_update();
+        let mut rush_requests = self.context.rush_requests.subscribe();
+        let mut rushed = *rush_requests.borrow_and_update();
         loop {
-            let now = self.world.recorder.now();
-            if now >= self.world.until || *status.borrow_and_update() == Status::Down {
+            let now = self.context.recorder.now();
+            if now >= self.context.run_until || *status.borrow_and_update() == Status::Down {
                 return Vec::new();
             }
             let due = cancels.iter().map(|(at, _)| *at).fold(next, f64::min);
             tokio::select! {
                 read = socket.read_buf(&mut bytes) => {
                     if !matches!(read, Ok(1..)) {
-                        return self.closed();
+                        return self.connection_closed();
                     }
                     loop {
                         match Codec.decode(&mut bytes) {
-                            Ok(Some(message)) => cancels.extend(self.hear(message)),
+                            Ok(Some(message)) => cancels.extend(self.receive(message)),
                             Ok(None) => break,
-                            Err(_) => return self.closed(),
+                            Err(_) => return self.connection_closed(),
                         }
                     }
                 }
                 _ = status.changed() => {}
-                _ = rush.changed() => {
-                    let requests = *rush.borrow_and_update();
+                _ = rush_requests.changed() => {
+                    let requests = *rush_requests.borrow_and_update();
                     (rushed..requests).for_each(|_| cancels.extend(self.send()));
                     rushed = requests;
-                    if self.resets {
+                    if self.ends_with_reset {
                         return Vec::new();
                     }
                 }
-                () = sleep_until(self.world.recorder.instant(due)) => {
+                () = sleep_until(self.context.recorder.instant(due)) => {
                     if let Some(place) = cancels.iter().position(|(at, _)| *at <= due) {
                         if self.leave(cancels.swap_remove(place).1) {
                             return Vec::new();
                         }
                     } else {
                         cancels.extend(self.send());
-                        if self.resets {
+                        if self.ends_with_reset {
                             return Vec::new();
                         }
-                        let gap = 2.0 * draw(self.world.plan.seed, self.slot * 977 + 5, *self.number);
+                        let gap = 2.0 * draw(self.context.plan.seed, self.slot * 977 + 5, *self.request_count);
                         next = due + gap / self.rate();
                     }
                 }
@@ -269,21 +269,21 @@
 
     /// Requests a second on this connection.
     fn rate(&self) -> f64 {
-        self.world.plan.requests_per_s
+        self.context.plan.requests_per_s
     }
 
     /// Sends the next request; when its client leaves, if it does.
     fn send(&mut self) -> Option<(f64, u64)> {
-        let now = self.world.recorder.now();
-        if now >= self.world.last_request || self.sends_no_more {
+        let now = self.context.recorder.now();
+        if now >= self.context.last_request_at || self.sending_stopped {
             return None;
         }
-        *self.number += 1;
-        let (plan, recorder) = (&self.world.plan, &self.world.recorder);
-        let place = ((self.world.node.at as u64) << 40) | (self.slot << 24) | *self.number;
+        *self.request_count += 1;
+        let (plan, recorder) = (&self.context.plan, &self.context.recorder);
+        let place = ((self.context.node.at as u64) << 40) | (self.slot << 24) | *self.request_count;
         let draw = |what: u64| draw(plan.seed ^ 0xc11e, place, what);
         let number = (draw(0) * 2f64.powi(53)) as u64;
-        let id = (number << 8) | (self.world.node.at as u64 + 1);
+        let id = (number << 8) | (self.context.node.at as u64 + 1);
         let class = CLASSES[usize::from(draw(1) < 0.6)];
         let is_short = draw(2) < 0.03;
         let wait = if is_short { 0.05 + 0.3 * draw(3) } else { class.deadline_s };
@@ -291,7 +291,7 @@
         let request = Request {
             id,
             class,
-            node: self.world.node.at,
+            node: self.context.node.at,
             connection: self.key,
             sent_at: f64::INFINITY,
             client_timeout_s: wait,
@@ -309,38 +309,43 @@
         event_log.requests.push(request.clone());
         drop(event_log);
         let bytes = bytes_of(Message { session: id, body: Body::SetUp(set_up) });
-        let pauses = if draw(4) < plan.odds.slow_writer { SLOW_WRITE * draw(5) } else { 0.0 };
-        let misuse = misuse(plan, draw(8));
-        let closes_half = misuse == Some(Misuse::ClosesHalf);
-        let _ = self.writes.send(Write { bytes, request: Some(request), pauses, closes_half });
-        self.open.insert(id);
-        if let Some(misuse) = misuse {
-            self.misuse(misuse);
+        let write_duration_s = if draw(4) < plan.odds.slow_writer { MAX_SLOW_WRITE_S * draw(5) } else { 0.0 };
+        let connection_fault = connection_fault(plan, draw(8));
+        let half_closes = connection_fault == Some(ConnectionFault::HalfClose);
+        let _ = self.writes.send(OutgoingMessage {
+            bytes,
+            request: Some(request),
+            write_duration_s,
+            half_closes,
+        });
+        self.unanswered.insert(id);
+        if let Some(connection_fault) = connection_fault {
+            self.connection_fault(connection_fault);
             return None;
         }
-        (draw(6) < plan.odds.leaves).then(|| (now + pauses + 1.2 * draw(7) * draw(7), id))
+        (draw(6) < plan.odds.leaves).then(|| (now + write_duration_s + 1.2 * draw(7) * draw(7), id))
     }
 
     /// Does this to the own connection, behind the last request.
-    fn misuse(&mut self, misuse: Misuse) {
-        self.sends_no_more = true;
-        match misuse {
-            Misuse::ClosesHalf => {}
-            Misuse::SendsNoise => {
-                self.noise = Some(self.world.recorder.now());
-                let _ = self.writes.send(Write::of(NOISE.to_vec()));
+    fn connection_fault(&mut self, connection_fault: ConnectionFault) {
+        self.sending_stopped = true;
+        match connection_fault {
+            ConnectionFault::HalfClose => {}
+            ConnectionFault::SendGarbage => {
+                self.garbage_sent_at = Some(self.context.recorder.now());
+                let _ = self.writes.send(OutgoingMessage::of(GARBAGE.to_vec()));
             }
-            Misuse::Resets => {
-                self.resets = true;
+            ConnectionFault::Reset => {
+                self.ends_with_reset = true;
                 self.leave_all();
             }
         }
     }
 
     /// Records whether the node closed the connection on which it was sent what can't be read.
-    fn tell_noise(&mut self) {
-        let Some(sent) = self.noise else { return };
-        let (recorder, node) = (&self.world.recorder, self.world.node.at);
+    fn record_garbage_result(&mut self) {
+        let Some(sent) = self.garbage_sent_at else { return };
+        let (recorder, node) = (&self.context.recorder, self.context.node.at);
         let now = recorder.now();
         let mut event_log = recorder.event_log();
         let client = FaultyClient {
@@ -356,9 +361,9 @@
 
     /// The client closes its connection: it waits for nothing on it any more.
     fn leave_all(&self) {
-        let now = self.world.recorder.now();
-        let mut event_log = self.world.recorder.event_log();
-        for id in &self.open {
+        let now = self.context.recorder.now();
+        let mut event_log = self.context.recorder.event_log();
+        for id in &self.unanswered {
             if let Some(request) = event_log.request(*id) {
                 request.left_at = Some(now);
             }
@@ -367,70 +372,72 @@
     }
 
     /// A request that crossed a close is sent once more, as it was.
-    fn send_again(&mut self, request: Request) {
+    fn resend(&mut self, request: Request) {
         let id = request.id;
         let wait = (request.client_timeout_s * 1e3) as u64;
-        let set_up = set_up(&self.world.plan, request.class.name, wait, id);
-        if let Some(again) = self.world.recorder.event_log().request(id) {
+        let set_up = set_up(&self.context.plan, request.class.name, wait, id);
+        if let Some(again) = self.context.recorder.event_log().request(id) {
             again.is_resent = true;
             again.connection = self.key;
             again.sent_at = f64::INFINITY;
             again.is_first_on_connection = std::mem::take(&mut self.nothing_sent);
         }
         let bytes = bytes_of(Message { session: id, body: Body::SetUp(set_up) });
-        let _ = self.writes.send(Write { request: Some(request), ..Write::of(bytes) });
-        self.open.insert(id);
+        let _ = self.writes.send(OutgoingMessage { request: Some(request), ..OutgoingMessage::of(bytes) });
+        self.unanswered.insert(id);
     }
 
     /// The client cancels, or ends what stands, or closes its connection; true where it closes.
     fn leave(&mut self, id: u64) -> bool {
-        let now = self.world.recorder.now();
-        let mut event_log = self.world.recorder.event_log();
-        let is_open = self.open.contains(&id);
-        if is_open && draw(self.world.plan.seed, id, 0x1eaf) < 0.4 {
+        let now = self.context.recorder.now();
+        let mut event_log = self.context.recorder.event_log();
+        let is_open = self.unanswered.contains(&id);
+        if is_open && draw(self.context.plan.seed, id, 0x1eaf) < 0.4 {
             drop(event_log);
             self.leave_all();
             return true;
         }
-        if self.sends_no_more {
+        if self.sending_stopped {
             return false;
         }
         let Some(request) = event_log.request(id) else { return false };
         if is_open {
             request.left_at = Some(now);
-            self.open.remove(&id);
+            self.unanswered.remove(&id);
         } else if request.ended_at.is_none() {
             request.ended_at = Some(now);
         }
         drop(event_log);
         let bytes = bytes_of(Message { session: id, body: Body::release(cause::NORMAL) });
-        let _ = self.writes.send(Write::of(bytes));
+        let _ = self.writes.send(OutgoingMessage::of(bytes));
         false
     }
 
     /// Hears the node; when what stands from now on is ended by its client, if it is.
-    fn hear(&mut self, message: Message) -> Option<(f64, u64)> {
-        let now = self.world.recorder.now();
+    fn receive(&mut self, message: Message) -> Option<(f64, u64)> {
+        let now = self.context.recorder.now();
         let id = message.session;
-        let mut event_log = self.world.recorder.event_log();
+        let mut event_log = self.context.recorder.event_log();
         let made = event_log.descriptions_by_session.get(&id).cloned().unwrap_or_default();
         let request = event_log.request(id)?;
         let stands = request.answers.last().is_some_and(|answer| answer.1 == Answer::Served);
         match message.body {
             Body::Answer { description, .. } => {
-                let is_right = made.iter().any(|made| made.as_bytes() == &description[..]);
-                request.answers.push((now, if is_right { Answer::Served } else { Answer::ServedWrong }));
-                self.open.remove(&id);
-                let ends = draw(self.world.plan.seed, id, 0xe4d5);
+                let was_made_for_request = made.iter().any(|made| made.as_bytes() == &description[..]);
+                request
+                    .answers
+                    .push((now, if was_made_for_request { Answer::Served } else { Answer::ServedWrong }));
+                self.unanswered.remove(&id);
+                let ends = draw(self.context.plan.seed, id, 0xe4d5);
                 return (ends < 0.3).then_some((now + 4.0 * ends, id));
             }
             Body::Release { .. } | Body::Move if stands => {
                 request.ended_at.get_or_insert(now);
             }
             Body::Release { cause, .. } => {
-                let is_refusal = [cause::FULL, cause::TURNED_BACK, cause::MOOT].contains(&cause);
-                request.answers.push((now, if is_refusal { Answer::Refused } else { Answer::Failed }));
-                self.open.remove(&id);
+                let is_rejection = [cause::FULL, cause::TURNED_BACK, cause::MOOT].contains(&cause);
+                request.answers.push((now, if is_rejection { Answer::Refused } else { Answer::Failed }));
+                self.unanswered.remove(&id);
             }
             _ => {}
         }
@@ -438,35 +445,35 @@
     }
 
     /// The node closed the connection.
-    fn closed(&mut self) -> Vec<Request> {
-        let now = self.world.recorder.now();
-        let mut crossed = Vec::new();
-        let mut event_log = self.world.recorder.event_log();
-        for id in &self.open {
+    fn connection_closed(&mut self) -> Vec<Request> {
+        let now = self.context.recorder.now();
+        let mut to_resend = Vec::new();
+        let mut event_log = self.context.recorder.event_log();
+        for id in &self.unanswered {
             let Some(request) = event_log.request(*id) else { continue };
-            let crosses = now - request.sent_at <= CROSSES_WITHIN && !self.sends_no_more;
-            if crosses && !request.is_resent {
-                crossed.push(request.clone());
+            let close_raced = now - request.sent_at <= CLOSE_RACE_S && !self.sending_stopped;
+            if close_raced && !request.is_resent {
+                to_resend.push(request.clone());
             } else {
                 request.connection_closed_at = Some(now);
             }
         }
-        crossed
+        to_resend
     }
 }
 
 /// How long after its time a client still listens for an answer.
-pub fn listens_until(request: &Request) -> f64 {
-    request.sent_at + request.client_timeout_s + GIVES_UP_AFTER
+pub fn answer_awaited_until(request: &Request) -> f64 {
+    request.sent_at + request.client_timeout_s + GIVE_UP_AFTER_S
 }
 
 /// Hands all that stands over to a node that was started again, and goes on hearing it there.
-pub async fn hand_over_all(world: Arc<World>, name: impl Fn(usize) -> String) {
+pub async fn hand_over_all(context: Arc<ClientContext>, name: impl Fn(usize) -> String) {
     let standing: Vec<(Request, usize)> = {
-        let event_log = world.recorder.event_log();
+        let event_log = context.recorder.event_log();
         let stands = |request: &&Request| {
             let served = matches!(request.answers.first(), Some((_, Answer::Served)));
-            request.node == world.node.at && served && request.ended_at.is_none()
+            request.node == context.node.at && served && request.ended_at.is_none()
         };
         let server = |request: &Request| {
             let attempts = event_log.attempts.iter().rev().filter(|attempt| attempt.id == request.id);
@@ -475,11 +482,11 @@
         let standing = event_log.requests.iter().filter(stands);
         standing.filter_map(|request| Some((request.clone(), server(request)?))).collect()
     };
-    let Ok(Ok(mut socket)) = timeout(CONNECT_WITHIN, TcpStream::connect(world.node.listen)).await else {
+    let Ok(Ok(mut socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen)).await else {
         return;
     };
     for (request, server) in &standing {
-        let message = hand_over(&world.plan, request, &name(*server));
+        let message = hand_over(&context.plan, request, &name(*server));
         if socket.write_all(&bytes_of(message)).await.is_err() {
             return;
         }
@@ -487,8 +494,8 @@
     let mut bytes = BytesMut::new();
     while matches!(socket.read_buf(&mut bytes).await, Ok(1..)) {
         while let Ok(Some(message)) = Codec.decode(&mut bytes) {
-            let now = world.recorder.now();
-            if let Some(request) = world.recorder.event_log().request(message.session) {
+            let now = context.recorder.now();
+            if let Some(request) = context.recorder.event_log().request(message.session) {
                 request.ended_at.get_or_insert(now);
             }
         }
--- a/crates/lemontide-standin/src/soak/client/faulty.rs
+++ b/crates/lemontide-standin/src/soak/client/faulty.rs
@@ -3,26 +3,26 @@
 use super::*;
 
 /// A bad client is owed a word within this time, in seconds; it waits somewhat longer.
-pub const BAD_CLIENT_WAITS: f64 = 3.0;
-const BETWEEN_BAD_CLIENTS: Duration = Duration::from_millis(400);
+pub const FAULTY_CLIENT_TIMEOUT_S: f64 = 3.0;
+const FAULTY_CLIENT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Clients that send what can't be used, one after the other.
-pub async fn run_bad(world: Arc<World>) {
+pub async fn run_faulty(context: Arc<ClientContext>) {
     let mut number = 0;
-    while world.recorder.now() < world.last_request {
-        sleep(BETWEEN_BAD_CLIENTS).await;
-        if *world.node.status.borrow() != Status::Up {
+    while context.recorder.now() < context.last_request_at {
+        sleep(FAULTY_CLIENT_INTERVAL).await;
+        if *context.node.status.borrow() != Status::Up {
             continue;
         }
         number += 1;
-        tokio::spawn(bad_client(world.clone(), number));
+        tokio::spawn(faulty_client(context.clone(), number));
     }
 }
 
 /// What a bad client sends; none where it sends too much to be held here.
-fn bad_bytes(world: &World, number: u64) -> (&'static str, Vec<u8>) {
-    let plan = &world.plan;
-    let id = 0xbad0_0000_0000_0000 | ((world.node.at as u64) << 32) | number;
+fn faulty_bytes(context: &ClientContext, number: u64) -> (&'static str, Vec<u8>) {
+    let plan = &context.plan;
+    let id = 0xbad0_0000_0000_0000 | ((context.node.at as u64) << 32) | number;
     let message = |session, set_up| bytes_of(Message { session, body: Body::SetUp(set_up) });
     let usable = set_up(plan, CLASSES[1].name, 3000, 1);
     match number % 8 {
@@ -37,14 +37,14 @@
     }
 }
 
-async fn bad_client(world: Arc<World>, number: u64) {
-    let connected = world.recorder.now();
-    let (what, bytes) = bad_bytes(&world, number);
-    let Ok(Ok(mut socket)) = timeout(CONNECT_WITHIN, TcpStream::connect(world.node.listen)).await else {
+async fn faulty_client(context: Arc<ClientContext>, number: u64) {
+    let connected = context.recorder.now();
+    let (what, bytes) = faulty_bytes(&context, number);
+    let Ok(Ok(mut socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen)).await else {
         return;
     };
     let mut client = FaultyClient {
-        node: world.node.at,
+        node: context.node.at,
         input: what,
         connected_at: connected,
         responded_at: None,
@@ -52,54 +52,54 @@
         is_excused: socket.write_all(&bytes).await.is_err(),
     };
     let mut heard = [0; 512];
-    let wait = Duration::from_secs_f64(BAD_CLIENT_WAITS + 0.5);
+    let wait = Duration::from_secs_f64(FAULTY_CLIENT_TIMEOUT_S + 0.5);
     if let Ok(read) = timeout(wait, socket.read(&mut heard)).await {
-        client.responded_at = Some(world.recorder.now());
+        client.responded_at = Some(context.recorder.now());
         let mut said = BytesMut::from(&heard[..read.unwrap_or(0)]);
         let answer = Codec.decode(&mut said);
         client.was_served = matches!(answer, Ok(Some(Message { body: Body::Answer { .. }, .. })));
     }
-    let mut event_log = world.recorder.event_log();
-    client.is_excused |= event_log.stopped_after(world.node.at, connected);
+    let mut event_log = context.recorder.event_log();
+    client.is_excused |= event_log.stopped_after(context.node.at, connected);
     event_log.faulty_clients.push(client);
 }
 
 /// Opens connections to a node on which nothing is ever said, until as many are open as the plan says.
-pub async fn run_idle(world: Arc<World>) {
+pub async fn run_idle(context: Arc<ClientContext>) {
     let mut open = Vec::new();
-    while world.recorder.now() < world.until {
-        if *world.node.status.borrow() != Status::Up {
+    while context.recorder.now() < context.run_until {
+        if *context.node.status.borrow() != Status::Up {
             open.clear();
-        } else if open.len() < world.plan.idle_connections {
-            if let Ok(Ok(socket)) = timeout(CONNECT_WITHIN, TcpStream::connect(world.node.listen)).await {
+        } else if open.len() < context.plan.idle_connections {
+            if let Ok(Ok(socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen)).await {
                 open.push(socket);
                 continue;
             }
         }
-        sleep(BETWEEN_CONNECTS).await;
+        sleep(CONNECT_INTERVAL).await;
     }
 }
 
 /// Sends one request after the other, each once more under its number soon after it was cancelled, answered or left.
-pub async fn run_repeater(world: Arc<World>) {
+pub async fn run_repeating(context: Arc<ClientContext>) {
     let mut number = 0;
-    while world.recorder.now() < world.last_request {
-        sleep(BETWEEN_BAD_CLIENTS / 2).await;
-        if *world.node.status.borrow() == Status::Up {
+    while context.recorder.now() < context.last_request_at {
+        sleep(FAULTY_CLIENT_INTERVAL / 2).await;
+        if *context.node.status.borrow() == Status::Up {
             number += 1;
-            tokio::spawn(repeat(world.clone(), number));
+            tokio::spawn(repeat_request(context.clone(), number));
         }
     }
 }
 
-async fn repeat(world: Arc<World>, number: u64) {
-    let id = 0x4e9e_0000_0000_0000 | ((world.node.at as u64) << 32) | number;
+async fn repeat_request(context: Arc<ClientContext>, number: u64) {
+    let id = 0x4e9e_0000_0000_0000 | ((context.node.at as u64) << 32) | number;
     let class = CLASSES[1];
-    let now = world.recorder.now();
+    let now = context.recorder.now();
     let request = Request {
         id,
         class,
-        node: world.node.at,
+        node: context.node.at,
         connection: ClientConnection::default(),
         sent_at: now,
         client_timeout_s: class.deadline_s,
@@ -112,22 +112,23 @@
         ended_at: None,
     };
     {
-        let mut event_log = world.recorder.event_log();
+        let mut event_log = context.recorder.event_log();
         let at = event_log.requests.len();
         event_log.request_index_by_id.insert(id, at);
         event_log.requests.push(request);
     }
-    let set_up = set_up(&world.plan, class.name, (class.deadline_s * 1e3) as u64, id);
+    let set_up = set_up(&context.plan, class.name, (class.deadline_s * 1e3) as u64, id);
     let bytes = bytes_of(Message { session: id, body: Body::SetUp(set_up) });
     for time in 0..3 {
-        let Ok(Ok(mut socket)) = timeout(CONNECT_WITHIN, TcpStream::connect(world.node.listen)).await else {
+        let Ok(Ok(mut socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen)).await
+        else {
             return;
         };
         if socket.write_all(&bytes).await.is_err() {
             return;
         }
         let mut answer = [0; 64];
-        let wait = 0.8 * draw(world.plan.seed, id, time);
+        let wait = 0.8 * draw(context.plan.seed, id, time);
         let _ = timeout(Duration::from_secs_f64(wait), socket.read(&mut answer)).await;
         if number.is_multiple_of(2) {
             let cancel = bytes_of(Message { session: id, body: Body::release(cause::NORMAL) });
--- a/crates/lemontide-standin/src/soak/mod.rs
+++ b/crates/lemontide-standin/src/soak/mod.rs
@@ -12,7 +12,7 @@
 pub mod stub_discovery;
 mod stub_server;
 
-use client::World;
+use client::ClientContext;
 use event_log::{ListState, Recorder};
 use node::Node;
 use plan::{draw, Event, Mode, Plan};
@@ -69,7 +69,7 @@
     servers: Vec<Arc<StubServer>>,
     discoveries: Vec<Arc<StubDiscovery>>,
     nodes: Vec<Arc<Node>>,
-    worlds: Vec<Arc<World>>,
+    client_contexts: Vec<Arc<ClientContext>>,
 }
 
 /// Plays one seed.
@@ -85,18 +85,18 @@
         tokio::spawn(node.clone().watch());
         node.start().await?;
     }
-    for world in &cluster.worlds {
+    for context in &cluster.client_contexts {
         for slot in 0..plan.connections as u64 {
-            tokio::spawn(client::run(world.clone(), slot));
+            tokio::spawn(client::run(context.clone(), slot));
         }
         if plan.faulty_clients {
-            tokio::spawn(client::run_bad(world.clone()));
+            tokio::spawn(client::run_faulty(context.clone()));
         }
         if plan.repeaters {
-            tokio::spawn(client::run_repeater(world.clone()));
+            tokio::spawn(client::run_repeating(context.clone()));
         }
         if plan.idle_connections > 0 {
-            tokio::spawn(client::run_idle(world.clone()));
+            tokio::spawn(client::run_idle(context.clone()));
         }
     }
     let cluster = Arc::new(cluster);
@@ -146,18 +146,18 @@
             Node::new(&plan, (at, listen), (program, folder), (recorder.clone(), discovery), settings.clone())
         };
         let nodes: Vec<_> = (0..plan.nodes).map(node).collect();
-        let world = |node: &Arc<Node>| {
-            Arc::new(World {
+        let context = |node: &Arc<Node>| {
+            Arc::new(ClientContext {
                 plan: plan.clone(),
                 recorder: recorder.clone(),
                 node: node.clone(),
-                last_request: plan.seconds - QUIET_END,
-                until: plan.seconds + WAIT_AFTER,
-                rush: tokio::sync::watch::channel(0).0,
+                last_request_at: plan.seconds - QUIET_END,
+                run_until: plan.seconds + WAIT_AFTER,
+                rush_requests: tokio::sync::watch::channel(0).0,
             })
         };
-        let worlds = nodes.iter().map(world).collect();
-        Cluster { plan, recorder, servers, discoveries, nodes, worlds }
+        let client_contexts = nodes.iter().map(context).collect();
+        Cluster { plan, recorder, servers, discoveries, nodes, client_contexts }
     }
 
     /// Tells all nodes of changes of the list.
@@ -228,7 +228,9 @@
             Ok(())
         }
         Event::Rush { requests } => {
-            cluster.worlds.iter().for_each(|world| world.rush.send_modify(|rush| *rush += requests));
+            cluster.client_contexts.iter().for_each(|context| {
+                context.rush_requests.send_modify(|rush_requests| *rush_requests += requests)
+            });
             Ok(())
         }
     };
@@ -258,7 +260,7 @@
     start.await?;
     let seed = cluster.plan.seed;
     let name = move |server| server_name(seed, server);
-    tokio::spawn(client::hand_over_all(cluster.worlds[node].clone(), name));
+    tokio::spawn(client::hand_over_all(cluster.client_contexts[node].clone(), name));
     Ok(())
 }
 
--- a/crates/lemontide-standin/tests/soak_judge.rs
+++ b/crates/lemontide-standin/tests/soak_judge.rs
@@ -181,9 +181,9 @@
     assert_eq!(after(true, |b| b.requests[0].ended_at = None), [Invariant::ReleasesForwarded]);
     assert_eq!(
         after(true, |b| b.node_events.push((20.0, 0, NodeEvent::Exited { is_expected: false }))),
-        [Invariant::NodesStayUp]
+        [Invariant::NoCrashes]
     );
-    assert_eq!(after(true, |b| b.node_events.retain(|s| s.2 != NodeEvent::Ready)), [Invariant::NodesStayUp]);
+    assert_eq!(after(true, |b| b.node_events.retain(|s| s.2 != NodeEvent::Ready)), [Invariant::NoCrashes]);
     assert_eq!(after(true, |b| b.attempts[0].class = "other".into()), [Invariant::OnlyRequestedSetUps]);
     assert_eq!(
         after(true, |b| b.limit_breaches.push((3.0, 0, "900 descriptors".into()))),
