--- a/crates/lemontide-standin/src/soak/client.rs
+++ b/crates/lemontide-standin/src/soak/client.rs
@@ -6,8 +6,8 @@
 pub use faulty::{run_faulty, run_idle, run_repeating, FAULTY_CLIENT_TIMEOUT_S};
 
 use super::event_log::{Answer, ClientConnection, FaultyClient, Recorder, Request, CLASSES};
-use super::node::{Node, Status};
-use super::plan::{draw, Plan};
+use super::node::{NodeProcess, NodeStatus};
+use super::plan::{seeded_fraction, Plan};
 use crate::platform::bytes_of;
 use bytes::{Bytes, BytesMut};
 use lemontide_platform::codec::{cause, Body, Codec, Figures, Message, SetUp};
@@ -38,7 +38,7 @@
 pub struct ClientContext {
     pub plan: Arc<Plan>,
     pub recorder: Arc<Recorder>,
-    pub node: Arc<Node>,
+    pub node: Arc<NodeProcess>,
     /// No request is begun after this moment, in seconds.
     pub last_request_at: f64,
     pub run_until: f64,
@@ -79,7 +79,7 @@
         tenant: plan.tenant(id),
         title: format!("t{}", id % TITLE_COUNT),
         wait_ms,
-        figures: Some(Figures { home: 0, copies: plan.servers, top: 1, again: false, at: None }),
+        figures: Some(Figures { home: 0, copies: plan.server_count, top: 1, again: false, at: None }),
         description: Bytes::from_static(b"asked"),
         ..SetUp::default()
     }
@@ -104,7 +104,8 @@
             sleep(CONNECT_INTERVAL).await;
             continue;
         }
-        let Ok(Ok(socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen)).await else {
+        let Ok(Ok(socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen_address)).await
+        else {
             sleep(CONNECT_INTERVAL).await;
             continue;
         };
@@ -114,7 +115,7 @@
         connection_count += 1;
         let mut connection = Connection {
             context: context.clone(),
-            key: ClientConnection { node: context.node.at, client: slot, number: connection_count },
+            key: ClientConnection { node: context.node.index, client: slot, number: connection_count },
             slot,
             request_count: &mut request_count,
             writes,
@@ -141,11 +142,11 @@
 
 /// What a client does behind a request, by a number from 0 to 1.
 fn connection_fault(plan: &Plan, drawn: f64) -> Option<ConnectionFault> {
-    let odds = &plan.odds;
+    let probabilities = &plan.probabilities;
     let all = [
-        (odds.half_closes, ConnectionFault::HalfClose),
-        (odds.resets, ConnectionFault::Reset),
-        (odds.spoils_own, ConnectionFault::SendGarbage),
+        (probabilities.client_half_closes, ConnectionFault::HalfClose),
+        (probabilities.client_resets, ConnectionFault::Reset),
+        (probabilities.client_sends_garbage, ConnectionFault::SendGarbage),
     ];
     let mut rest = drawn;
     for (chance, connection_fault) in all {
@@ -159,9 +160,9 @@
 
 fn may_connect(context: &ClientContext) -> bool {
     match *context.node.status.borrow() {
-        Status::Up => true,
-        Status::Terminating(since) => context.recorder.now() - since < CONNECT_AFTER_SIGTERM_S,
-        Status::Down => false,
+        NodeStatus::Up => true,
+        NodeStatus::Terminating(since) => context.recorder.now() - since < CONNECT_AFTER_SIGTERM_S,
+        NodeStatus::Down => false,
     }
 }
 
@@ -217,13 +218,14 @@
     async fn exchange(&mut self, socket: &mut OwnedReadHalf) -> Vec<Request> {
         let mut bytes = BytesMut::new();
         let mut status = self.context.node.status.subscribe();
-        let mut next = self.context.recorder.now() + 0.05 * draw(self.context.plan.seed, self.slot, 1);
+        let mut next =
+            self.context.recorder.now() + 0.05 * seeded_fraction(self.context.plan.seed, self.slot, 1);
         let mut cancels: Vec<(f64, u64)> = Vec::new();
         let mut rush_requests = self.context.rush_requests.subscribe();
         let mut rushed = *rush_requests.borrow_and_update();
         loop {
             let now = self.context.recorder.now();
-            if now >= self.context.run_until || *status.borrow_and_update() == Status::Down {
+            if now >= self.context.run_until || *status.borrow_and_update() == NodeStatus::Down {
                 return Vec::new();
             }
             let due = cancels.iter().map(|(at, _)| *at).fold(next, f64::min);
@@ -259,7 +261,7 @@
                         if self.ends_with_reset {
                             return Vec::new();
                         }
-                        let gap = 2.0 * draw(self.context.plan.seed, self.slot * 977 + 5, *self.request_count);
+                        let gap = 2.0 * seeded_fraction(self.context.plan.seed, self.slot * 977 + 5, *self.request_count);
                         next = due + gap / self.rate();
                     }
                 }
@@ -269,7 +271,7 @@
 
     /// Requests a second on this connection.
     fn rate(&self) -> f64 {
-        self.context.plan.requests_per_s
+        self.context.plan.requests_per_client_per_s
     }
 
     /// Sends the next request; when its client leaves, if it does.
@@ -280,18 +282,18 @@
         }
         *self.request_count += 1;
         let (plan, recorder) = (&self.context.plan, &self.context.recorder);
-        let place = ((self.context.node.at as u64) << 40) | (self.slot << 24) | *self.request_count;
-        let draw = |what: u64| draw(plan.seed ^ 0xc11e, place, what);
-        let number = (draw(0) * 2f64.powi(53)) as u64;
-        let id = (number << 8) | (self.context.node.at as u64 + 1);
-        let class = CLASSES[usize::from(draw(1) < 0.6)];
-        let is_short = draw(2) < 0.03;
-        let wait = if is_short { 0.05 + 0.3 * draw(3) } else { class.deadline_s };
+        let place = ((self.context.node.index as u64) << 40) | (self.slot << 24) | *self.request_count;
+        let fraction = |what: u64| seeded_fraction(plan.seed ^ 0xc11e, place, what);
+        let number = (fraction(0) * 2f64.powi(53)) as u64;
+        let id = (number << 8) | (self.context.node.index as u64 + 1);
+        let class = CLASSES[usize::from(fraction(1) < 0.6)];
+        let is_short = fraction(2) < 0.03;
+        let wait = if is_short { 0.05 + 0.3 * fraction(3) } else { class.deadline_s };
         let set_up = set_up(plan, class.name, (wait * 1e3) as u64, id);
         let request = Request {
             id,
             class,
-            node: self.context.node.at,
+            node: self.context.node.index,
             connection: self.key,
             sent_at: f64::INFINITY,
             client_timeout_s: wait,
@@ -309,8 +311,12 @@
         event_log.requests.push(request.clone());
         drop(event_log);
         let bytes = bytes_of(Message { session: id, body: Body::SetUp(set_up) });
-        let write_duration_s = if draw(4) < plan.odds.slow_writer { MAX_SLOW_WRITE_S * draw(5) } else { 0.0 };
-        let connection_fault = connection_fault(plan, draw(8));
+        let write_duration_s = if fraction(4) < plan.probabilities.client_writes_slowly {
+            MAX_SLOW_WRITE_S * fraction(5)
+        } else {
+            0.0
+        };
+        let connection_fault = connection_fault(plan, fraction(8));
         let half_closes = connection_fault == Some(ConnectionFault::HalfClose);
         let _ = self.writes.send(OutgoingMessage {
             bytes,
@@ -323,7 +329,8 @@
             self.connection_fault(connection_fault);
             return None;
         }
-        (draw(6) < plan.odds.leaves).then(|| (now + write_duration_s + 1.2 * draw(7) * draw(7), id))
+        (fraction(6) < plan.probabilities.client_leaves)
+            .then(|| (now + write_duration_s + 1.2 * fraction(7) * fraction(7), id))
     }
 
     /// Does this to the own connection, behind the last request.
@@ -345,7 +352,7 @@
     /// Records whether the node closed the connection on which it was sent what can't be read.
     fn record_garbage_result(&mut self) {
         let Some(sent) = self.garbage_sent_at else { return };
-        let (recorder, node) = (&self.context.recorder, self.context.node.at);
+        let (recorder, node) = (&self.context.recorder, self.context.node.index);
         let now = recorder.now();
         let mut event_log = recorder.event_log();
         let client = FaultyClient {
@@ -392,7 +399,7 @@
         let now = self.context.recorder.now();
         let mut event_log = self.context.recorder.event_log();
         let is_open = self.unanswered.contains(&id);
-        if is_open && draw(self.context.plan.seed, id, 0x1eaf) < 0.4 {
+        if is_open && seeded_fraction(self.context.plan.seed, id, 0x1eaf) < 0.4 {
             drop(event_log);
             self.leave_all();
             return true;
@@ -428,7 +435,7 @@
                     .answers
                     .push((now, if was_made_for_request { Answer::Served } else { Answer::ServedWrong }));
                 self.unanswered.remove(&id);
-                let ends = draw(self.context.plan.seed, id, 0xe4d5);
+                let ends = seeded_fraction(self.context.plan.seed, id, 0xe4d5);
                 return (ends < 0.3).then_some((now + 4.0 * ends, id));
             }
             Body::Release { .. } | Body::Move if stands => {
@@ -473,7 +480,7 @@
         let event_log = context.recorder.event_log();
         let stands = |request: &&Request| {
             let served = matches!(request.answers.first(), Some((_, Answer::Served)));
-            request.node == context.node.at && served && request.ended_at.is_none()
+            request.node == context.node.index && served && request.ended_at.is_none()
         };
         let server = |request: &Request| {
             let attempts = event_log.attempts.iter().rev().filter(|attempt| attempt.id == request.id);
@@ -482,7 +489,8 @@
         let standing = event_log.requests.iter().filter(stands);
         standing.filter_map(|request| Some((request.clone(), server(request)?))).collect()
     };
-    let Ok(Ok(mut socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen)).await else {
+    let Ok(Ok(mut socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen_address)).await
+    else {
         return;
     };
     for (request, server) in &standing {
--- a/crates/lemontide-standin/src/soak/client/faulty.rs
+++ b/crates/lemontide-standin/src/soak/client/faulty.rs
@@ -11,7 +11,7 @@
     let mut number = 0;
     while context.recorder.now() < context.last_request_at {
         sleep(FAULTY_CLIENT_INTERVAL).await;
-        if *context.node.status.borrow() != Status::Up {
+        if *context.node.status.borrow() != NodeStatus::Up {
             continue;
         }
         number += 1;
@@ -22,7 +22,7 @@
 /// What a bad client sends; none where it sends too much to be held here.
 fn faulty_bytes(context: &ClientContext, number: u64) -> (&'static str, Vec<u8>) {
     let plan = &context.plan;
-    let id = 0xbad0_0000_0000_0000 | ((context.node.at as u64) << 32) | number;
+    let id = 0xbad0_0000_0000_0000 | ((context.node.index as u64) << 32) | number;
     let message = |session, set_up| bytes_of(Message { session, body: Body::SetUp(set_up) });
     let usable = set_up(plan, CLASSES[1].name, 3000, 1);
     match number % 8 {
@@ -40,11 +40,12 @@
 async fn faulty_client(context: Arc<ClientContext>, number: u64) {
     let connected = context.recorder.now();
     let (what, bytes) = faulty_bytes(&context, number);
-    let Ok(Ok(mut socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen)).await else {
+    let Ok(Ok(mut socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen_address)).await
+    else {
         return;
     };
     let mut client = FaultyClient {
-        node: context.node.at,
+        node: context.node.index,
         input: what,
         connected_at: connected,
         responded_at: None,
@@ -60,7 +61,7 @@
         client.was_served = matches!(answer, Ok(Some(Message { body: Body::Answer { .. }, .. })));
     }
     let mut event_log = context.recorder.event_log();
-    client.is_excused |= event_log.stopped_after(context.node.at, connected);
+    client.is_excused |= event_log.stopped_after(context.node.index, connected);
     event_log.faulty_clients.push(client);
 }
 
@@ -68,10 +69,12 @@
 pub async fn run_idle(context: Arc<ClientContext>) {
     let mut open = Vec::new();
     while context.recorder.now() < context.run_until {
-        if *context.node.status.borrow() != Status::Up {
+        if *context.node.status.borrow() != NodeStatus::Up {
             open.clear();
-        } else if open.len() < context.plan.idle_connections {
-            if let Ok(Ok(socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen)).await {
+        } else if open.len() < context.plan.idle_connections_per_node {
+            if let Ok(Ok(socket)) =
+                timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen_address)).await
+            {
                 open.push(socket);
                 continue;
             }
@@ -85,7 +88,7 @@
     let mut number = 0;
     while context.recorder.now() < context.last_request_at {
         sleep(FAULTY_CLIENT_INTERVAL / 2).await;
-        if *context.node.status.borrow() == Status::Up {
+        if *context.node.status.borrow() == NodeStatus::Up {
             number += 1;
             tokio::spawn(repeat_request(context.clone(), number));
         }
@@ -93,13 +96,13 @@
 }
 
 async fn repeat_request(context: Arc<ClientContext>, number: u64) {
-    let id = 0x4e9e_0000_0000_0000 | ((context.node.at as u64) << 32) | number;
+    let id = 0x4e9e_0000_0000_0000 | ((context.node.index as u64) << 32) | number;
     let class = CLASSES[1];
     let now = context.recorder.now();
     let request = Request {
         id,
         class,
-        node: context.node.at,
+        node: context.node.index,
         connection: ClientConnection::default(),
         sent_at: now,
         client_timeout_s: class.deadline_s,
@@ -120,7 +123,8 @@
     let set_up = set_up(&context.plan, class.name, (class.deadline_s * 1e3) as u64, id);
     let bytes = bytes_of(Message { session: id, body: Body::SetUp(set_up) });
     for time in 0..3 {
-        let Ok(Ok(mut socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen)).await
+        let Ok(Ok(mut socket)) =
+            timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen_address)).await
         else {
             return;
         };
@@ -128,7 +132,7 @@
             return;
         }
         let mut answer = [0; 64];
-        let wait = 0.8 * draw(context.plan.seed, id, time);
+        let wait = 0.8 * seeded_fraction(context.plan.seed, id, time);
         let _ = timeout(Duration::from_secs_f64(wait), socket.read(&mut answer)).await;
         if number.is_multiple_of(2) {
             let cancel = bytes_of(Message { session: id, body: Body::release(cause::NORMAL) });
--- a/crates/lemontide-standin/src/soak/event_log.rs
+++ b/crates/lemontide-standin/src/soak/event_log.rs
@@ -1,5 +1,5 @@
-//! What crossed the sockets in one run: requests, attempts, changes of the list, signals. Times are seconds since the
-//! start of the run. Everything is written here by the stand-ins; the judge reads it when the run is over.
+//! The event log of one run, as seen on the sockets: requests, attempts, list changes, process events. Times are seconds
+//! since the start of the run. The stubs and clients write it; the invariants are checked on it when the run is over.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,13 +9,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
     pub name: &'static str,
-    /// It may be set up again without harm.
+    /// Whether a request may be set up again without harm.
     pub is_idempotent: bool,
-    /// Latency goal and deadline, in seconds.
+    /// The latency goal and the deadline.
     pub latency_goal_s: f64,
     pub deadline_s: f64,
 }
 
+/// The classes that clients use.
 pub const CLASSES: [Class; 2] = [
     Class { name: "proevelektion", is_idempotent: false, latency_goal_s: 0.8, deadline_s: 3.0 },
     Class { name: "genafspil", is_idempotent: true, latency_goal_s: 1.5, deadline_s: 5.0 },
@@ -24,15 +25,15 @@
 /// How a client's request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// With what a server made for this request.
+    /// Answered with what a server made for this request.
     Served,
-    /// With something that no server made for it.
+    /// Answered with something that no server made for it.
     ServedWrong,
     Refused,
     Failed,
 }
 
-/// A client's connection: its node, the client, and which of its connections.
+/// A client's connection: its node, the client, and the number among the client's connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClientConnection {
     pub node: usize,
@@ -40,76 +41,79 @@
     pub number: u64,
 }
 
+/// A request of a client.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub id: u64,
     pub class: Class,
     pub node: usize,
-    /// The connection that it was last sent on.
+    /// The connection on which it was last sent.
     pub connection: ClientConnection,
-    /// When its last byte was written, and how long the client waits.
+    /// When its last byte was written, and how long its client waits for the answer.
     pub sent_at: f64,
     pub client_timeout_s: f64,
-    /// Its client sends it again under its number, which is its own fault: only the rule on duplicates holds for it.
+    /// Its client sends it again with the same id, which is the client's fault: only concurrent attempts are checked for it.
     pub reuses_id: bool,
-    /// It was the first on its connection.
+    /// Whether it was the first on its connection.
     pub is_first_on_connection: bool,
-    /// The client cancelled it or closed its connection.
+    /// When the client cancelled it or closed its connection.
     pub left_at: Option<f64>,
     pub answers: Vec<(f64, Answer)>,
-    /// The node closed its connection without an answer.
+    /// When the node closed the connection without an answer.
     pub connection_closed_at: Option<f64>,
-    /// It crossed that close and was sent once more.
+    /// Whether it was sent once more, as it crossed that close on the wire.
     pub is_resent: bool,
-    /// After it was served: its client heard that it is over, or ended it.
+    /// When, after it was served, its client received a release or ended the session.
     pub ended_at: Option<f64>,
 }
 
 /// How an attempt ended at its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The server's refusal or failure was written; `ran` is false where it says that nothing ran.
+    /// The server's refusal or failure was written; `ran` is false if it states that nothing ran.
     Answered { ran: bool },
-    /// The session stood and is over.
+    /// The session was established and has ended.
     SessionEnded,
-    /// The node gave it up, and the server has read that.
+    /// The node gave it up, and the server has read its release or the end of the connection.
     Abandoned,
-    /// Its connection closed or its server died.
+    /// Its connection was closed or its server died.
     ConnectionClosed,
 }
 
+/// A set-up that a node sent to a server.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub id: u64,
     pub server: usize,
     pub node: usize,
     pub class: String,
-    /// When its first and last bytes came from the node.
+    /// When its first and last bytes were read from the node's socket.
     pub first_byte_at: f64,
     pub last_byte_at: f64,
-    /// When it arrived whole at the server, behind the network.
+    /// When it arrived completely at the server, after the simulated network delay.
     pub arrived_at: Option<f64>,
-    /// The server's answer that the session stands was written to the socket.
+    /// When the server's answer that the session is established was written to the socket.
     pub answered_at: Option<f64>,
     pub ended: Option<(f64, AttemptEnd)>,
-    /// When the server's own release of what stood was written, and on which of its connections.
+    /// When the server's own release of the established session was written, and on which of its connections.
     pub release_written: Option<(f64, u64)>,
 }
 
 impl Attempt {
-    /// Until when it is out: from its arriving whole until its end is written or it is given up.
+    /// The end of the time in which the attempt is outstanding; it begins when the attempt has arrived and ends when its
+    /// answer or end is written or it is given up.
     pub fn outstanding_until(&self) -> f64 {
         let ended = self.ended.map(|(at, _)| at);
         self.answered_at.into_iter().chain(ended).fold(f64::INFINITY, f64::min)
     }
 
-    /// Whether the server said that nothing of it ran, or never saw it.
+    /// Whether the server stated that nothing of it ran, or never got it.
     pub fn never_ran(&self) -> bool {
         self.arrived_at.is_none() || matches!(self.ended, Some((_, AttemptEnd::Answered { ran: false })))
     }
 }
 
-/// A server's state in the list.
+/// The state of a server in the discovery list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListState {
     Ready,
@@ -117,16 +121,18 @@
     Gone,
 }
 
+/// A change of the discovery list.
 #[derive(Clone, Debug)]
 pub struct ListChange {
     pub at: f64,
     pub position: u64,
     pub server: usize,
     pub state: ListState,
-    /// When each node was first written it on a connection, or started with it.
+    /// When the change was first written to each node on a connection, or the node was started with it.
     pub sent_to_node_at: Vec<Option<f64>>,
 }
 
+/// A signal to a node process, or a change of its state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeEvent {
     Started,
@@ -134,36 +140,36 @@
     Terminate,
     Kill,
     Reconfigure,
-    /// It ended by itself; true where nothing is wrong with that.
+    /// The process exited by itself, as a reaction to SIGTERM if expected.
     Exited {
         is_expected: bool,
     },
 }
 
-/// Discovery of one node could not be reached, or said nothing, for a while.
+/// A time in which the discovery service of one node was unreachable or silent.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
     pub node: usize,
     pub from: f64,
     pub until: f64,
-    /// New connections tell at once: only the open ones fell silent.
+    /// Only connections that were open fell silent; new ones work at once.
     pub open_connections_only: bool,
 }
 
-/// A client that sent what can't be used.
+/// A client that sent invalid input.
 #[derive(Clone, Debug)]
 pub struct FaultyClient {
     pub node: usize,
     pub input: &'static str,
     pub connected_at: f64,
-    /// A refusal, an error or a close came.
+    /// When a refusal, an error or a close came.
     pub responded_at: Option<f64>,
     pub was_served: bool,
-    /// It waits for no word, as its node went meanwhile.
+    /// No response is required, as its node stopped meanwhile or the input could not be written.
     pub is_excused: bool,
 }
 
-/// Set-ups that a server takes from all nodes in every such window until it is warm; times in seconds since its start.
+/// The set-ups that a server takes from all nodes in each window while it is cold, that is for `cold_span_s` after its start.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdBudget {
     pub set_ups_per_window: f64,
@@ -172,66 +178,72 @@
 }
 
 impl ColdBudget {
-    /// With the slack for chance: a server falls when it gets more.
+    /// The budget with a margin for random variation; a server that gets more breaks down.
     pub fn max_set_ups(&self) -> f64 {
         self.set_ups_per_window + 2.0 * self.set_ups_per_window.sqrt() + 2.0
     }
 }
 
+/// All that was logged in a run.
 #[derive(Default)]
 pub struct EventLog {
     pub requests: Vec<Request>,
     pub request_index_by_id: HashMap<u64, usize>,
     pub attempts: Vec<Attempt>,
-    /// What servers made, by session.
+    /// The descriptions that servers answered with, by session.
     pub descriptions_by_session: HashMap<u64, Vec<String>>,
     pub list_changes: Vec<ListChange>,
     pub node_events: Vec<(f64, usize, NodeEvent)>,
     pub outages: Vec<Outage>,
     pub faulty_clients: Vec<FaultyClient>,
-    /// Breaches of memory or descriptor limits, as they were read.
+    /// Breaches of memory or descriptor limits: when, by which node, and the values read.
     pub limit_breaches: Vec<(f64, usize, String)>,
-    /// The longest that the stand-ins themselves were late, in seconds, and when.
+    /// The highest lateness of the test process itself in seconds, and when it occurred.
     pub max_lateness: (f64, f64),
-    /// Connections that clients closed, and when.
+    /// When clients closed connections, and which.
     pub client_closes: Vec<(f64, ClientConnection)>,
-    /// Servers that died, and when.
+    /// When servers died, and which.
     pub server_crashes: Vec<(f64, usize)>,
     pub cold_budget: Option<ColdBudget>,
 }
 
 impl EventLog {
+    /// The request with this id.
     pub fn request(&mut self, id: u64) -> Option<&mut Request> {
         let at = *self.request_index_by_id.get(&id)?;
         self.requests.get_mut(at)
     }
 
-    /// The last signal of a node before a moment that `which` picks.
+    /// The time of the last event of a node, up to `before`, that `which` selects.
     pub fn last_node_event(
         &self,
         node: usize,
         before: f64,
         which: impl Fn(NodeEvent) -> bool,
     ) -> Option<f64> {
-        let of = |(at, of, signal): &&(f64, usize, NodeEvent)| *of == node && *at <= before && which(*signal);
-        self.node_events.iter().rev().find(of).map(|(at, ..)| *at)
+        let matches = |(at, of_node, event): &&(f64, usize, NodeEvent)| {
+            *of_node == node && *at <= before && which(*event)
+        };
+        self.node_events.iter().rev().find(matches).map(|(at, ..)| *at)
     }
 
-    /// Whether a node was told to go, or went, after a moment.
+    /// Whether a node was told to stop, was killed or exited after a moment.
     pub fn stopped_after(&self, node: usize, after: f64) -> bool {
-        let goes =
-            |signal| matches!(signal, NodeEvent::Kill | NodeEvent::Terminate | NodeEvent::Exited { .. });
-        self.next_node_event(node, after, goes).is_some()
+        let stops =
+            |event| matches!(event, NodeEvent::Kill | NodeEvent::Terminate | NodeEvent::Exited { .. });
+        self.next_node_event(node, after, stops).is_some()
     }
 
-    /// The first such signal after a moment.
+    /// The time of the first event of a node, from `after` on, that `which` selects.
     pub fn next_node_event(&self, node: usize, after: f64, which: impl Fn(NodeEvent) -> bool) -> Option<f64> {
-        let of = |(at, of, signal): &&(f64, usize, NodeEvent)| *of == node && *at >= after && which(*signal);
-        self.node_events.iter().find(of).map(|(at, ..)| *at)
+        let matches = |(at, of_node, event): &&(f64, usize, NodeEvent)| {
+            *of_node == node && *at >= after && which(*event)
+        };
+        self.node_events.iter().find(matches).map(|(at, ..)| *at)
     }
 }
 
-/// The record of one run, shared by all stand-ins.
+/// The clock and the event log of one run, shared by all stubs and clients.
 pub struct Recorder {
     start: Instant,
     pub started: SystemTime,
@@ -239,6 +251,7 @@
 }
 
 impl Recorder {
+    /// Starts the clock of a run.
     pub fn start() -> Recorder {
         Recorder { start: Instant::now(), started: SystemTime::now(), event_log: Mutex::default() }
     }
@@ -248,17 +261,19 @@
         self.start.elapsed().as_secs_f64()
     }
 
-    /// The moment of the runtime's clock that is so many seconds after the start.
+    /// The instant of the runtime's clock at this many seconds since the start of the run.
     pub fn instant(&self, at: f64) -> tokio::time::Instant {
         tokio::time::Instant::from_std(self.start + std::time::Duration::from_secs_f64(at.max(0.0)))
     }
 
+    /// Locks the event log.
     pub fn event_log(&self) -> MutexGuard<'_, EventLog> {
         self.event_log.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn record_node_event(&self, node: usize, signal: NodeEvent) {
+    /// Logs an event of a node at the current time.
+    pub fn record_node_event(&self, node: usize, event: NodeEvent) {
         let now = self.now();
-        self.event_log().node_events.push((now, node, signal));
+        self.event_log().node_events.push((now, node, event));
     }
 }
--- a/crates/lemontide-standin/src/soak/node.rs
+++ b/crates/lemontide-standin/src/soak/node.rs
@@ -1,4 +1,4 @@
-//! One controller as a real process: started, signalled, watched and started again.
+//! A controller as a real process: starts, signals, monitors and restarts it.
 
 use super::event_log::{ColdBudget, NodeEvent, Recorder, CLASSES};
 use super::plan::Plan;
@@ -18,53 +18,55 @@
 use tokio::sync::{watch, Mutex};
 use tokio::time::{sleep, timeout};
 
-/// Limits of a node, as its configuration gives them: descriptors, and resident memory in MB.
-const SOCKETS: u64 = 512;
-pub const MEMORY_MB: u64 = 64;
-/// SIGKILL comes so long after SIGTERM: the longest deadline, 3 s at most, and 0.7 s, in seconds.
-const KILL_AFTER: f64 = 3.7;
-/// From SIGKILL to the next start, in seconds.
-const START_AFTER: f64 = 0.3;
-/// Requests a second of one tenant over all nodes that count as within its share.
+/// Limits of a node, as set in its configuration: open descriptors, and resident memory.
+const MAX_DESCRIPTORS: u64 = 512;
+pub const MAX_MEMORY_MB: u64 = 64;
+/// SIGKILL follows SIGTERM after this time: the longest deadline, counted as 3 s at most, plus 0.7 s.
+const KILL_AFTER_S: f64 = 3.7;
+/// Time from SIGKILL to the next start.
+const RESTART_DELAY_S: f64 = 0.3;
+/// Requests per second of one tenant over all nodes that count as within its share.
 const TENANT_QUOTA_PER_S: f64 = 30.0;
-/// More signals follow SIGTERM, so long after each other, in series.
-const SERIES: [UnixSignal; 4] =
+/// Signals that follow SIGTERM where the scenario repeats shutdown signals, and the time between them.
+const EXTRA_SHUTDOWN_SIGNALS: [UnixSignal; 4] =
     [UnixSignal::SIGHUP, UnixSignal::SIGTERM, UnixSignal::SIGHUP, UnixSignal::SIGTERM];
-const BETWEEN_SIGNALS: Duration = Duration::from_millis(150);
-/// How often a process is looked at, and how long it may take to be ready.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
-const READY_WITHIN: Duration = Duration::from_secs(10);
+const SIGNAL_INTERVAL: Duration = Duration::from_millis(150);
+/// How often a process is checked, and how long it may take to be ready.
+const MONITOR_INTERVAL: Duration = Duration::from_millis(250);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What clients know of a node.
+/// The state of a node process, as clients know it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Status {
-    /// It has passed a test since its start.
+pub enum NodeStatus {
+    /// It has passed a health test since its start.
     Up,
-    /// SIGTERM was sent then.
+    /// SIGTERM was sent at this time.
     Terminating(f64),
+    /// It has not passed a test since its start, or is stopped.
     Down,
 }
 
-pub struct Node {
-    pub at: usize,
-    pub listen: SocketAddr,
-    pub status: watch::Sender<Status>,
+/// A controller process and its files.
+pub struct NodeProcess {
+    pub index: usize,
+    pub listen_address: SocketAddr,
+    pub status: watch::Sender<NodeStatus>,
     program: PathBuf,
     folder: PathBuf,
     recorder: Arc<Recorder>,
     discovery: Arc<StubDiscovery>,
     settings: Json,
     zone: String,
-    signals_in_series: bool,
+    repeats_shutdown_signals: bool,
     child: Mutex<Option<Child>>,
-    starts: std::sync::atomic::AtomicU64,
+    start_count: std::sync::atomic::AtomicU64,
 }
 
-/// Settings of all nodes.
+/// The settings of all nodes.
 pub fn settings(plan: &Plan) -> Json {
     let mut settings = platform::settings();
-    if let Some(places) = plan.places {
-        settings["family_info"]["kind_slots"] = json!([places]);
+    if let Some(capacity) = plan.server_capacity {
+        settings["family_info"]["kind_slots"] = json!([capacity]);
         settings["rules"] = json!({"cold": 4, "cold_from": 0.4, "fall_multiple": 2.5, "fall": 1});
     }
     let classes: Vec<Json> = CLASSES
@@ -75,113 +77,113 @@
         })
         .collect();
     settings["classes"] = json!(classes);
-    settings["peers_total"] = json!(plan.nodes);
-    settings["family_info"]["positions"] = json!(plan.servers);
+    settings["peers_total"] = json!(plan.node_count);
+    settings["family_info"]["positions"] = json!(plan.server_count);
     settings["policy_limits"]["try_limit"] = json!(5);
-    settings["areas"] = json!((0..plan.zones).map(|zone| plan.zone(zone)).collect::<Vec<_>>());
-    let share = 1.0 / plan.tenants as f64;
+    settings["areas"] = json!((0..plan.zone_count).map(|zone| plan.zone(zone)).collect::<Vec<_>>());
+    let share = 1.0 / plan.tenant_count as f64;
     let tenant =
         |at: usize| json!({"name": format!("t{at}"), "share": share, "quota_per_s": TENANT_QUOTA_PER_S});
-    settings["tenants"] = json!((0..plan.tenants).map(tenant).collect::<Vec<_>>());
+    settings["tenants"] = json!((0..plan.tenant_count).map(tenant).collect::<Vec<_>>());
     settings
 }
 
-/// What servers take while they are cold, by these settings; the page's rule 4.
+/// The budget of cold servers by these settings, which is rule 4 of the platform's page.
 pub fn cold_budget(settings: &Json) -> Option<ColdBudget> {
-    let number = |name: &str| settings.pointer(name).and_then(Json::as_f64);
+    let number = |path: &str| settings.pointer(path).and_then(Json::as_f64);
     let (cold_span_s, window_s) = (number("/rules/cold").filter(|span| *span > 0.0)?, number("/rules/fall")?);
-    let pace = number("/family_info/kind_slots/0")? / cold_span_s * number("/rules/cold_from")?;
+    let set_ups_per_s = number("/family_info/kind_slots/0")? / cold_span_s * number("/rules/cold_from")?;
     Some(ColdBudget {
-        set_ups_per_window: number("/rules/fall_multiple")? * pace * window_s,
+        set_ups_per_window: number("/rules/fall_multiple")? * set_ups_per_s * window_s,
         window_s,
         cold_span_s,
     })
 }
 
-impl Node {
-    /// A node that is not started yet; its files lie in the folder.
+impl NodeProcess {
+    /// Creates a node that is not started yet; its files are in the folder.
     pub fn new(
         plan: &Plan,
-        (at, listen): (usize, SocketAddr),
+        (index, listen_address): (usize, SocketAddr),
         (program, folder): (&Path, &Path),
         (recorder, discovery): (Arc<Recorder>, Arc<StubDiscovery>),
         settings: Json,
-    ) -> Arc<Node> {
-        Arc::new(Node {
-            at,
-            listen,
-            status: watch::channel(Status::Down).0,
+    ) -> Arc<NodeProcess> {
+        Arc::new(NodeProcess {
+            index,
+            listen_address,
+            status: watch::channel(NodeStatus::Down).0,
             program: program.to_owned(),
             folder: folder.to_owned(),
             recorder,
             discovery,
             settings,
-            zone: plan.zone(at),
-            signals_in_series: plan.signals_in_series,
+            zone: plan.zone(index),
+            repeats_shutdown_signals: plan.repeats_shutdown_signals,
             child: Mutex::new(None),
-            starts: Default::default(),
+            start_count: Default::default(),
         })
     }
 
-    fn config_file(&self) -> PathBuf {
-        self.folder.join(format!("n{}.json", self.at))
+    fn config_path(&self) -> PathBuf {
+        self.folder.join(format!("n{}.json", self.index))
     }
 
-    pub fn log_file(&self) -> PathBuf {
-        self.folder.join(format!("n{}.log", self.at))
+    pub fn log_path(&self) -> PathBuf {
+        self.folder.join(format!("n{}.log", self.index))
     }
 
-    /// Writes the configuration; the position of the list that it holds.
+    /// Writes the configuration and returns the position of the discovery list that it contains.
     fn write_config(&self) -> io::Result<u64> {
-        let start = self.starts.load(std::sync::atomic::Ordering::Relaxed);
+        let start_number = self.start_count.load(std::sync::atomic::Ordering::Relaxed);
         let mut settings = self.settings.clone();
-        settings["me"] = json!(self.at);
+        settings["me"] = json!(self.index);
         settings["zone"] = json!(self.zone);
         let (position, known) = self.discovery.snapshot();
         let config = json!({
-            "name": format!("n{}", self.at), "listen": self.listen, "seed": format!("{:x}", start * 64 + self.at as u64),
-            "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
+            "name": format!("n{}", self.index), "listen": self.listen_address, "seed": format!("{:x}", start_number * 64 + self.index as u64),
+            "limits": {"cores": 1.0, "memory_mb": MAX_MEMORY_MB, "sockets": MAX_DESCRIPTORS},
             "journal": self.discovery.address().to_string(), "known": known, "settings": settings,
         });
-        // Replaced in one step, as an operator does.
-        let new = self.config_file().with_extension("new");
+        // The file is replaced atomically, as an operator does.
+        let new = self.config_path().with_extension("new");
         std::fs::write(&new, config.to_string())?;
-        std::fs::rename(new, self.config_file())?;
+        std::fs::rename(new, self.config_path())?;
         Ok(position)
     }
 
-    /// Starts the process and waits until it passes a test.
-    pub async fn start(self: &Arc<Node>) -> io::Result<()> {
-        self.starts.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+    /// Starts the process and waits until it passes a health test, or until the timeout.
+    pub async fn start(self: &Arc<NodeProcess>) -> io::Result<()> {
+        self.start_count.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let position = self.write_config()?;
         self.discovery.mark_sent_up_to(position);
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log_file())?;
-        let command = format!("ulimit -n {SOCKETS}; exec \"$0\" --log-text serve");
+        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log_path())?;
+        let command = format!("ulimit -n {MAX_DESCRIPTORS}; exec \"$0\" --log-text serve");
         let child = Command::new("/bin/sh")
             .arg("-c")
             .arg(command)
             .arg(&self.program)
             .env("LEMONTIDE_LOG", "warn,attempt=debug,decision=debug,streamers=debug,viewers=debug")
-            .env("RELAY_NAME", format!("n{}", self.at))
-            .env("RELAY_CONFIG", self.config_file())
-            .env("RELAY_LISTEN", self.listen.to_string())
+            .env("RELAY_NAME", format!("n{}", self.index))
+            .env("RELAY_CONFIG", self.config_path())
+            .env("RELAY_LISTEN", self.listen_address.to_string())
             .stdin(Stdio::null())
             .stdout(log.try_clone()?)
             .stderr(log)
             .kill_on_drop(true)
             .spawn()?;
-        self.recorder.record_node_event(self.at, NodeEvent::Started);
+        self.recorder.record_node_event(self.index, NodeEvent::Started);
         *self.child.lock().await = Some(child);
-        if timeout(READY_WITHIN, self.passes_a_test()).await.is_ok() {
-            self.recorder.record_node_event(self.at, NodeEvent::Ready);
-            self.status.send_replace(Status::Up);
+        if timeout(READY_TIMEOUT, self.wait_until_ready()).await.is_ok() {
+            self.recorder.record_node_event(self.index, NodeEvent::Ready);
+            self.status.send_replace(NodeStatus::Up);
         }
         Ok(())
     }
 
-    async fn passes_a_test(&self) {
+    async fn wait_until_ready(&self) {
         loop {
-            if let Ok(mut client) = platform::End::viewer(self.listen).await {
+            if let Ok(mut client) = platform::End::viewer(self.listen_address).await {
                 if client.say(0, Body::Test).await.is_ok() && client.hear().await.is_ok() {
                     return;
                 }
@@ -193,70 +195,72 @@
     async fn signal(&self, signal: UnixSignal) {
         let child = self.child.lock().await;
         if let Some(id) = child.as_ref().and_then(Child::id) {
-            // A process that ended meanwhile is told by `watch`.
+            // `monitor` notices a process that has exited meanwhile.
             let _ = kill(Pid::from_raw(id as i32), signal);
         }
     }
 
-    /// SIGTERM, SIGKILL at the earliest, and a new process.
-    pub async fn restart(self: Arc<Node>) -> io::Result<()> {
+    /// Sends SIGTERM, then SIGKILL at the earliest time that is allowed, and starts the process again.
+    pub async fn restart(self: Arc<NodeProcess>) -> io::Result<()> {
         let now = self.recorder.now();
-        self.recorder.record_node_event(self.at, NodeEvent::Terminate);
-        self.status.send_replace(Status::Terminating(now));
+        self.recorder.record_node_event(self.index, NodeEvent::Terminate);
+        self.status.send_replace(NodeStatus::Terminating(now));
         self.signal(UnixSignal::SIGTERM).await;
-        for signal in SERIES.into_iter().filter(|_| self.signals_in_series) {
-            sleep(BETWEEN_SIGNALS).await;
+        for signal in EXTRA_SHUTDOWN_SIGNALS.into_iter().filter(|_| self.repeats_shutdown_signals) {
+            sleep(SIGNAL_INTERVAL).await;
             self.signal(signal).await;
         }
-        tokio::time::sleep_until(self.recorder.instant(now + KILL_AFTER)).await;
-        self.kill_and_start().await
+        tokio::time::sleep_until(self.recorder.instant(now + KILL_AFTER_S)).await;
+        self.kill_and_restart().await
     }
 
-    pub async fn kill_and_start(self: Arc<Node>) -> io::Result<()> {
-        self.end().await;
-        sleep(Duration::from_secs_f64(START_AFTER)).await;
+    /// Kills the process and starts it again.
+    pub async fn kill_and_restart(self: Arc<NodeProcess>) -> io::Result<()> {
+        self.stop().await;
+        sleep(Duration::from_secs_f64(RESTART_DELAY_S)).await;
         self.start().await
     }
 
-    /// Ends the process for good, or until it is started again. SIGKILL counts from when the process is no more: what
-    /// was sent until then, it may have found.
-    pub async fn end(&self) {
-        self.status.send_replace(Status::Down);
+    /// Kills the process. The time of SIGKILL is logged when the process is gone, as it may have read what was sent until
+    /// then.
+    pub async fn stop(&self) {
+        self.status.send_replace(NodeStatus::Down);
         if let Some(mut child) = self.child.lock().await.take() {
             let _ = child.start_kill();
             let _ = child.wait().await;
         }
-        self.recorder.record_node_event(self.at, NodeEvent::Kill);
+        self.recorder.record_node_event(self.index, NodeEvent::Kill);
     }
 
+    /// Moves discovery to its next address and writes a new configuration, so many times, each with a SIGHUP.
     pub async fn reconfigure(&self, times: usize) -> io::Result<()> {
         for _ in 0..times {
             self.discovery.move_to_next_address();
             self.write_config()?;
-            self.recorder.record_node_event(self.at, NodeEvent::Reconfigure);
+            self.recorder.record_node_event(self.index, NodeEvent::Reconfigure);
             self.signal(UnixSignal::SIGHUP).await;
             sleep(Duration::from_millis(200)).await;
         }
         Ok(())
     }
 
-    /// Looks after the process: whether it has ended by itself, and what it needs.
-    pub async fn watch(self: Arc<Node>) {
+    /// Monitors the process: whether it has exited by itself, and whether it exceeds its resource limits.
+    pub async fn monitor(self: Arc<NodeProcess>) {
         loop {
-            sleep(LOOK_EVERY).await;
+            sleep(MONITOR_INTERVAL).await;
             let mut child = self.child.lock().await;
             let Some(process) = child.as_mut() else { continue };
             match process.try_wait() {
                 Ok(None) => {
                     if let Some(id) = process.id() {
-                        self.measure(id);
+                        self.check_resource_limits(id);
                     }
                 }
-                Ok(Some(code)) => {
-                    let was_asked = matches!(*self.status.borrow(), Status::Terminating(_));
+                Ok(Some(exit)) => {
+                    let was_terminated = matches!(*self.status.borrow(), NodeStatus::Terminating(_));
                     self.recorder.record_node_event(
-                        self.at,
-                        NodeEvent::Exited { is_expected: was_asked && code.success() },
+                        self.index,
+                        NodeEvent::Exited { is_expected: was_terminated && exit.success() },
                     );
                     child.take();
                 }
@@ -265,15 +269,17 @@
         }
     }
 
-    fn measure(&self, id: u32) {
+    /// Logs a breach of the memory or the descriptor limit.
+    fn check_resource_limits(&self, id: u32) {
         let now = self.recorder.now();
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
         let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-        let kb = resident.and_then(|line| line.trim().trim_end_matches(" kB").parse::<u64>().ok());
+        let resident_kb = resident.and_then(|line| line.trim().trim_end_matches(" kB").parse::<u64>().ok());
         let descriptors = std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count) as u64;
-        if kb.is_some_and(|kb| kb > MEMORY_MB * 1024) || descriptors > SOCKETS {
-            let what = format!("{} kB resident, {descriptors} descriptors", kb.unwrap_or_default());
-            self.recorder.event_log().limit_breaches.push((now, self.at, what));
+        if resident_kb.is_some_and(|kb| kb > MAX_MEMORY_MB * 1024) || descriptors > MAX_DESCRIPTORS {
+            let values =
+                format!("{} kB resident, {descriptors} descriptors", resident_kb.unwrap_or_default());
+            self.recorder.event_log().limit_breaches.push((now, self.index, values));
         }
     }
 }
--- a/crates/lemontide-standin/src/soak/report.rs
+++ b/crates/lemontide-standin/src/soak/report.rs
@@ -28,7 +28,7 @@
     };
     format!(
         "seed {}: {} nodes, {} servers, {} requests, {served} served, {} attempts, {arrived} arrived, late {:.0} ms: {verdict}",
-        plan.seed, plan.nodes, plan.servers, event_log.requests.len(), event_log.attempts.len(), event_log.max_lateness.0 * 1e3,
+        plan.seed, plan.node_count, plan.server_count, event_log.requests.len(), event_log.attempts.len(), event_log.max_lateness.0 * 1e3,
     )
 }
 
@@ -70,7 +70,7 @@
 ) -> std::fmt::Result {
     let started = recorder.started.duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64());
     writeln!(text, "What went wrong")?;
-    writeln!(text, "seed {}, {} nodes; second 0 was {started:.3} (Unix)", plan.seed, plan.nodes)?;
+    writeln!(text, "seed {}, {} nodes; second 0 was {started:.3} (Unix)", plan.seed, plan.node_count)?;
     let mut by_invariant: BTreeMap<Invariant, Vec<&Violation>> = BTreeMap::new();
     for found in violations {
         by_invariant.entry(found.invariant).or_default().push(found);
@@ -87,7 +87,7 @@
     write_signals(text, event_log)?;
     write_list(text, plan, event_log)?;
     writeln!(text, "\nEvents of the seed")?;
-    for (at, event) in &plan.events {
+    for (at, event) in &plan.faults {
         writeln!(text, "{at:.3} {event:?}")?;
     }
     let sessions: Vec<u64> = violations.iter().filter_map(|found| found.session).take(CASES_MOST).collect();
--- a/crates/lemontide-standin/src/soak/stub_discovery.rs
+++ b/crates/lemontide-standin/src/soak/stub_discovery.rs
@@ -18,7 +18,7 @@
 
 /// What the connections of the service do now.
 #[derive(Clone, Debug)]
-struct Status {
+struct ServiceState {
     /// Which of the addresses is in use.
     address: usize,
     is_down: bool,
@@ -34,12 +34,12 @@
     addresses: Vec<SocketAddr>,
     /// Events as this node reads them; the first is the whole list of the start.
     events: Mutex<Vec<Json>>,
-    status: watch::Sender<Status>,
+    status: watch::Sender<ServiceState>,
 }
 
 impl StubDiscovery {
     pub fn start(node: usize, recorder: Arc<Recorder>, addresses: Vec<SocketAddr>) -> Arc<StubDiscovery> {
-        let status = Status { address: 0, is_down: false, silent_before: None, last: 0 };
+        let status = ServiceState { address: 0, is_down: false, silent_before: None, last: 0 };
         let discovery = Arc::new(StubDiscovery {
             node,
             recorder,
@@ -140,7 +140,7 @@
 async fn listen(discovery: Arc<StubDiscovery>, address: usize) {
     let mut status = discovery.status.subscribe();
     loop {
-        let serves = |status: &Status| status.address == address && !status.is_down;
+        let serves = |status: &ServiceState| status.address == address && !status.is_down;
         if status.wait_for(serves).await.is_err() {
             return;
         }
--- a/crates/lemontide-standin/src/soak/stub_server.rs
+++ b/crates/lemontide-standin/src/soak/stub_server.rs
@@ -7,7 +7,7 @@
 use connection::listen;
 
 use super::event_log::{Attempt, AttemptEnd, Recorder};
-use super::plan::{draw, Mode, Plan};
+use super::plan::{seeded_fraction, Mode, Plan};
 use crate::platform::bytes_of;
 use bytes::Bytes;
 use lemontide::interface::Load;
@@ -93,7 +93,7 @@
 }
 
 pub struct StubServer {
-    at: usize,
+    index: usize,
     plan: Arc<Plan>,
     recorder: Arc<Recorder>,
     state: Mutex<State>,
@@ -108,17 +108,17 @@
     pub fn start(
         plan: Arc<Plan>,
         recorder: Arc<Recorder>,
-        at: usize,
+        index: usize,
         network: [u8; 2],
         port: u16,
     ) -> Arc<StubServer> {
         let address = |node: usize| {
-            let ip = Ipv4Addr::new(127, network[0], network[1].wrapping_add(node as u8), at as u8 + 1);
+            let ip = Ipv4Addr::new(127, network[0], network[1].wrapping_add(node as u8), index as u8 + 1);
             SocketAddr::from((ip, port))
         };
         let server = Arc::new(StubServer {
-            at,
-            addresses: (0..plan.nodes).map(address).collect(),
+            index,
+            addresses: (0..plan.node_count).map(address).collect(),
             plan,
             recorder,
             state: Mutex::new(State {
@@ -137,8 +137,8 @@
         server
     }
 
-    pub fn at(&self) -> usize {
-        self.at
+    pub fn index(&self) -> usize {
+        self.index
     }
 
     pub fn mode(&self) -> Mode {
@@ -158,7 +158,7 @@
         let mut state = self.state();
         if mode == Mode::Dead && state.mode != Mode::Dead {
             let mut event_log = self.recorder.event_log();
-            event_log.server_crashes.push((now, self.at));
+            event_log.server_crashes.push((now, self.index));
             for session in state.sessions.drain(..) {
                 let end =
                     if session.stands { AttemptEnd::SessionEnded } else { AttemptEnd::ConnectionClosed };
@@ -236,7 +236,7 @@
     fn take_up(&self, session: Session) -> bool {
         let mut state = self.state();
         state.sessions.push(session);
-        self.plan.places.is_none_or(|places| state.sessions.len() <= places)
+        self.plan.server_capacity.is_none_or(|places| state.sessions.len() <= places)
     }
 
     fn released_by_node(&self, node: usize, connection: u64, id: u64) {
@@ -287,7 +287,7 @@
 
     /// Waits for the moment in which viewers look, as the run's clock has it.
     async fn until_viewers_look(&self) {
-        let phase = VIEWERS_LOOK_EVERY * draw(self.plan.seed, 0x0c10, 0);
+        let phase = VIEWERS_LOOK_EVERY * seeded_fraction(self.plan.seed, 0x0c10, 0);
         let looks = ((self.recorder.now() - phase) / VIEWERS_LOOK_EVERY).ceil();
         tokio::time::sleep_until(self.recorder.instant(phase + looks * VIEWERS_LOOK_EVERY)).await;
     }
@@ -303,22 +303,22 @@
     }
 
     fn treatment(&self, id: u64, attempt: usize) -> Treatment {
-        let odds = &self.plan.odds;
+        let probabilities = &self.plan.probabilities;
         let earlier =
             self.recorder.event_log().attempts[..attempt].iter().filter(|a| a.id == id).count() as u64;
-        let mut rest = draw(self.plan.seed, id, earlier);
+        let mut rest = seeded_fraction(self.plan.seed, id, earlier);
         let all = [
-            (odds.refused, Treatment::Release(cause::FULL)),
-            (odds.moot, Treatment::Release(cause::MOOT)),
-            (odds.error, Treatment::Release(cause::ERROR)),
-            (odds.answer_lost, Treatment::LoseAnswer),
-            (odds.never_answered, Treatment::NeverAnswer),
-            (odds.late_answer, Treatment::AnswerLate),
-            (odds.spoilt, Treatment::Spoil),
-            (odds.twice, Treatment::AnswerTwice),
-            (odds.reset_under, Treatment::Reset),
-            (odds.close_under, Treatment::Close),
-            (odds.ends_as_answered, Treatment::AnswerAndLeave),
+            (probabilities.refused_full, Treatment::Release(cause::FULL)),
+            (probabilities.refused_moot, Treatment::Release(cause::MOOT)),
+            (probabilities.failed, Treatment::Release(cause::ERROR)),
+            (probabilities.answer_lost, Treatment::LoseAnswer),
+            (probabilities.never_answered, Treatment::NeverAnswer),
+            (probabilities.late_answer, Treatment::AnswerLate),
+            (probabilities.garbled_answer, Treatment::Spoil),
+            (probabilities.duplicate_answer, Treatment::AnswerTwice),
+            (probabilities.reset_before_answer, Treatment::Reset),
+            (probabilities.close_before_answer, Treatment::Close),
+            (probabilities.ended_when_answered, Treatment::AnswerAndLeave),
         ];
         for (chance, treatment) in all {
             if rest < chance {
@@ -340,10 +340,10 @@
     set_up: SetUp,
     treatment: Treatment,
 ) {
-    let draw = |what: u64| draw(server.plan.seed, id ^ 0x5eed, attempt as u64 * 8 + what);
-    let mut work = WORK.0 + (WORK.1 - WORK.0) * draw(0);
+    let fraction = |what: u64| seeded_fraction(server.plan.seed, id ^ 0x5eed, attempt as u64 * 8 + what);
+    let mut work = WORK.0 + (WORK.1 - WORK.0) * fraction(0);
     if treatment == Treatment::AnswerLate {
-        work = set_up.wait_ms as f64 / 1e3 + 0.2 * draw(1);
+        work = set_up.wait_ms as f64 / 1e3 + 0.2 * fraction(1);
     }
     sleep(Duration::from_secs_f64(work)).await;
     if treatment == Treatment::AnswerAndLeave {
@@ -368,7 +368,7 @@
             if !server.has_session(attempt) {
                 return;
             }
-            let noise: Vec<u8> = match (draw(2) * 3.0) as u32 {
+            let noise: Vec<u8> = match (fraction(2) * 3.0) as u32 {
                 0 => vec![0xff; 64],
                 1 => bytes_of(Message { session: id, body: answer("cut") })[..12].to_vec(),
                 _ => vec![0, 12, 9, 1, 2, 3, 4, 5, 6, 7, 8, 94, 255, 255],
@@ -390,13 +390,13 @@
         }
         Treatment::AnswerAndLeave => {
             if stand(&server, node, connection, id, attempt, treatment) {
-                sleep(Duration::from_secs_f64(VIEWERS_LEAVE_WITHIN * draw(3))).await;
+                sleep(Duration::from_secs_f64(VIEWERS_LEAVE_WITHIN * fraction(3))).await;
                 viewer_leaves(&server, id, attempt);
             }
         }
         Treatment::Answer | Treatment::AnswerTwice | Treatment::AnswerLate | Treatment::LoseAnswer => {
             if stand(&server, node, connection, id, attempt, treatment) {
-                sleep(Duration::from_secs_f64(STANDS.0 + (STANDS.1 - STANDS.0) * draw(3))).await;
+                sleep(Duration::from_secs_f64(STANDS.0 + (STANDS.1 - STANDS.0) * fraction(3))).await;
                 server.passes().await;
                 end_of_play(&server, attempt);
             }
@@ -417,7 +417,7 @@
     attempt: usize,
     treatment: Treatment,
 ) -> bool {
-    let description = format!("{id:016x} by {} for attempt {attempt}", server.at);
+    let description = format!("{id:016x} by {} for attempt {attempt}", server.index);
     server.recorder.event_log().descriptions_by_session.entry(id).or_default().push(description.clone());
     server.with_session(attempt, |state, session| {
         session.stands = true;
--- a/crates/lemontide-standin/src/soak/stub_server/connection.rs
+++ b/crates/lemontide-standin/src/soak/stub_server/connection.rs
@@ -53,20 +53,21 @@
 /// Runs one connection until either end closes it, or the process dies.
 async fn serve(server: Arc<StubServer>, node: usize, socket: TcpStream) {
     let _ = socket.set_nodelay(true);
-    let odds = &server.plan.odds;
+    let probabilities = &server.plan.probabilities;
     let number = {
         let mut state = server.state();
         state.connections += 1;
         state.connections
     };
-    let connection = (number << 8) | server.at as u64;
-    let place = (server.at * 64 + node) as u64;
-    let draw = |what: u64| draw(server.plan.seed, place + 0xc000, number * 8 + what);
+    let connection = (number << 8) | server.index as u64;
+    let place = (server.index * 64 + node) as u64;
+    let fraction = |what: u64| seeded_fraction(server.plan.seed, place + 0xc000, number * 8 + what);
     let opened = server.recorder.now();
-    let delay = server.plan.delay_most * draw(0);
-    let ready = if draw(1) < odds.late_connection { opened + draw(2) } else { opened };
-    let closes = (draw(3) < odds.early_close).then(|| opened + 0.2 + 3.0 * draw(4));
-    let in_pieces = draw(5) < odds.pieces;
+    let delay = server.plan.max_network_delay_s * fraction(0);
+    let ready = if fraction(1) < probabilities.late_connection { opened + fraction(2) } else { opened };
+    let closes =
+        (fraction(3) < probabilities.early_connection_close).then(|| opened + 0.2 + 3.0 * fraction(4));
+    let in_pieces = fraction(5) < probabilities.fragmented_writes;
     let (out, outs) = mpsc::unbounded_channel();
     {
         let mut state = server.state();
@@ -87,7 +88,7 @@
         reset = writer.run(outs) => reset,
         () = read_all(&server, node, read, arrivals, |now: f64| now.max(ready) + delay) => true,
         () = deliver(&server, node, connection, arrived) => false,
-        () = close_at(&server, closes) => draw(6) < 0.5,
+        () = close_at(&server, closes) => fraction(6) < 0.5,
         _ = process.wait_for(|process| *process != lives) => true,
     };
     server.close(connection, AttemptEnd::ConnectionClosed);
@@ -150,7 +151,7 @@
     let mut event_log = server.recorder.event_log();
     event_log.attempts.push(Attempt {
         id: message.session,
-        server: server.at,
+        server: server.index,
         node,
         class: set_up.lane.clone(),
         first_byte_at,
