--- a/crates/lemontide-standin/src/soak/stub_discovery.rs
+++ b/crates/lemontide-standin/src/soak/stub_discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the discovery service of one node: numbered events, a word a second, and outages of every kind.
+//! A stub of the discovery service of one node: numbered list changes, a heartbeat every second, and outages.
 
 use super::event_log::{ListChange, ListState, Outage, Recorder};
 use super::stub_server::bind;
@@ -11,89 +11,95 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Between two words of a service that has nothing to tell.
-const WORD_EVERY: Duration = Duration::from_secs(1);
-/// How long the connections at an old address stay open.
-const OLD_ADDRESS_OPEN: Duration = Duration::from_millis(1500);
+/// The time between two position lines when there is no change.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// How long connections at an old address stay open after the service has moved.
+const OLD_ADDRESS_LINGER: Duration = Duration::from_millis(1500);
 
-/// What the connections of the service do now.
+/// The current behaviour of the service's connections.
 #[derive(Clone, Debug)]
 struct ServiceState {
-    /// Which of the addresses is in use.
-    address: usize,
+    /// The index of the address in use.
+    address_index: usize,
     is_down: bool,
-    /// Connections that were opened before are silent.
+    /// Connections that were opened before this time are silent.
     silent_before: Option<f64>,
-    /// Position of the last event.
-    last: u64,
+    /// The position of the last change.
+    last_position: u64,
 }
 
+/// The discovery service of one node.
 pub struct StubDiscovery {
     node: usize,
     recorder: Arc<Recorder>,
     addresses: Vec<SocketAddr>,
-    /// Events as this node reads them; the first is the whole list of the start.
-    events: Mutex<Vec<Json>>,
-    status: watch::Sender<ServiceState>,
+    /// List changes as this node reads them; the first is marked as a full list.
+    changes: Mutex<Vec<Json>>,
+    state: watch::Sender<ServiceState>,
 }
 
 impl StubDiscovery {
+    /// Starts the service on its first address.
     pub fn start(node: usize, recorder: Arc<Recorder>, addresses: Vec<SocketAddr>) -> Arc<StubDiscovery> {
-        let status = ServiceState { address: 0, is_down: false, silent_before: None, last: 0 };
+        let state = ServiceState { address_index: 0, is_down: false, silent_before: None, last_position: 0 };
         let discovery = Arc::new(StubDiscovery {
             node,
             recorder,
             addresses,
-            events: Mutex::default(),
-            status: watch::channel(status).0,
+            changes: Mutex::default(),
+            state: watch::channel(state).0,
         });
-        for address in 0..discovery.addresses.len() {
-            tokio::spawn(listen(discovery.clone(), address));
+        for address_index in 0..discovery.addresses.len() {
+            tokio::spawn(listen(discovery.clone(), address_index));
         }
         discovery
     }
 
-    fn events(&self) -> MutexGuard<'_, Vec<Json>> {
-        self.events.lock().unwrap_or_else(PoisonError::into_inner)
+    fn changes(&self) -> MutexGuard<'_, Vec<Json>> {
+        self.changes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// The address in use.
     pub fn address(&self) -> SocketAddr {
-        self.addresses[self.status.borrow().address]
+        self.addresses[self.state.borrow().address_index]
     }
 
-    /// Tells an event; positions count from 1.
+    /// Publishes a list change; positions count from 1.
     pub fn publish(&self, is_full: bool, servers: Vec<Json>) {
-        let mut events = self.events();
-        let position = events.len() as u64 + 1;
-        events.push(
+        let mut changes = self.changes();
+        let position = changes.len() as u64 + 1;
+        changes.push(
             json!({"pos": position, "hosts": {"version": position, "full": is_full, "servers": servers}}),
         );
-        drop(events);
-        self.status.send_modify(|status| status.last = position);
+        drop(changes);
+        self.state.send_modify(|state| state.last_position = position);
     }
 
-    /// What a configuration holds of the list, up to the position that is given with it.
+    /// The list as a configuration contains it, and the position up to which it goes.
     pub fn snapshot(&self) -> (u64, Json) {
-        let entries = self.events().clone();
+        let entries = self.changes().clone();
         (entries.len() as u64, json!({"pos": entries.len(), "entries": entries}))
     }
 
-    /// A process starts, which reads all events up to this position in its configuration.
+    /// Logs that the node has the changes up to this position, as its process starts with a configuration that contains
+    /// them.
     pub fn mark_sent_up_to(&self, last: u64) {
         for position in 1..=last {
             self.mark_sent(position);
         }
     }
 
+    /// Logs that the change at this position was sent to the node, unless it was before.
     fn mark_sent(&self, position: u64) {
         let now = self.recorder.now();
         let mut event_log = self.recorder.event_log();
-        for event in event_log.list_changes.iter_mut().filter(|event| event.position == position) {
-            event.sent_to_node_at[self.node].get_or_insert(now);
+        for change in event_log.list_changes.iter_mut().filter(|change| change.position == position) {
+            change.sent_to_node_at[self.node].get_or_insert(now);
         }
     }
 
-    fn outage(&self, seconds: f64, open_connections_only: bool) {
+    /// Logs an outage that begins now.
+    fn log_outage(&self, seconds: f64, open_connections_only: bool) {
         let from = self.recorder.now();
         let until = from + seconds;
         self.recorder.event_log().outages.push(Outage {
@@ -104,29 +110,31 @@
         });
     }
 
+    /// Closes open connections and refuses new ones for a while.
     pub async fn go_down(&self, seconds: f64) {
-        self.outage(seconds, false);
-        self.status.send_modify(|status| status.is_down = true);
+        self.log_outage(seconds, false);
+        self.state.send_modify(|state| state.is_down = true);
         sleep(Duration::from_secs_f64(seconds)).await;
-        self.status.send_modify(|status| status.is_down = false);
+        self.state.send_modify(|state| state.is_down = false);
     }
 
+    /// Sends nothing on the connections that are open now, for a while.
     pub async fn fall_silent(&self, seconds: f64) {
-        self.outage(seconds, true);
+        self.log_outage(seconds, true);
         let now = self.recorder.now();
-        self.status.send_modify(|status| status.silent_before = Some(now));
+        self.state.send_modify(|state| state.silent_before = Some(now));
         sleep(Duration::from_secs_f64(seconds)).await;
-        self.status.send_modify(|status| status.silent_before = None);
+        self.state.send_modify(|state| state.silent_before = None);
     }
 
-    /// Goes on at the next address.
+    /// Moves the service to its next address, if there is one.
     pub fn move_to_next_address(&self) {
-        let most = self.addresses.len();
-        self.status.send_modify(|status| status.address = (status.address + 1).min(most - 1));
+        let count = self.addresses.len();
+        self.state.send_modify(|state| state.address_index = (state.address_index + 1).min(count - 1));
     }
 }
 
-/// An event of the record, before it is told.
+/// A list change for the event log, before any node was sent it.
 pub fn new_list_change(
     recorder: &Recorder,
     nodes: usize,
@@ -137,52 +145,56 @@
     ListChange { at: recorder.now(), position, server, state, sent_to_node_at: vec![None; nodes] }
 }
 
-async fn listen(discovery: Arc<StubDiscovery>, address: usize) {
-    let mut status = discovery.status.subscribe();
+/// Accepts connections at one address while it is in use and the service is not down.
+async fn listen(discovery: Arc<StubDiscovery>, address_index: usize) {
+    let mut state = discovery.state.subscribe();
     loop {
-        let serves = |status: &ServiceState| status.address == address && !status.is_down;
-        if status.wait_for(serves).await.is_err() {
+        let serves = |state: &ServiceState| state.address_index == address_index && !state.is_down;
+        if state.wait_for(serves).await.is_err() {
             return;
         }
-        let Some(listener) = bind(discovery.addresses[address]).await else { return };
+        let Some(listener) = bind(discovery.addresses[address_index]).await else { return };
         loop {
             tokio::select! {
                 accepted = listener.accept() => {
                     if let Ok((socket, _)) = accepted {
-                        tokio::spawn(follow(discovery.clone(), address, socket));
+                        tokio::spawn(serve_node(discovery.clone(), address_index, socket));
                     }
                 }
-                _ = status.wait_for(|status| !serves(status)) => break,
+                _ = state.wait_for(|state| !serves(state)) => break,
             }
         }
-        if status.borrow().address != address {
+        if state.borrow().address_index != address_index {
             return;
         }
     }
 }
 
-/// Serves one follower until the service moves or goes down.
-async fn follow(discovery: Arc<StubDiscovery>, address: usize, mut socket: TcpStream) {
-    let opened = discovery.recorder.now();
-    let mut status = discovery.status.subscribe();
-    let Some(mut last) = timeout(WORD_EVERY, asked(&mut socket)).await.ok().flatten() else { return };
+/// Sends list changes to one connected node until the service moves or goes down.
+async fn serve_node(discovery: Arc<StubDiscovery>, address_index: usize, mut socket: TcpStream) {
+    let opened_at = discovery.recorder.now();
+    let mut state = discovery.state.subscribe();
+    let Some(mut last) = timeout(HEARTBEAT_INTERVAL, requested_position(&mut socket)).await.ok().flatten()
+    else {
+        return;
+    };
     loop {
-        let now = status.borrow_and_update().clone();
-        if now.is_down {
+        let current = state.borrow_and_update().clone();
+        if current.is_down {
             return;
         }
-        if now.address != address {
-            sleep(OLD_ADDRESS_OPEN).await;
+        if current.address_index != address_index {
+            sleep(OLD_ADDRESS_LINGER).await;
             return;
         }
-        let is_silent = now.silent_before.is_some_and(|before| opened < before);
+        let is_silent = current.silent_before.is_some_and(|before| opened_at < before);
         if !is_silent {
-            let news: Vec<(u64, String)> = {
-                let events = discovery.events();
-                (last..events.len() as u64).map(|at| (at + 1, events[at as usize].to_string())).collect()
+            let unsent: Vec<(u64, String)> = {
+                let changes = discovery.changes();
+                (last..changes.len() as u64).map(|at| (at + 1, changes[at as usize].to_string())).collect()
             };
-            for (position, line) in news {
-                // Read by the node at this moment at the earliest: told from here on.
+            for (position, line) in unsent {
+                // The node can read the change from now on.
                 if socket.write_all((line + "\n").as_bytes()).await.is_err() {
                     return;
                 }
@@ -194,14 +206,14 @@
             }
         }
         tokio::select! {
-            _ = status.changed() => {}
-            () = sleep(WORD_EVERY) => {}
+            _ = state.changed() => {}
+            () = sleep(HEARTBEAT_INTERVAL) => {}
         }
     }
 }
 
-/// The position after which a follower asks.
-async fn asked(socket: &mut TcpStream) -> Option<u64> {
+/// Reads the position after which the node requests changes.
+async fn requested_position(socket: &mut TcpStream) -> Option<u64> {
     let mut line = Vec::new();
     while !line.ends_with(b"\n") {
         line.push(socket.read_u8().await.ok()?);
