--- a/crates/lemontide-standin/src/soak/stub_server.rs
+++ b/crates/lemontide-standin/src/soak/stub_server.rs
@@ -1,5 +1,5 @@
-//! A stand-in server of the platform with the network before it: delays, silence, resets and closes, and every kind of
-//! answer. It records when each attempt's bytes came, when it arrived, and when it was over.
+//! A stub streamer server with a simulated network in front of it: delays, silence, resets, closes, and all kinds of
+//! answers. It logs when the bytes of each attempt came, when the attempt arrived, and when it ended.
 
 mod connection;
 
@@ -18,93 +18,98 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
-/// A release is said again on connections that are opened so much later, in seconds.
-const RELEASE_AGAIN: f64 = 8.0;
-/// What was written so long before the end of a connection may not have been read: a reset overtakes it, and a node may
-/// have closed the connection, or given it up as unreadable, before; in seconds.
-const OVERTAKEN: f64 = 0.8;
-/// Viewers look at what they get on a clock of their own, every so often, in seconds, and tell within so long of the answer.
-const VIEWERS_LOOK_EVERY: f64 = 0.25;
-const VIEWERS_LEAVE_WITHIN: f64 = 0.001;
-/// How long an attempt takes before its answer, in seconds: from and to.
-const WORK: (f64, f64) = (0.005, 0.06);
-/// How long a session stands, in seconds: from and to.
-const STANDS: (f64, f64) = (0.3, 3.0);
-
-/// What a server does with one set-up.
+/// A release is repeated on connections that the node opens up to this long after it.
+const REPEAT_RELEASE_FOR_S: f64 = 8.0;
+/// What was written within this time before the end of a connection may not have been read: a reset can overtake it, and
+/// the node may have closed the connection, or given it up as unreadable, before.
+const POSSIBLY_UNREAD_S: f64 = 0.8;
+/// Viewers poll at fixed times with this interval, and end a session within this time after its answer.
+const VIEWER_POLL_INTERVAL_S: f64 = 0.25;
+const VIEWER_LEAVES_WITHIN_S: f64 = 0.001;
+/// The shortest and the longest time from a set-up's arrival to its answer.
+const SET_UP_TIME_S: (f64, f64) = (0.005, 0.06);
+/// The shortest and the longest length of a session.
+const SESSION_LENGTH_S: (f64, f64) = (0.3, 3.0);
+
+/// How a server responds to one set-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Treatment {
+enum Response {
     Answer,
     AnswerTwice,
     AnswerLate,
-    /// The session stands, and its answer is lost on the way.
+    /// The session is established, and its answer is lost.
     LoseAnswer,
-    /// The session stands, and its viewer ends it within the same moment of its clock.
-    AnswerAndLeave,
+    /// The session is established right after a viewer poll, and its viewer ends it at once.
+    AnswerAndEnd,
     NeverAnswer,
-    Spoil,
+    Garbage,
     Release(u8),
-    Reset,
-    Close,
+    ResetConnection,
+    CloseConnection,
 }
 
-/// What is marked in the record once bytes are written.
+/// The entry of the event log that is made when a message is written. The numbers are indices of attempts.
 #[derive(Clone, Copy, Debug)]
-enum Mark {
+enum LogEntry {
     Nothing,
     Answered(usize),
     Ended(usize, AttemptEnd),
     Released(usize),
 }
 
-enum Out {
-    Bytes { at: f64, bytes: Vec<u8>, mark: Mark },
+/// What the writer of a connection has to do.
+enum Outgoing {
+    Bytes { at: f64, bytes: Vec<u8>, log_entry: LogEntry },
     Close { reset: bool },
 }
 
-enum Arrival {
-    /// With the attempt that it begins, if any.
+/// What the simulated network delivers.
+enum Incoming {
+    /// A message, and the index of the attempt that it begins, if any.
     Message(Box<Message>, Option<usize>),
     End,
 }
 
+/// A session that is being set up or is established.
 struct Session {
     id: u64,
     attempt: usize,
     node: usize,
     connection: u64,
-    stands: bool,
+    is_established: bool,
 }
 
-struct Link {
-    connection: u64,
+/// A connection from a node.
+struct NodeConnection {
+    id: u64,
     node: usize,
-    delay: f64,
-    out: mpsc::UnboundedSender<Out>,
+    delay_s: f64,
+    outgoing: mpsc::UnboundedSender<Outgoing>,
 }
 
 struct State {
     mode: Mode,
     sessions: Vec<Session>,
-    links: Vec<Link>,
-    /// Releases of what stood: when, for which node, session and attempt.
+    node_connections: Vec<NodeConnection>,
+    /// Releases of established sessions: when, for which node, session and attempt.
     released: Vec<(f64, usize, u64, usize)>,
-    connections: u64,
+    connection_count: u64,
 }
 
+/// A stub streamer server.
 pub struct StubServer {
     index: usize,
     plan: Arc<Plan>,
     recorder: Arc<Recorder>,
     state: Mutex<State>,
-    /// Counts the deaths; connections end with their process.
-    process: watch::Sender<u64>,
+    /// The number of times that the process has died; connections end with their process.
+    process_generation: watch::Sender<u64>,
     mode: watch::Sender<Mode>,
     addresses: Vec<SocketAddr>,
 }
 
 impl StubServer {
-    /// Starts a server that listens at an address of its own for each node.
+    /// Starts a server that listens on a separate address for each node.
     pub fn start(
         plan: Arc<Plan>,
         recorder: Arc<Recorder>,
@@ -124,11 +129,11 @@
             state: Mutex::new(State {
                 mode: Mode::Normal,
                 sessions: Vec::new(),
-                links: Vec::new(),
+                node_connections: Vec::new(),
                 released: Vec::new(),
-                connections: 0,
+                connection_count: 0,
             }),
-            process: watch::channel(0).0,
+            process_generation: watch::channel(0).0,
             mode: watch::channel(Mode::Normal).0,
         });
         for node in 0..server.addresses.len() {
@@ -137,6 +142,7 @@
         server
     }
 
+    /// The index of the server in the run.
     pub fn index(&self) -> usize {
         self.index
     }
@@ -145,6 +151,7 @@
         self.state().mode
     }
 
+    /// The address on which the server listens for this node.
     pub fn address(&self, node: usize) -> SocketAddr {
         self.addresses[node]
     }
@@ -153,6 +160,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Changes the mode. A server that dies loses its sessions and connections.
     pub fn set_mode(&self, mode: Mode) {
         let now = self.recorder.now();
         let mut state = self.state();
@@ -160,117 +168,147 @@
             let mut event_log = self.recorder.event_log();
             event_log.server_crashes.push((now, self.index));
             for session in state.sessions.drain(..) {
-                let end =
-                    if session.stands { AttemptEnd::SessionEnded } else { AttemptEnd::ConnectionClosed };
+                let end = if session.is_established {
+                    AttemptEnd::SessionEnded
+                } else {
+                    AttemptEnd::ConnectionClosed
+                };
                 event_log.attempts[session.attempt].ended = Some((now, end));
             }
-            state.links.clear();
+            state.node_connections.clear();
             state.released.clear();
         }
         state.mode = mode;
         drop(state);
         if mode == Mode::Dead {
-            self.process.send_modify(|process| *process += 1);
+            self.process_generation.send_modify(|generation| *generation += 1);
         }
         self.mode.send_replace(mode);
     }
 
-    /// Waits while nothing passes.
-    async fn passes(&self) {
+    /// Waits while traffic is held back.
+    async fn wait_while_silent(&self) {
         let mut mode = self.mode.subscribe();
         let _ = mode.wait_for(|mode| *mode != Mode::Silent).await;
     }
 
-    fn end(&self, attempt: usize, end: AttemptEnd) {
+    /// Logs the end of an attempt, unless one is logged.
+    fn log_end(&self, attempt: usize, end: AttemptEnd) {
         let now = self.recorder.now();
         self.recorder.event_log().attempts[attempt].ended.get_or_insert((now, end));
     }
 
-    /// Sends on a connection of this number, or on any to the node where it is gone; whether there was one.
-    fn say(&self, state: &State, node: usize, connection: u64, message: Message, mark: Mark) -> bool {
-        let of_node = state.links.iter().filter(|link| link.node == node);
-        let link = of_node.clone().find(|link| link.connection == connection).or(of_node.clone().next_back());
-        let Some(link) = link else { return false };
-        let at = self.recorder.now() + link.delay;
-        link.out.send(Out::Bytes { at, bytes: bytes_of(message), mark }).is_ok()
+    /// Sends a message on this connection, or on the node's latest one if this is gone. Returns false if there is none.
+    fn send(
+        &self,
+        state: &State,
+        node: usize,
+        connection: u64,
+        message: Message,
+        log_entry: LogEntry,
+    ) -> bool {
+        let of_node = state.node_connections.iter().filter(|node_connection| node_connection.node == node);
+        let node_connection = of_node
+            .clone()
+            .find(|node_connection| node_connection.id == connection)
+            .or(of_node.clone().next_back());
+        let Some(node_connection) = node_connection else { return false };
+        let at = self.recorder.now() + node_connection.delay_s;
+        node_connection.outgoing.send(Outgoing::Bytes { at, bytes: bytes_of(message), log_entry }).is_ok()
     }
 
-    /// The sessions that are being set up on a connection which closes are given up.
-    fn close(&self, connection: u64, end: AttemptEnd) {
+    /// Removes a closed connection and the sessions that are being set up on it.
+    fn remove_connection(&self, connection: u64, end: AttemptEnd) {
         let mut state = self.state();
-        let gone = |session: &Session| session.connection == connection && !session.stands;
-        for session in state.sessions.iter().filter(|session| gone(session)) {
-            self.end(session.attempt, end);
+        let is_removed = |session: &Session| session.connection == connection && !session.is_established;
+        for session in state.sessions.iter().filter(|session| is_removed(session)) {
+            self.log_end(session.attempt, end);
         }
-        state.sessions.retain(|session| !gone(session));
-        state.links.retain(|link| link.connection != connection);
+        state.sessions.retain(|session| !is_removed(session));
+        state.node_connections.retain(|node_connection| node_connection.id != connection);
     }
 
-    /// A message arrives, behind the network.
-    fn take(self: &Arc<StubServer>, node: usize, connection: u64, message: Message, attempt: Option<usize>) {
+    /// Handles a message that the simulated network has delivered.
+    fn receive(
+        self: &Arc<StubServer>,
+        node: usize,
+        connection: u64,
+        message: Message,
+        attempt: Option<usize>,
+    ) {
         let Message { session, body } = message;
         match body {
             Body::Test => {
                 let passed = Message { session, body: Body::Tested { passed: true } };
                 let state = self.state();
-                if state.links.iter().any(|link| link.connection == connection) {
-                    self.say(&state, node, connection, passed, Mark::Nothing);
+                if state.node_connections.iter().any(|node_connection| node_connection.id == connection) {
+                    self.send(&state, node, connection, passed, LogEntry::Nothing);
                 }
             }
             Body::SetUp(set_up) => {
                 let Some(attempt) = attempt else { return };
                 let now = self.recorder.now();
                 self.recorder.event_log().attempts[attempt].arrived_at = Some(now);
-                let new = Session { id: session, attempt, node, connection, stands: false };
-                let has_room = self.take_up(new);
-                let treatment =
-                    if has_room { self.treatment(session, attempt) } else { Treatment::Release(cause::FULL) };
-                tokio::spawn(treat(self.clone(), node, connection, session, attempt, set_up, treatment));
+                let new = Session { id: session, attempt, node, connection, is_established: false };
+                let has_capacity = self.add_session(new);
+                let response = if has_capacity {
+                    self.choose_response(session, attempt)
+                } else {
+                    Response::Release(cause::FULL)
+                };
+                tokio::spawn(respond(self.clone(), node, connection, session, attempt, set_up, response));
             }
-            Body::Release { .. } => self.released_by_node(node, connection, session),
+            Body::Release { .. } => self.handle_release(node, connection, session),
             _ => {}
         }
     }
 
-    /// Takes up a session; whether there is a place for it.
-    fn take_up(&self, session: Session) -> bool {
+    /// Adds a session. Returns false if the server's capacity is exceeded.
+    fn add_session(&self, session: Session) -> bool {
         let mut state = self.state();
         state.sessions.push(session);
-        self.plan.server_capacity.is_none_or(|places| state.sessions.len() <= places)
+        self.plan.server_capacity.is_none_or(|capacity| state.sessions.len() <= capacity)
     }
 
-    fn released_by_node(&self, node: usize, connection: u64, id: u64) {
+    /// Removes a session that the node releases: one being set up on this connection, or else an established one.
+    fn handle_release(&self, node: usize, connection: u64, id: u64) {
         let mut state = self.state();
-        let setting_up = |s: &Session| s.id == id && !s.stands && s.connection == connection;
-        let standing = |s: &Session| s.id == id && s.stands;
-        let place = state.sessions.iter().position(setting_up);
-        if let Some(place) = place.or_else(|| state.sessions.iter().position(standing)) {
-            let session = state.sessions.remove(place);
-            self.end(
+        let being_set_up = |s: &Session| s.id == id && !s.is_established && s.connection == connection;
+        let established = |s: &Session| s.id == id && s.is_established;
+        let position = state.sessions.iter().position(being_set_up);
+        if let Some(position) = position.or_else(|| state.sessions.iter().position(established)) {
+            let session = state.sessions.remove(position);
+            self.log_end(
                 session.attempt,
-                if session.stands { AttemptEnd::SessionEnded } else { AttemptEnd::Abandoned },
+                if session.is_established { AttemptEnd::SessionEnded } else { AttemptEnd::Abandoned },
             );
         }
-        // To acknowledge it is free.
+        // Acknowledging a release is optional in the protocol, so half of the seeds do it.
         if self.plan.seed.is_multiple_of(2) {
-            self.say(&state, node, connection, Message { session: id, body: Body::Heard }, Mark::Nothing);
+            self.send(
+                &state,
+                node,
+                connection,
+                Message { session: id, body: Body::Heard },
+                LogEntry::Nothing,
+            );
         }
     }
 
-    /// The session of an attempt, if its process still has it.
+    /// Changes the session of an attempt. Returns false if the server no longer has it.
     fn with_session(&self, attempt: usize, change: impl FnOnce(&State, &mut Session)) -> bool {
         let mut state = self.state();
-        let Some(place) = state.sessions.iter().position(|s| s.attempt == attempt) else { return false };
-        let mut session = state.sessions.swap_remove(place);
+        let Some(position) = state.sessions.iter().position(|s| s.attempt == attempt) else { return false };
+        let mut session = state.sessions.swap_remove(position);
         change(&state, &mut session);
         state.sessions.push(session);
         true
     }
 
-    /// The end of a connection may overtake what was written shortly before it: releases are said on another one, at
-    /// once or when one is opened, and count from then on.
-    fn release_again(&self, connection: u64) {
-        let since = self.recorder.now() - OVERTAKEN;
+    /// Repeats releases that were written shortly before the connection ended, as they may not have been read. They are
+    /// sent on another connection, at once or when one is opened, and their time counts from then on.
+    fn repeat_unread_releases(&self, connection: u64) {
+        let since = self.recorder.now() - POSSIBLY_UNREAD_S;
         let state = self.state();
         for (_, node, session, attempt) in &state.released {
             let mut event_log = self.recorder.event_log();
@@ -281,186 +319,194 @@
             *written = None;
             drop(event_log);
             let release = Message { session: *session, body: Body::release(cause::NORMAL) };
-            self.say(&state, *node, connection, release, Mark::Released(*attempt));
+            self.send(&state, *node, connection, release, LogEntry::Released(*attempt));
         }
     }
 
-    /// Waits for the moment in which viewers look, as the run's clock has it.
-    async fn until_viewers_look(&self) {
-        let phase = VIEWERS_LOOK_EVERY * seeded_fraction(self.plan.seed, 0x0c10, 0);
-        let looks = ((self.recorder.now() - phase) / VIEWERS_LOOK_EVERY).ceil();
-        tokio::time::sleep_until(self.recorder.instant(phase + looks * VIEWERS_LOOK_EVERY)).await;
+    /// Waits for the next viewer poll.
+    async fn wait_for_viewer_poll(&self) {
+        let phase = VIEWER_POLL_INTERVAL_S * seeded_fraction(self.plan.seed, 0x0c10, 0);
+        let poll_number = ((self.recorder.now() - phase) / VIEWER_POLL_INTERVAL_S).ceil();
+        tokio::time::sleep_until(self.recorder.instant(phase + poll_number * VIEWER_POLL_INTERVAL_S)).await;
     }
 
     fn has_session(&self, attempt: usize) -> bool {
         self.state().sessions.iter().any(|session| session.attempt == attempt)
     }
 
-    fn forget(&self, attempt: usize) -> Option<Session> {
+    /// Removes and returns the session of an attempt.
+    fn remove_session(&self, attempt: usize) -> Option<Session> {
         let mut state = self.state();
-        let place = state.sessions.iter().position(|s| s.attempt == attempt)?;
-        Some(state.sessions.swap_remove(place))
+        let position = state.sessions.iter().position(|s| s.attempt == attempt)?;
+        Some(state.sessions.swap_remove(position))
     }
 
-    fn treatment(&self, id: u64, attempt: usize) -> Treatment {
+    /// Chooses the response to an attempt by the probabilities, from the seed, the id and the number of earlier attempts.
+    fn choose_response(&self, id: u64, attempt: usize) -> Response {
         let probabilities = &self.plan.probabilities;
-        let earlier =
+        let earlier_attempts =
             self.recorder.event_log().attempts[..attempt].iter().filter(|a| a.id == id).count() as u64;
-        let mut rest = seeded_fraction(self.plan.seed, id, earlier);
-        let all = [
-            (probabilities.refused_full, Treatment::Release(cause::FULL)),
-            (probabilities.refused_moot, Treatment::Release(cause::MOOT)),
-            (probabilities.failed, Treatment::Release(cause::ERROR)),
-            (probabilities.answer_lost, Treatment::LoseAnswer),
-            (probabilities.never_answered, Treatment::NeverAnswer),
-            (probabilities.late_answer, Treatment::AnswerLate),
-            (probabilities.garbled_answer, Treatment::Spoil),
-            (probabilities.duplicate_answer, Treatment::AnswerTwice),
-            (probabilities.reset_before_answer, Treatment::Reset),
-            (probabilities.close_before_answer, Treatment::Close),
-            (probabilities.ended_when_answered, Treatment::AnswerAndLeave),
+        let mut rest = seeded_fraction(self.plan.seed, id, earlier_attempts);
+        let cumulative = [
+            (probabilities.refused_full, Response::Release(cause::FULL)),
+            (probabilities.refused_moot, Response::Release(cause::MOOT)),
+            (probabilities.failed, Response::Release(cause::ERROR)),
+            (probabilities.answer_lost, Response::LoseAnswer),
+            (probabilities.never_answered, Response::NeverAnswer),
+            (probabilities.late_answer, Response::AnswerLate),
+            (probabilities.garbled_answer, Response::Garbage),
+            (probabilities.duplicate_answer, Response::AnswerTwice),
+            (probabilities.reset_before_answer, Response::ResetConnection),
+            (probabilities.close_before_answer, Response::CloseConnection),
+            (probabilities.ended_when_answered, Response::AnswerAndEnd),
         ];
-        for (chance, treatment) in all {
-            if rest < chance {
-                return treatment;
+        for (probability, response) in cumulative {
+            if rest < probability {
+                return response;
             }
-            rest -= chance;
+            rest -= probability;
         }
-        Treatment::Answer
+        Response::Answer
     }
 }
 
-/// Does with a set-up what is drawn for it.
-async fn treat(
+/// Responds to a set-up as chosen.
+async fn respond(
     server: Arc<StubServer>,
     node: usize,
     connection: u64,
     id: u64,
     attempt: usize,
     set_up: SetUp,
-    treatment: Treatment,
+    response: Response,
 ) {
     let fraction = |what: u64| seeded_fraction(server.plan.seed, id ^ 0x5eed, attempt as u64 * 8 + what);
-    let mut work = WORK.0 + (WORK.1 - WORK.0) * fraction(0);
-    if treatment == Treatment::AnswerLate {
-        work = set_up.wait_ms as f64 / 1e3 + 0.2 * fraction(1);
+    let mut set_up_time_s = SET_UP_TIME_S.0 + (SET_UP_TIME_S.1 - SET_UP_TIME_S.0) * fraction(0);
+    if response == Response::AnswerLate {
+        set_up_time_s = set_up.wait_ms as f64 / 1e3 + 0.2 * fraction(1);
     }
-    sleep(Duration::from_secs_f64(work)).await;
-    if treatment == Treatment::AnswerAndLeave {
-        server.until_viewers_look().await;
+    sleep(Duration::from_secs_f64(set_up_time_s)).await;
+    if response == Response::AnswerAndEnd {
+        server.wait_for_viewer_poll().await;
     }
-    server.passes().await;
+    server.wait_while_silent().await;
     if server.state().mode == Mode::Hangs {
         return;
     }
-    match treatment {
-        Treatment::NeverAnswer => {}
-        Treatment::Release(cause) => {
+    match response {
+        Response::NeverAnswer => {}
+        Response::Release(cause) => {
             if !server.has_session(attempt) {
                 return;
             }
             let ran = ![cause::FULL, cause::MOOT].contains(&cause);
-            let mark = Mark::Ended(attempt, AttemptEnd::Answered { ran });
+            let log_entry = LogEntry::Ended(attempt, AttemptEnd::Answered { ran });
             let refusal = Message { session: id, body: Body::release(cause) };
-            server.say(&server.state(), node, connection, refusal, mark);
+            server.send(&server.state(), node, connection, refusal, log_entry);
         }
-        Treatment::Spoil => {
+        Response::Garbage => {
             if !server.has_session(attempt) {
                 return;
             }
-            let noise: Vec<u8> = match (fraction(2) * 3.0) as u32 {
+            let garbage: Vec<u8> = match (fraction(2) * 3.0) as u32 {
                 0 => vec![0xff; 64],
-                1 => bytes_of(Message { session: id, body: answer("cut") })[..12].to_vec(),
+                1 => bytes_of(Message { session: id, body: answer_body("cut") })[..12].to_vec(),
                 _ => vec![0, 12, 9, 1, 2, 3, 4, 5, 6, 7, 8, 94, 255, 255],
             };
-            let mark = Mark::Ended(attempt, AttemptEnd::Answered { ran: true });
+            let log_entry = LogEntry::Ended(attempt, AttemptEnd::Answered { ran: true });
             let state = server.state();
-            let link = state.links.iter().find(|link| link.connection == connection);
-            if let Some(link) = link {
-                let at = server.recorder.now() + link.delay;
-                let _ = link.out.send(Out::Bytes { at, bytes: noise, mark });
+            let node_connection =
+                state.node_connections.iter().find(|node_connection| node_connection.id == connection);
+            if let Some(node_connection) = node_connection {
+                let at = server.recorder.now() + node_connection.delay_s;
+                let _ = node_connection.outgoing.send(Outgoing::Bytes { at, bytes: garbage, log_entry });
             }
         }
-        Treatment::Reset | Treatment::Close => {
-            let reset = treatment == Treatment::Reset;
+        Response::ResetConnection | Response::CloseConnection => {
+            let reset = response == Response::ResetConnection;
             let state = server.state();
-            if let Some(link) = state.links.iter().find(|link| link.connection == connection) {
-                let _ = link.out.send(Out::Close { reset });
+            if let Some(node_connection) =
+                state.node_connections.iter().find(|node_connection| node_connection.id == connection)
+            {
+                let _ = node_connection.outgoing.send(Outgoing::Close { reset });
             }
         }
-        Treatment::AnswerAndLeave => {
-            if stand(&server, node, connection, id, attempt, treatment) {
-                sleep(Duration::from_secs_f64(VIEWERS_LEAVE_WITHIN * fraction(3))).await;
-                viewer_leaves(&server, id, attempt);
+        Response::AnswerAndEnd => {
+            if establish(&server, node, connection, id, attempt, response) {
+                sleep(Duration::from_secs_f64(VIEWER_LEAVES_WITHIN_S * fraction(3))).await;
+                end_by_viewer(&server, id, attempt);
             }
         }
-        Treatment::Answer | Treatment::AnswerTwice | Treatment::AnswerLate | Treatment::LoseAnswer => {
-            if stand(&server, node, connection, id, attempt, treatment) {
-                sleep(Duration::from_secs_f64(STANDS.0 + (STANDS.1 - STANDS.0) * fraction(3))).await;
-                server.passes().await;
-                end_of_play(&server, attempt);
+        Response::Answer | Response::AnswerTwice | Response::AnswerLate | Response::LoseAnswer => {
+            if establish(&server, node, connection, id, attempt, response) {
+                sleep(Duration::from_secs_f64(
+                    SESSION_LENGTH_S.0 + (SESSION_LENGTH_S.1 - SESSION_LENGTH_S.0) * fraction(3),
+                ))
+                .await;
+                server.wait_while_silent().await;
+                end_by_server(&server, attempt);
             }
         }
     }
 }
 
-fn answer(description: &str) -> Body {
+fn answer_body(description: &str) -> Body {
     Body::Answer { description: Bytes::copy_from_slice(description.as_bytes()), load: Load::default() }
 }
 
-/// The session stands from now on; false where it was given up.
-fn stand(
+/// Establishes the session and sends its answer, unless that is to be lost. Returns false if the session was given up.
+fn establish(
     server: &StubServer,
     node: usize,
     connection: u64,
     id: u64,
     attempt: usize,
-    treatment: Treatment,
+    response: Response,
 ) -> bool {
     let description = format!("{id:016x} by {} for attempt {attempt}", server.index);
     server.recorder.event_log().descriptions_by_session.entry(id).or_default().push(description.clone());
     server.with_session(attempt, |state, session| {
-        session.stands = true;
-        if treatment == Treatment::LoseAnswer {
+        session.is_established = true;
+        if response == Response::LoseAnswer {
             return;
         }
-        let say = |id: u64, description: &str, mark| {
-            let message = Message { session: id, body: answer(description) };
-            if state.links.iter().any(|link| link.connection == connection) {
-                server.say(state, node, connection, message, mark);
+        let send = |id: u64, description: &str, log_entry| {
+            let message = Message { session: id, body: answer_body(description) };
+            if state.node_connections.iter().any(|node_connection| node_connection.id == connection) {
+                server.send(state, node, connection, message, log_entry);
             }
         };
-        let twice = treatment == Treatment::AnswerTwice;
-        if twice && id.is_multiple_of(2) {
-            say(id ^ 0xffff_0000, "of another", Mark::Nothing);
+        let is_duplicate = response == Response::AnswerTwice;
+        if is_duplicate && id.is_multiple_of(2) {
+            send(id ^ 0xffff_0000, "of another", LogEntry::Nothing);
         }
-        say(id, &description, Mark::Answered(attempt));
-        if twice {
-            say(id, &description, Mark::Nothing);
+        send(id, &description, LogEntry::Answered(attempt));
+        if is_duplicate {
+            send(id, &description, LogEntry::Nothing);
         }
     })
 }
 
-/// The viewer of a session ends it there. Its client is owed the answer all the same, and no release.
-fn viewer_leaves(server: &StubServer, id: u64, attempt: usize) {
-    let Some(session) = server.forget(attempt) else { return };
-    server.end(attempt, AttemptEnd::SessionEnded);
+/// The viewer of a session ends it at the server. Its client must still get the answer, but no release.
+fn end_by_viewer(server: &StubServer, id: u64, attempt: usize) {
+    let Some(session) = server.remove_session(attempt) else { return };
+    server.log_end(attempt, AttemptEnd::SessionEnded);
     let now = server.recorder.now();
     if let Some(request) = server.recorder.event_log().request(id) {
         request.ended_at.get_or_insert(now);
     }
-    let left = Message { session: id, body: Body::release(cause::CANCELLED) };
-    server.say(&server.state(), session.node, session.connection, left, Mark::Nothing);
+    let release = Message { session: id, body: Body::release(cause::CANCELLED) };
+    server.send(&server.state(), session.node, session.connection, release, LogEntry::Nothing);
 }
 
-/// What stood has come to its end.
-fn end_of_play(server: &StubServer, attempt: usize) {
-    let Some(session) = server.forget(attempt) else { return };
-    server.end(attempt, AttemptEnd::SessionEnded);
+/// Ends an established session with a release by the server.
+fn end_by_server(server: &StubServer, attempt: usize) {
+    let Some(session) = server.remove_session(attempt) else { return };
+    server.log_end(attempt, AttemptEnd::SessionEnded);
     let now = server.recorder.now();
     let mut state = server.state();
-    state.released.retain(|released| now - released.0 < RELEASE_AGAIN);
+    state.released.retain(|released| now - released.0 < REPEAT_RELEASE_FOR_S);
     state.released.push((now, session.node, session.id, attempt));
     let release = Message { session: session.id, body: Body::release(cause::NORMAL) };
-    server.say(&state, session.node, session.connection, release, Mark::Released(attempt));
+    server.send(&state, session.node, session.connection, release, LogEntry::Released(attempt));
 }
--- a/crates/lemontide-standin/src/soak/stub_server/connection.rs
+++ b/crates/lemontide-standin/src/soak/stub_server/connection.rs
@@ -1,5 +1,5 @@
-//! The connections of a stand-in server with the network before them: what comes is delayed and held, what leaves is
-//! written late or in pieces, and each ends as it was drawn.
+//! The connections of a stub server and the simulated network in front of them: incoming messages are delayed or held back,
+//! outgoing ones are written late or in fragments, and each connection ends as its seed says.
 
 use super::*;
 use bytes::BytesMut;
@@ -10,13 +10,13 @@
 use tokio::time::sleep_until;
 use tokio_util::codec::Decoder;
 
-/// Connections that wait to be accepted.
+/// The number of connections that may wait to be accepted.
 const BACKLOG: u32 = 1024;
-/// Bytes of an answer that is sent in pieces, and the time between them.
-const PIECE: usize = 5;
-const BETWEEN_PIECES: Duration = Duration::from_millis(2);
+/// The size of fragments and the time between them, on connections that write in fragments.
+const FRAGMENT_BYTES: usize = 5;
+const FRAGMENT_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Accepts the connections of one node while the process lives.
+/// Accepts the connections of one node while the server's process is alive.
 pub(super) async fn listen(server: Arc<StubServer>, node: usize) {
     let mut mode = server.mode.subscribe();
     loop {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Listens at an address, as soon as it is free.
+/// Listens on an address as soon as it is free; gives up after 200 tries.
 pub async fn bind(address: SocketAddr) -> Option<TcpListener> {
     for _ in 0..200 {
         let socket = TcpSocket::new_v4().ok()?;
@@ -56,61 +56,69 @@
     let probabilities = &server.plan.probabilities;
     let number = {
         let mut state = server.state();
-        state.connections += 1;
-        state.connections
+        state.connection_count += 1;
+        state.connection_count
     };
     let connection = (number << 8) | server.index as u64;
-    let place = (server.index * 64 + node) as u64;
-    let fraction = |what: u64| seeded_fraction(server.plan.seed, place + 0xc000, number * 8 + what);
-    let opened = server.recorder.now();
-    let delay = server.plan.max_network_delay_s * fraction(0);
-    let ready = if fraction(1) < probabilities.late_connection { opened + fraction(2) } else { opened };
-    let closes =
-        (fraction(3) < probabilities.early_connection_close).then(|| opened + 0.2 + 3.0 * fraction(4));
-    let in_pieces = fraction(5) < probabilities.fragmented_writes;
-    let (out, outs) = mpsc::unbounded_channel();
+    let position = (server.index * 64 + node) as u64;
+    let fraction = |what: u64| seeded_fraction(server.plan.seed, position + 0xc000, number * 8 + what);
+    let opened_at = server.recorder.now();
+    let delay_s = server.plan.max_network_delay_s * fraction(0);
+    let ready_at =
+        if fraction(1) < probabilities.late_connection { opened_at + fraction(2) } else { opened_at };
+    let closes_at =
+        (fraction(3) < probabilities.early_connection_close).then(|| opened_at + 0.2 + 3.0 * fraction(4));
+    let writes_fragments = fraction(5) < probabilities.fragmented_writes;
+    let (outgoing, outgoing_messages) = mpsc::unbounded_channel();
     {
         let mut state = server.state();
-        let again: Vec<_> = state.released.iter().filter(|released| released.1 == node).copied().collect();
-        for (_, _, session, attempt) in again.into_iter().filter(|again| opened - again.0 < RELEASE_AGAIN) {
+        let recent: Vec<_> = state.released.iter().filter(|released| released.1 == node).copied().collect();
+        for (_, _, session, attempt) in
+            recent.into_iter().filter(|recent| opened_at - recent.0 < REPEAT_RELEASE_FOR_S)
+        {
             let release = Message { session, body: Body::release(cause::NORMAL) };
-            let mark = Mark::Released(attempt);
-            let _ = out.send(Out::Bytes { at: ready + delay, bytes: bytes_of(release), mark });
+            let log_entry = LogEntry::Released(attempt);
+            let _ = outgoing.send(Outgoing::Bytes {
+                at: ready_at + delay_s,
+                bytes: bytes_of(release),
+                log_entry,
+            });
         }
-        state.links.push(Link { connection, node, delay, out });
+        state.node_connections.push(NodeConnection { id: connection, node, delay_s, outgoing });
     }
-    let (arrivals, arrived) = mpsc::unbounded_channel();
+    let (incoming, delivered) = mpsc::unbounded_channel();
     let (read, write) = socket.into_split();
-    let mut process = server.process.subscribe();
-    let lives = *process.borrow_and_update();
-    let mut writer = Writer { server: server.clone(), connection, socket: write, in_pieces };
+    let mut process_generation = server.process_generation.subscribe();
+    let own_generation = *process_generation.borrow_and_update();
+    let mut writer = Writer { server: server.clone(), connection, socket: write, writes_fragments };
     let reset = tokio::select! {
-        reset = writer.run(outs) => reset,
-        () = read_all(&server, node, read, arrivals, |now: f64| now.max(ready) + delay) => true,
-        () = deliver(&server, node, connection, arrived) => false,
-        () = close_at(&server, closes) => fraction(6) < 0.5,
-        _ = process.wait_for(|process| *process != lives) => true,
+        reset = writer.run(outgoing_messages) => reset,
+        () = read_all(&server, node, read, incoming, |now: f64| now.max(ready_at) + delay_s) => true,
+        () = deliver(&server, node, connection, delivered) => false,
+        () = close_at(&server, closes_at) => fraction(6) < 0.5,
+        _ = process_generation.wait_for(|generation| *generation != own_generation) => true,
     };
-    server.close(connection, AttemptEnd::ConnectionClosed);
-    server.release_again(connection);
+    server.remove_connection(connection, AttemptEnd::ConnectionClosed);
+    server.repeat_unread_releases(connection);
     if reset {
         let _ = writer.socket.as_ref().set_zero_linger();
     }
 }
 
-async fn close_at(server: &StubServer, closes: Option<f64>) {
-    match closes {
+/// Waits for the time at which the connection is to be closed, if any.
+async fn close_at(server: &StubServer, closes_at: Option<f64>) {
+    match closes_at {
         Some(at) => sleep_until(server.recorder.instant(at)).await,
         None => std::future::pending().await,
     }
 }
 
-/// Reads what a node writes, and passes it on as the network delivers it. Ends only where nothing more arrives.
+/// Reads what a node writes and passes it on with the time of its delivery. Returns only after unreadable input.
 async fn read_all(
     server: &StubServer,
     node: usize,
     mut socket: OwnedReadHalf,
-    arrivals: mpsc::UnboundedSender<(f64, Arrival)>,
+    incoming: mpsc::UnboundedSender<(f64, Incoming)>,
     delivered: impl Fn(f64) -> f64,
 ) {
     let mut bytes = BytesMut::new();
@@ -119,27 +127,28 @@
         let read = socket.read_buf(&mut bytes).await;
         let now = server.recorder.now();
         if !matches!(read, Ok(1..)) {
-            let _ = arrivals.send((delivered(now), Arrival::End));
+            let _ = incoming.send((delivered(now), Incoming::End));
             return std::future::pending().await;
         }
-        let mut began = *first_byte_at.get_or_insert(now);
+        let mut began_at = *first_byte_at.get_or_insert(now);
         loop {
             match Codec.decode(&mut bytes) {
                 Ok(Some(message)) => {
-                    let attempt = record_attempt(server, node, &message, began, now);
-                    let arrival = Arrival::Message(Box::new(message), attempt);
-                    let _ = arrivals.send((delivered(now), arrival));
-                    began = now;
+                    let attempt = record_attempt(server, node, &message, began_at, now);
+                    let message_or_end = Incoming::Message(Box::new(message), attempt);
+                    let _ = incoming.send((delivered(now), message_or_end));
+                    began_at = now;
                 }
                 Ok(None) => break,
-                // A node never says what can't be read.
+                // Nodes never send unreadable bytes.
                 Err(_) => return,
             }
         }
-        first_byte_at = (!bytes.is_empty()).then_some(began);
+        first_byte_at = (!bytes.is_empty()).then_some(began_at);
     }
 }
 
+/// Logs a set-up that was read as a new attempt and returns its index.
 fn record_attempt(
     server: &StubServer,
     node: usize,
@@ -164,44 +173,45 @@
     Some(event_log.attempts.len() - 1)
 }
 
-/// Hands over what arrives, in order and in its time.
+/// Delivers messages in order, each at its time. Returns when the node has closed the connection.
 async fn deliver(
     server: &Arc<StubServer>,
     node: usize,
     connection: u64,
-    mut arrivals: mpsc::UnboundedReceiver<(f64, Arrival)>,
+    mut incoming: mpsc::UnboundedReceiver<(f64, Incoming)>,
 ) {
-    while let Some((at, arrival)) = arrivals.recv().await {
+    while let Some((at, message_or_end)) = incoming.recv().await {
         sleep_until(server.recorder.instant(at)).await;
-        server.passes().await;
-        match arrival {
-            Arrival::Message(message, attempt) => server.take(node, connection, *message, attempt),
-            Arrival::End => {
-                server.close(connection, AttemptEnd::Abandoned);
+        server.wait_while_silent().await;
+        match message_or_end {
+            Incoming::Message(message, attempt) => server.receive(node, connection, *message, attempt),
+            Incoming::End => {
+                server.remove_connection(connection, AttemptEnd::Abandoned);
                 return;
             }
         }
     }
 }
 
+/// The writing half of a connection.
 struct Writer {
     server: Arc<StubServer>,
     connection: u64,
     socket: OwnedWriteHalf,
-    in_pieces: bool,
+    writes_fragments: bool,
 }
 
 impl Writer {
-    /// Writes what is to be said until the connection is to be closed; whether by a reset.
-    async fn run(&mut self, mut outs: mpsc::UnboundedReceiver<Out>) -> bool {
-        while let Some(out) = outs.recv().await {
-            match out {
-                Out::Close { reset } => return reset,
-                Out::Bytes { at, bytes, mark } => {
+    /// Writes messages until the connection is to be closed. Returns whether by a reset.
+    async fn run(&mut self, mut outgoing_messages: mpsc::UnboundedReceiver<Outgoing>) -> bool {
+        while let Some(outgoing) = outgoing_messages.recv().await {
+            match outgoing {
+                Outgoing::Close { reset } => return reset,
+                Outgoing::Bytes { at, bytes, log_entry } => {
                     sleep_until(self.server.recorder.instant(at)).await;
-                    self.server.passes().await;
-                    if self.write(&bytes, mark).await.is_err() {
-                        // The reading half tells of the end.
+                    self.server.wait_while_silent().await;
+                    if self.write(&bytes, log_entry).await.is_err() {
+                        // The reading half detects the end of the connection.
                         return std::future::pending().await;
                     }
                 }
@@ -210,31 +220,32 @@
         std::future::pending().await
     }
 
-    /// Writes a message, and marks it before its last bytes leave: the node may act on them at once.
-    async fn write(&mut self, bytes: &[u8], mark: Mark) -> std::io::Result<()> {
-        let piece = if self.in_pieces { PIECE } else { bytes.len() };
-        let last = bytes.len().saturating_sub(1) / piece.max(1) * piece;
-        for piece in bytes[..last].chunks(piece.max(1)) {
-            self.socket.write_all(piece).await?;
-            sleep(BETWEEN_PIECES).await;
+    /// Writes a message. The log entry is made before the last bytes are written, as the node may act on them at once.
+    async fn write(&mut self, bytes: &[u8], log_entry: LogEntry) -> std::io::Result<()> {
+        let fragment_size = if self.writes_fragments { FRAGMENT_BYTES } else { bytes.len() };
+        let last = bytes.len().saturating_sub(1) / fragment_size.max(1) * fragment_size;
+        for fragment in bytes[..last].chunks(fragment_size.max(1)) {
+            self.socket.write_all(fragment).await?;
+            sleep(FRAGMENT_INTERVAL).await;
         }
-        self.mark(mark);
+        self.make_log_entry(log_entry);
         self.socket.write_all(&bytes[last..]).await
     }
 
-    fn mark(&self, mark: Mark) {
+    /// Makes the log entry of a written message.
+    fn make_log_entry(&self, log_entry: LogEntry) {
         let now = self.server.recorder.now();
-        if let Mark::Ended(attempt, _) = mark {
-            self.server.forget(attempt);
+        if let LogEntry::Ended(attempt, _) = log_entry {
+            self.server.remove_session(attempt);
         }
         let mut event_log = self.server.recorder.event_log();
-        match mark {
-            Mark::Nothing => {}
-            Mark::Answered(attempt) => event_log.attempts[attempt].answered_at = Some(now),
-            Mark::Ended(attempt, end) => {
+        match log_entry {
+            LogEntry::Nothing => {}
+            LogEntry::Answered(attempt) => event_log.attempts[attempt].answered_at = Some(now),
+            LogEntry::Ended(attempt, end) => {
                 event_log.attempts[attempt].ended.get_or_insert((now, end));
             }
-            Mark::Released(attempt) => {
+            LogEntry::Released(attempt) => {
                 event_log.attempts[attempt].release_written.get_or_insert((now, self.connection));
             }
         }
