--- a/crates/lemontide-cli/src/soak.rs
+++ b/crates/lemontide-cli/src/soak.rs
@@ -1,4 +1,5 @@
-//! `lemontide soak`: seeded runs of real controllers under combined troubles, judged from what crossed the sockets.
+//! `lemontide soak`: seeded runs of real controllers under combined faults. Invariants are checked on what crossed the
+//! sockets.
 
 use crate::Outcome;
 use clap::Args as ClapArgs;
@@ -7,49 +8,51 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
+/// Arguments of `lemontide soak`.
 #[derive(ClapArgs)]
 pub struct Args {
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds are played, one after the other.
+    /// The number of consecutive seeds to run.
     #[arg(long, default_value_t = 1)]
     count: u64,
-    /// Seeds that are played at the same time.
+    /// The number of seeds that run at the same time.
     #[arg(long, default_value_t = 1)]
     jobs: usize,
-    /// Length of the script of each seed, in seconds; a run takes 4 s more.
+    /// The length of each seed's scenario, in seconds; a run takes 4 s more.
     #[arg(long, default_value_t = 12.0)]
     seconds: f64,
-    /// Another build to play, in place of this program.
+    /// Another build to run instead of this program.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Play days of `lemontide front` in place of runs of `lemontide serve`.
+    /// Run days of `lemontide front` instead of scenarios of `lemontide serve`.
     #[arg(long)]
     front: bool,
-    /// A folder for the logs of the nodes, by seed; they are dropped where it is not given.
+    /// A folder for the logs of the nodes, by seed; without it they are deleted.
     #[arg(long)]
     logs: Option<PathBuf>,
 }
 
-/// A run whose own lateness says nothing of the nodes is played once more.
-const PLAYS_MOST: usize = 2;
+/// The most runs of a seed: a run that is inconclusive, as this machine was late, is repeated once.
+const MAX_RUNS: usize = 2;
 
-/// Ends with 1 where a rule was broken, and with 2 where a seed could not be judged, as this machine was late twice.
+/// Runs the seeds. The exit code is 1 if an invariant was violated, and 2 if a seed could not be judged, as this machine
+/// was late twice.
 pub fn run(args: &Args) -> Outcome {
     let program = match &args.program {
         Some(program) => program.clone(),
         None => std::env::current_exe()?,
     };
     if args.front {
-        return play_front(&program, args);
+        return run_front_days(&program, args);
     }
     let options = Options { program, scenario_length_s: args.seconds };
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let seeds = args.seed..args.seed.saturating_add(args.count);
     let outcomes = runtime.block_on(async {
-        let plays = stream::iter(seeds).map(|seed| play(seed, &options, args.logs.clone()));
-        plays.buffered(args.jobs.max(1)).collect::<Vec<_>>().await
+        let runs = stream::iter(seeds).map(|seed| run_seed(seed, &options, args.logs.clone()));
+        runs.buffered(args.jobs.max(1)).collect::<Vec<_>>().await
     });
     let (mut broken, mut late) = (Vec::new(), Vec::new());
     for outcome in outcomes {
@@ -71,12 +74,12 @@
     })
 }
 
-/// Plays days of `lemontide front`; ends with 1 where a rule was broken.
-fn play_front(program: &Path, args: &Args) -> Outcome {
+/// Runs days of `lemontide front`. The exit code is 1 if a rule was broken.
+fn run_front_days(program: &Path, args: &Args) -> Outcome {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let seeds = args.seed..args.seed.saturating_add(args.count);
     let outcomes = runtime.block_on(async {
-        let play = |seed| async move {
+        let run_day = |seed| async move {
             let scratch = tempfile::tempdir()?;
             let kept = args.logs.as_ref().map(|logs| logs.join(format!("front-{seed}")));
             let folder = std::path::absolute(kept.as_deref().unwrap_or(scratch.path()))?;
@@ -87,7 +90,7 @@
             }
             Ok::<_, std::io::Error>(outcome)
         };
-        stream::iter(seeds).map(play).buffered(args.jobs.max(1)).collect::<Vec<_>>().await
+        stream::iter(seeds).map(run_day).buffered(args.jobs.max(1)).collect::<Vec<_>>().await
     });
     let mut broken = Vec::new();
     for outcome in outcomes {
@@ -100,11 +103,11 @@
     Ok(if broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Plays a seed, once more where this machine was late, and prints what came of it.
-async fn play(seed: u64, options: &Options, logs: Option<PathBuf>) -> std::io::Result<soak::Outcome> {
-    let mut plays = 0;
+/// Runs a seed, once more if this machine was late, and prints the outcome.
+async fn run_seed(seed: u64, options: &Options, logs: Option<PathBuf>) -> std::io::Result<soak::Outcome> {
+    let mut runs = 0;
     loop {
-        plays += 1;
+        runs += 1;
         let scratch = tempfile::tempdir()?;
         let folder = logs.as_ref().map(|logs| logs.join(format!("seed-{seed}")));
         if let Some(folder) = &folder {
@@ -115,9 +118,9 @@
         if !outcome.report.is_empty() {
             println!("{}", outcome.report);
         }
-        if outcome.is_conclusive || plays >= PLAYS_MOST {
+        if outcome.is_conclusive || runs >= MAX_RUNS {
             return Ok(outcome);
         }
-        println!("seed {seed}: this machine was late, so it is played again");
+        println!("seed {seed}: this machine was late, so it is run again");
     }
 }
--- a/crates/lemontide-standin/src/soak/client.rs
+++ b/crates/lemontide-standin/src/soak/client.rs
@@ -1,5 +1,5 @@
-//! Clients of one node: connections that stay, leave early, write slowly, send as a connection closes, and go on until
-//! the node is killed.
+//! Simulated clients of one node. Some cancel requests or disconnect early, write slowly, send while the connection is
+//! closing, or break their connections; all go on until the node is killed.
 
 mod faulty;
 
@@ -21,48 +21,49 @@
 use tokio::time::{sleep, sleep_until, timeout};
 use tokio_util::codec::Decoder;
 
-/// After SIGTERM new connections are opened for so long, in seconds.
+/// Clients open new connections until this long after SIGTERM.
 const CONNECT_AFTER_SIGTERM_S: f64 = 0.3;
-/// A set-up that crosses a close within this time is sent once more, in seconds.
+/// A set-up that was written within this time before the node closed the connection crossed the close; it is sent once more.
 const CLOSE_RACE_S: f64 = 0.05;
-/// A request is unanswered for good so long after its time, in seconds.
+/// A request counts as unanswered this long after its client's timeout.
 const GIVE_UP_AFTER_S: f64 = 1.0;
-/// What no message begins with.
+/// Bytes with which no message begins.
 const GARBAGE: [u8; 8] = [0; 8];
-/// The longest that a slow writer takes for one message, in seconds.
+/// The longest time that a slow client takes to write one message.
 const MAX_SLOW_WRITE_S: f64 = 0.15;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const CONNECT_INTERVAL: Duration = Duration::from_millis(30);
 
-/// What clients need of the run.
+/// What the clients of one node need to know of the run.
 pub struct ClientContext {
     pub plan: Arc<Plan>,
     pub recorder: Arc<Recorder>,
     pub node: Arc<NodeProcess>,
-    /// No request is begun after this moment, in seconds.
+    /// No request is sent after this time.
     pub last_request_at: f64,
     pub run_until: f64,
-    /// Requests that each client has sent at once, or is to.
+    /// The total of requests that each client has to send in bursts, up to now.
     pub rush_requests: watch::Sender<usize>,
 }
 
-/// Something that is written by the writer of a connection.
-struct OutgoingMessage {
+/// Bytes for the writer of a connection.
+struct OutgoingBytes {
     bytes: Vec<u8>,
-    /// It is the set-up of this request; slowly, where `pauses` is above 0 seconds.
+    /// The request that these bytes set up, if any.
     request: Option<Request>,
+    /// The bytes are written slowly, over this time, if it is above 0.
     write_duration_s: f64,
-    /// The client closes its half behind it.
+    /// The client closes its half of the connection after these bytes.
     half_closes: bool,
 }
 
-impl OutgoingMessage {
-    fn of(bytes: Vec<u8>) -> OutgoingMessage {
-        OutgoingMessage { bytes, request: None, write_duration_s: 0.0, half_closes: false }
+impl OutgoingBytes {
+    fn new(bytes: Vec<u8>) -> OutgoingBytes {
+        OutgoingBytes { bytes, request: None, write_duration_s: 0.0, half_closes: false }
     }
 }
 
-/// What a client does to its own connection behind a request.
+/// What a client does to its own connection after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionFault {
     HalfClose,
@@ -70,9 +71,10 @@
     SendGarbage,
 }
 
-/// Titles that are asked for.
+/// The number of titles that clients request.
 const TITLE_COUNT: u64 = 8;
 
+/// The set-up of a request.
 fn set_up(plan: &Plan, class: &str, wait_ms: u64, id: u64) -> SetUp {
     SetUp {
         lane: class.into(),
@@ -85,7 +87,7 @@
     }
 }
 
-/// The message that asks for a session, or hands it over where `at` names its server.
+/// The message that hands an established session over to a node; `at` names its server.
 pub fn hand_over(plan: &Plan, request: &Request, at: &str) -> Message {
     let wait = (request.class.deadline_s * 1e3) as u64;
     let mut set_up = set_up(plan, request.class.name, wait, request.id);
@@ -95,8 +97,8 @@
     Message { session: request.id, body: Body::SetUp(set_up) }
 }
 
-/// Runs one client, connection after connection.
-pub async fn run(context: Arc<ClientContext>, slot: u64) {
+/// Runs one client, one connection after the other.
+pub async fn run(context: Arc<ClientContext>, client: u64) {
     let (mut request_count, mut connection_count) = (0, 0);
     let mut to_resend = Vec::new();
     while context.recorder.now() < context.run_until {
@@ -115,8 +117,8 @@
         connection_count += 1;
         let mut connection = Connection {
             context: context.clone(),
-            key: ClientConnection { node: context.node.index, client: slot, number: connection_count },
-            slot,
+            key: ClientConnection { node: context.node.index, client, number: connection_count },
+            client,
             request_count: &mut request_count,
             writes,
             unanswered: BTreeSet::new(),
@@ -140,24 +142,25 @@
     }
 }
 
-/// What a client does behind a request, by a number from 0 to 1.
-fn connection_fault(plan: &Plan, drawn: f64) -> Option<ConnectionFault> {
+/// Chooses what a client does to its connection after a request, by a number from 0 to 1.
+fn choose_connection_fault(plan: &Plan, fraction: f64) -> Option<ConnectionFault> {
     let probabilities = &plan.probabilities;
-    let all = [
+    let cumulative = [
         (probabilities.client_half_closes, ConnectionFault::HalfClose),
         (probabilities.client_resets, ConnectionFault::Reset),
         (probabilities.client_sends_garbage, ConnectionFault::SendGarbage),
     ];
-    let mut rest = drawn;
-    for (chance, connection_fault) in all {
-        if rest < chance {
+    let mut rest = fraction;
+    for (probability, connection_fault) in cumulative {
+        if rest < probability {
             return Some(connection_fault);
         }
-        rest -= chance;
+        rest -= probability;
     }
     None
 }
 
+/// Whether clients open new connections to the node now.
 fn may_connect(context: &ClientContext) -> bool {
     match *context.node.status.borrow() {
         NodeStatus::Up => true,
@@ -166,16 +169,17 @@
     }
 }
 
+/// Writes the messages of a connection and logs when each request was written completely.
 async fn write_all(
     recorder: Arc<Recorder>,
     mut socket: OwnedWriteHalf,
-    mut writes: mpsc::UnboundedReceiver<OutgoingMessage>,
+    mut writes: mpsc::UnboundedReceiver<OutgoingBytes>,
 ) {
-    while let Some(OutgoingMessage { bytes, request, write_duration_s, half_closes }) = writes.recv().await {
-        let pieces = if write_duration_s > 0.0 { 3 } else { 1 };
+    while let Some(OutgoingBytes { bytes, request, write_duration_s, half_closes }) = writes.recv().await {
+        let fragment_count = if write_duration_s > 0.0 { 3 } else { 1 };
         let mut is_written = true;
-        for piece in bytes.chunks(bytes.len().div_ceil(pieces).max(1)) {
-            is_written &= socket.write_all(piece).await.is_ok();
+        for fragment in bytes.chunks(bytes.len().div_ceil(fragment_count).max(1)) {
+            is_written &= socket.write_all(fragment).await.is_ok();
             if write_duration_s > 0.0 {
                 sleep(Duration::from_secs_f64(write_duration_s / 3.0)).await;
             }
@@ -196,39 +200,40 @@
     }
 }
 
+/// A connection of a client while it is open.
 struct Connection<'a> {
     context: Arc<ClientContext>,
     key: ClientConnection,
-    slot: u64,
+    client: u64,
     request_count: &'a mut u64,
-    writes: mpsc::UnboundedSender<OutgoingMessage>,
-    /// Requests that wait for an answer here.
+    writes: mpsc::UnboundedSender<OutgoingBytes>,
+    /// Requests that were sent on this connection and have no answer yet.
     unanswered: BTreeSet<u64>,
     nothing_sent: bool,
-    /// It has closed its half, or sent what can't be read: nothing it sends now would be taken.
+    /// The client has half-closed the connection, reset it or sent garbage: the node would accept nothing more on it.
     sending_stopped: bool,
-    /// It ends with a reset.
+    /// The connection ends with a reset.
     ends_with_reset: bool,
-    /// When it sent what can't be read.
+    /// When the client sent garbage.
     garbage_sent_at: Option<f64>,
 }
 
 impl Connection<'_> {
-    /// Sends and reads until the connection is over; the requests that crossed its close.
+    /// Sends and receives until the connection ends. Returns the requests that crossed the node's close.
     async fn exchange(&mut self, socket: &mut OwnedReadHalf) -> Vec<Request> {
         let mut bytes = BytesMut::new();
         let mut status = self.context.node.status.subscribe();
         let mut next =
-            self.context.recorder.now() + 0.05 * seeded_fraction(self.context.plan.seed, self.slot, 1);
-        let mut cancels: Vec<(f64, u64)> = Vec::new();
+            self.context.recorder.now() + 0.05 * seeded_fraction(self.context.plan.seed, self.client, 1);
+        let mut leave_times: Vec<(f64, u64)> = Vec::new();
         let mut rush_requests = self.context.rush_requests.subscribe();
-        let mut rushed = *rush_requests.borrow_and_update();
+        let mut rush_requests_sent = *rush_requests.borrow_and_update();
         loop {
             let now = self.context.recorder.now();
             if now >= self.context.run_until || *status.borrow_and_update() == NodeStatus::Down {
                 return Vec::new();
             }
-            let due = cancels.iter().map(|(at, _)| *at).fold(next, f64::min);
+            let due = leave_times.iter().map(|(at, _)| *at).fold(next, f64::min);
             tokio::select! {
                 read = socket.read_buf(&mut bytes) => {
                     if !matches!(read, Ok(1..)) {
@@ -236,7 +241,7 @@
                     }
                     loop {
                         match Codec.decode(&mut bytes) {
-                            Ok(Some(message)) => cancels.extend(self.receive(message)),
+                            Ok(Some(message)) => leave_times.extend(self.receive(message)),
                             Ok(None) => break,
                             Err(_) => return self.connection_closed(),
                         }
@@ -245,23 +250,23 @@
                 _ = status.changed() => {}
                 _ = rush_requests.changed() => {
                     let requests = *rush_requests.borrow_and_update();
-                    (rushed..requests).for_each(|_| cancels.extend(self.send()));
-                    rushed = requests;
+                    (rush_requests_sent..requests).for_each(|_| leave_times.extend(self.send()));
+                    rush_requests_sent = requests;
                     if self.ends_with_reset {
                         return Vec::new();
                     }
                 }
                 () = sleep_until(self.context.recorder.instant(due)) => {
-                    if let Some(place) = cancels.iter().position(|(at, _)| *at <= due) {
-                        if self.leave(cancels.swap_remove(place).1) {
+                    if let Some(position) = leave_times.iter().position(|(at, _)| *at <= due) {
+                        if self.leave(leave_times.swap_remove(position).1) {
                             return Vec::new();
                         }
                     } else {
-                        cancels.extend(self.send());
+                        leave_times.extend(self.send());
                         if self.ends_with_reset {
                             return Vec::new();
                         }
-                        let gap = 2.0 * seeded_fraction(self.context.plan.seed, self.slot * 977 + 5, *self.request_count);
+                        let gap = 2.0 * seeded_fraction(self.context.plan.seed, self.client * 977 + 5, *self.request_count);
                         next = due + gap / self.rate();
                     }
                 }
@@ -269,12 +274,12 @@
         }
     }
 
-    /// Requests a second on this connection.
+    /// Requests per second on this connection.
     fn rate(&self) -> f64 {
         self.context.plan.requests_per_client_per_s
     }
 
-    /// Sends the next request; when its client leaves, if it does.
+    /// Sends the next request. Returns when the client gives it up, if it does.
     fn send(&mut self) -> Option<(f64, u64)> {
         let now = self.context.recorder.now();
         if now >= self.context.last_request_at || self.sending_stopped {
@@ -282,8 +287,8 @@
         }
         *self.request_count += 1;
         let (plan, recorder) = (&self.context.plan, &self.context.recorder);
-        let place = ((self.context.node.index as u64) << 40) | (self.slot << 24) | *self.request_count;
-        let fraction = |what: u64| seeded_fraction(plan.seed ^ 0xc11e, place, what);
+        let hash_key = ((self.context.node.index as u64) << 40) | (self.client << 24) | *self.request_count;
+        let fraction = |purpose: u64| seeded_fraction(plan.seed ^ 0xc11e, hash_key, purpose);
         let number = (fraction(0) * 2f64.powi(53)) as u64;
         let id = (number << 8) | (self.context.node.index as u64 + 1);
         let class = CLASSES[usize::from(fraction(1) < 0.6)];
@@ -316,31 +321,27 @@
         } else {
             0.0
         };
-        let connection_fault = connection_fault(plan, fraction(8));
+        let connection_fault = choose_connection_fault(plan, fraction(8));
         let half_closes = connection_fault == Some(ConnectionFault::HalfClose);
-        let _ = self.writes.send(OutgoingMessage {
-            bytes,
-            request: Some(request),
-            write_duration_s,
-            half_closes,
-        });
+        let _ =
+            self.writes.send(OutgoingBytes { bytes, request: Some(request), write_duration_s, half_closes });
         self.unanswered.insert(id);
         if let Some(connection_fault) = connection_fault {
-            self.connection_fault(connection_fault);
+            self.break_connection(connection_fault);
             return None;
         }
         (fraction(6) < plan.probabilities.client_leaves)
             .then(|| (now + write_duration_s + 1.2 * fraction(7) * fraction(7), id))
     }
 
-    /// Does this to the own connection, behind the last request.
-    fn connection_fault(&mut self, connection_fault: ConnectionFault) {
+    /// Breaks the own connection after the last request.
+    fn break_connection(&mut self, connection_fault: ConnectionFault) {
         self.sending_stopped = true;
         match connection_fault {
             ConnectionFault::HalfClose => {}
             ConnectionFault::SendGarbage => {
                 self.garbage_sent_at = Some(self.context.recorder.now());
-                let _ = self.writes.send(OutgoingMessage::of(GARBAGE.to_vec()));
+                let _ = self.writes.send(OutgoingBytes::new(GARBAGE.to_vec()));
             }
             ConnectionFault::Reset => {
                 self.ends_with_reset = true;
@@ -349,24 +350,24 @@
         }
     }
 
-    /// Records whether the node closed the connection on which it was sent what can't be read.
+    /// Logs when the connection ended on which garbage was sent.
     fn record_garbage_result(&mut self) {
-        let Some(sent) = self.garbage_sent_at else { return };
+        let Some(sent_at) = self.garbage_sent_at else { return };
         let (recorder, node) = (&self.context.recorder, self.context.node.index);
         let now = recorder.now();
         let mut event_log = recorder.event_log();
         let client = FaultyClient {
             node,
-            input: "noise behind a request",
-            connected_at: sent,
+            input: "garbage after a request",
+            connected_at: sent_at,
             responded_at: Some(now),
             was_served: false,
-            is_excused: event_log.stopped_after(node, sent),
+            is_excused: event_log.stopped_after(node, sent_at),
         };
         event_log.faulty_clients.push(client);
     }
 
-    /// The client closes its connection: it waits for nothing on it any more.
+    /// Logs that the client closes its connection and so leaves all requests on it.
     fn leave_all(&self) {
         let now = self.context.recorder.now();
         let mut event_log = self.context.recorder.event_log();
@@ -378,28 +379,28 @@
         event_log.client_closes.push((now, self.key));
     }
 
-    /// A request that crossed a close is sent once more, as it was.
+    /// Sends a request that crossed a close once more, unchanged.
     fn resend(&mut self, request: Request) {
         let id = request.id;
         let wait = (request.client_timeout_s * 1e3) as u64;
         let set_up = set_up(&self.context.plan, request.class.name, wait, id);
-        if let Some(again) = self.context.recorder.event_log().request(id) {
-            again.is_resent = true;
-            again.connection = self.key;
-            again.sent_at = f64::INFINITY;
-            again.is_first_on_connection = std::mem::take(&mut self.nothing_sent);
+        if let Some(logged) = self.context.recorder.event_log().request(id) {
+            logged.is_resent = true;
+            logged.connection = self.key;
+            logged.sent_at = f64::INFINITY;
+            logged.is_first_on_connection = std::mem::take(&mut self.nothing_sent);
         }
         let bytes = bytes_of(Message { session: id, body: Body::SetUp(set_up) });
-        let _ = self.writes.send(OutgoingMessage { request: Some(request), ..OutgoingMessage::of(bytes) });
+        let _ = self.writes.send(OutgoingBytes { request: Some(request), ..OutgoingBytes::new(bytes) });
         self.unanswered.insert(id);
     }
 
-    /// The client cancels, or ends what stands, or closes its connection; true where it closes.
+    /// Cancels a request, ends its established session, or closes the connection. Returns true if it closes.
     fn leave(&mut self, id: u64) -> bool {
         let now = self.context.recorder.now();
         let mut event_log = self.context.recorder.event_log();
-        let is_open = self.unanswered.contains(&id);
-        if is_open && seeded_fraction(self.context.plan.seed, id, 0x1eaf) < 0.4 {
+        let is_unanswered = self.unanswered.contains(&id);
+        if is_unanswered && seeded_fraction(self.context.plan.seed, id, 0x1eaf) < 0.4 {
             drop(event_log);
             self.leave_all();
             return true;
@@ -408,7 +409,7 @@
             return false;
         }
         let Some(request) = event_log.request(id) else { return false };
-        if is_open {
+        if is_unanswered {
             request.left_at = Some(now);
             self.unanswered.remove(&id);
         } else if request.ended_at.is_none() {
@@ -416,18 +417,18 @@
         }
         drop(event_log);
         let bytes = bytes_of(Message { session: id, body: Body::release(cause::NORMAL) });
-        let _ = self.writes.send(OutgoingMessage::of(bytes));
+        let _ = self.writes.send(OutgoingBytes::new(bytes));
         false
     }
 
-    /// Hears the node; when what stands from now on is ended by its client, if it is.
+    /// Handles a message of the node. Returns when the client ends the session established by it, if it does.
     fn receive(&mut self, message: Message) -> Option<(f64, u64)> {
         let now = self.context.recorder.now();
         let id = message.session;
         let mut event_log = self.context.recorder.event_log();
         let made = event_log.descriptions_by_session.get(&id).cloned().unwrap_or_default();
         let request = event_log.request(id)?;
-        let stands = request.answers.last().is_some_and(|answer| answer.1 == Answer::Served);
+        let is_established = request.answers.last().is_some_and(|answer| answer.1 == Answer::Served);
         match message.body {
             Body::Answer { description, .. } => {
                 let was_made_for_request = made.iter().any(|made| made.as_bytes() == &description[..]);
@@ -435,10 +436,10 @@
                     .answers
                     .push((now, if was_made_for_request { Answer::Served } else { Answer::ServedWrong }));
                 self.unanswered.remove(&id);
-                let ends = seeded_fraction(self.context.plan.seed, id, 0xe4d5);
-                return (ends < 0.3).then_some((now + 4.0 * ends, id));
+                let end_fraction = seeded_fraction(self.context.plan.seed, id, 0xe4d5);
+                return (end_fraction < 0.3).then_some((now + 4.0 * end_fraction, id));
             }
-            Body::Release { .. } | Body::Move if stands => {
+            Body::Release { .. } | Body::Move if is_established => {
                 request.ended_at.get_or_insert(now);
             }
             Body::Release { cause, .. } => {
@@ -451,7 +452,7 @@
         None
     }
 
-    /// The node closed the connection.
+    /// Logs that the node closed the connection. Returns the requests that crossed the close.
     fn connection_closed(&mut self) -> Vec<Request> {
         let now = self.context.recorder.now();
         let mut to_resend = Vec::new();
@@ -469,31 +470,31 @@
     }
 }
 
-/// How long after its time a client still listens for an answer.
+/// The time until which a client awaits the answer to a request.
 pub fn answer_awaited_until(request: &Request) -> f64 {
     request.sent_at + request.client_timeout_s + GIVE_UP_AFTER_S
 }
 
-/// Hands all that stands over to a node that was started again, and goes on hearing it there.
+/// Hands all established sessions over to a node that was started again, and logs their ends from there.
 pub async fn hand_over_all(context: Arc<ClientContext>, name: impl Fn(usize) -> String) {
-    let standing: Vec<(Request, usize)> = {
+    let established: Vec<(Request, usize)> = {
         let event_log = context.recorder.event_log();
-        let stands = |request: &&Request| {
+        let is_established = |request: &&Request| {
             let served = matches!(request.answers.first(), Some((_, Answer::Served)));
             request.node == context.node.index && served && request.ended_at.is_none()
         };
-        let server = |request: &Request| {
+        let server_of = |request: &Request| {
             let attempts = event_log.attempts.iter().rev().filter(|attempt| attempt.id == request.id);
             attempts.clone().find(|attempt| attempt.answered_at.is_some()).map(|attempt| attempt.server)
         };
-        let standing = event_log.requests.iter().filter(stands);
-        standing.filter_map(|request| Some((request.clone(), server(request)?))).collect()
+        let established = event_log.requests.iter().filter(is_established);
+        established.filter_map(|request| Some((request.clone(), server_of(request)?))).collect()
     };
     let Ok(Ok(mut socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen_address)).await
     else {
         return;
     };
-    for (request, server) in &standing {
+    for (request, server) in &established {
         let message = hand_over(&context.plan, request, &name(*server));
         if socket.write_all(&bytes_of(message)).await.is_err() {
             return;
--- a/crates/lemontide-standin/src/soak/client/faulty.rs
+++ b/crates/lemontide-standin/src/soak/client/faulty.rs
@@ -1,12 +1,12 @@
-//! Clients that send what can't be used, that repeat a number, or that say nothing at all.
+//! Faulty clients: some send invalid input, some reuse a request id, some open connections and send nothing.
 
 use super::*;
 
-/// A bad client is owed a word within this time, in seconds; it waits somewhat longer.
+/// A node must respond to invalid input within this time; the client waits somewhat longer.
 pub const FAULTY_CLIENT_TIMEOUT_S: f64 = 3.0;
 const FAULTY_CLIENT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Clients that send what can't be used, one after the other.
+/// Starts clients that send invalid input, one after the other.
 pub async fn run_faulty(context: Arc<ClientContext>) {
     let mut number = 0;
     while context.recorder.now() < context.last_request_at {
@@ -15,57 +15,58 @@
             continue;
         }
         number += 1;
-        tokio::spawn(faulty_client(context.clone(), number));
+        tokio::spawn(run_faulty_client(context.clone(), number));
     }
 }
 
-/// What a bad client sends; none where it sends too much to be held here.
-fn faulty_bytes(context: &ClientContext, number: u64) -> (&'static str, Vec<u8>) {
+/// What a faulty client sends, and its name in reports.
+fn invalid_input(context: &ClientContext, number: u64) -> (&'static str, Vec<u8>) {
     let plan = &context.plan;
     let id = 0xbad0_0000_0000_0000 | ((context.node.index as u64) << 32) | number;
     let message = |session, set_up| bytes_of(Message { session, body: Body::SetUp(set_up) });
-    let usable = set_up(plan, CLASSES[1].name, 3000, 1);
+    let valid = set_up(plan, CLASSES[1].name, 3000, 1);
     match number % 8 {
-        0 => ("noise", (0..200u32).map(|n| (n * 37 % 251) as u8).collect()),
+        0 => ("garbage", (0..200u32).map(|n| (n * 37 % 251) as u8).collect()),
         1 => ("a message that never ends", vec![63, 255, 1, 0, 0]),
-        2 => ("a length of nothing", vec![0, 0, 0, 0]),
-        3 => ("no such class", message(id, SetUp { lane: "none".into(), ..usable })),
-        4 => ("no such cells", message(id, SetUp { figures: Some(Figures::default()), ..usable })),
-        5 => ("no id", message(0, usable)),
-        6 => ("no title", message(id, SetUp { title: String::new(), ..usable })),
-        _ => ("an answer", bytes_of(Message { session: id, body: Body::Move })),
+        2 => ("a message of length 0", vec![0, 0, 0, 0]),
+        3 => ("an unknown class", message(id, SetUp { lane: "none".into(), ..valid })),
+        4 => ("unknown cells", message(id, SetUp { figures: Some(Figures::default()), ..valid })),
+        5 => ("no id", message(0, valid)),
+        6 => ("no title", message(id, SetUp { title: String::new(), ..valid })),
+        _ => ("an unexpected message", bytes_of(Message { session: id, body: Body::Move })),
     }
 }
 
-async fn faulty_client(context: Arc<ClientContext>, number: u64) {
-    let connected = context.recorder.now();
-    let (what, bytes) = faulty_bytes(&context, number);
+/// Sends invalid input on a connection of its own and logs the response.
+async fn run_faulty_client(context: Arc<ClientContext>, number: u64) {
+    let connected_at = context.recorder.now();
+    let (name, bytes) = invalid_input(&context, number);
     let Ok(Ok(mut socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen_address)).await
     else {
         return;
     };
     let mut client = FaultyClient {
         node: context.node.index,
-        input: what,
-        connected_at: connected,
+        input: name,
+        connected_at,
         responded_at: None,
         was_served: false,
         is_excused: socket.write_all(&bytes).await.is_err(),
     };
-    let mut heard = [0; 512];
+    let mut received = [0; 512];
     let wait = Duration::from_secs_f64(FAULTY_CLIENT_TIMEOUT_S + 0.5);
-    if let Ok(read) = timeout(wait, socket.read(&mut heard)).await {
+    if let Ok(read) = timeout(wait, socket.read(&mut received)).await {
         client.responded_at = Some(context.recorder.now());
-        let mut said = BytesMut::from(&heard[..read.unwrap_or(0)]);
-        let answer = Codec.decode(&mut said);
+        let mut input = BytesMut::from(&received[..read.unwrap_or(0)]);
+        let answer = Codec.decode(&mut input);
         client.was_served = matches!(answer, Ok(Some(Message { body: Body::Answer { .. }, .. })));
     }
     let mut event_log = context.recorder.event_log();
-    client.is_excused |= event_log.stopped_after(context.node.index, connected);
+    client.is_excused |= event_log.stopped_after(context.node.index, connected_at);
     event_log.faulty_clients.push(client);
 }
 
-/// Opens connections to a node on which nothing is ever said, until as many are open as the plan says.
+/// Opens connections to a node on which nothing is ever sent, up to the number in the scenario.
 pub async fn run_idle(context: Arc<ClientContext>) {
     let mut open = Vec::new();
     while context.recorder.now() < context.run_until {
@@ -83,7 +84,8 @@
     }
 }
 
-/// Sends one request after the other, each once more under its number soon after it was cancelled, answered or left.
+/// Sends one request after the other, each of them three times with the same id, soon after it was cancelled, answered or
+/// left.
 pub async fn run_repeating(context: Arc<ClientContext>) {
     let mut number = 0;
     while context.recorder.now() < context.last_request_at {
@@ -95,6 +97,7 @@
     }
 }
 
+/// Sends one request three times, each on a new connection.
 async fn repeat_request(context: Arc<ClientContext>, number: u64) {
     let id = 0x4e9e_0000_0000_0000 | ((context.node.index as u64) << 32) | number;
     let class = CLASSES[1];
@@ -122,7 +125,7 @@
     }
     let set_up = set_up(&context.plan, class.name, (class.deadline_s * 1e3) as u64, id);
     let bytes = bytes_of(Message { session: id, body: Body::SetUp(set_up) });
-    for time in 0..3 {
+    for repetition in 0..3 {
         let Ok(Ok(mut socket)) =
             timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen_address)).await
         else {
@@ -132,7 +135,7 @@
             return;
         }
         let mut answer = [0; 64];
-        let wait = 0.8 * seeded_fraction(context.plan.seed, id, time);
+        let wait = 0.8 * seeded_fraction(context.plan.seed, id, repetition);
         let _ = timeout(Duration::from_secs_f64(wait), socket.read(&mut answer)).await;
         if number.is_multiple_of(2) {
             let cancel = bytes_of(Message { session: id, body: Body::release(cause::NORMAL) });
--- a/crates/lemontide-standin/src/soak/report.rs
+++ b/crates/lemontide-standin/src/soak/report.rs
@@ -1,4 +1,4 @@
-//! A run in words: one line where all is well, and the form of the operators' reports where a rule is broken.
+//! Prints a run: a summary line, and a report in the operators' form if an invariant is violated.
 
 use super::event_log::{
     Answer, Attempt, ClientConnection, EventLog, ListState, NodeEvent, Recorder, Request,
@@ -11,12 +11,12 @@
 use std::path::PathBuf;
 use std::time::UNIX_EPOCH;
 
-/// Cases of one rule, lines of one log, and characters of one line that are printed.
-const CASES_MOST: usize = 5;
-const LOG_LINES_MOST: usize = 40;
-const LINE_MOST: usize = 400;
+/// The most violations of one invariant, lines of one log, and characters of one line that are printed.
+const MAX_VIOLATIONS: usize = 5;
+const MAX_LOG_LINES: usize = 40;
+const MAX_LINE_LENGTH: usize = 400;
 
-/// One line on a run.
+/// The summary of a run in one line.
 pub fn summary(plan: &Plan, event_log: &EventLog, violations: &[Violation]) -> String {
     let served =
         event_log.requests.iter().filter(|r| r.answers.iter().any(|a| a.1 == Answer::Served)).count();
@@ -32,7 +32,7 @@
     )
 }
 
-/// All requests and attempts of a run, its signals and its list: kept beside the logs.
+/// The event log of a run as text: signals, the discovery list, requests and attempts. It is kept beside the logs.
 pub fn event_log_text(plan: &Plan, event_log: &EventLog) -> String {
     let mut text = String::new();
     // Writing to a string does not fail.
@@ -43,7 +43,7 @@
     text
 }
 
-/// What broke, with all that is known of it.
+/// The violations of a run with all that is known about them; empty if there are none.
 pub fn report(
     plan: &Plan,
     recorder: &Recorder,
@@ -77,7 +77,7 @@
     }
     for (invariant, found) in &by_invariant {
         writeln!(text, "\n{} ({} times)", invariant.description(), found.len())?;
-        for Violation { session, details, .. } in found.iter().take(CASES_MOST) {
+        for Violation { session, details, .. } in found.iter().take(MAX_VIOLATIONS) {
             writeln!(text, "{details}")?;
             if let Some(id) = session {
                 write_session(text, plan, event_log, *id)?;
@@ -87,10 +87,11 @@
     write_signals(text, event_log)?;
     write_list(text, plan, event_log)?;
     writeln!(text, "\nEvents of the seed")?;
-    for (at, event) in &plan.faults {
-        writeln!(text, "{at:.3} {event:?}")?;
+    for (at, fault) in &plan.faults {
+        writeln!(text, "{at:.3} {fault:?}")?;
     }
-    let sessions: Vec<u64> = violations.iter().filter_map(|found| found.session).take(CASES_MOST).collect();
+    let sessions: Vec<u64> =
+        violations.iter().filter_map(|found| found.session).take(MAX_VIOLATIONS).collect();
     for (node, log) in logs.iter().enumerate() {
         write_log(text, node, log, &sessions)?;
     }
@@ -99,7 +100,7 @@
 
 fn write_session(text: &mut String, plan: &Plan, event_log: &EventLog, id: u64) -> std::fmt::Result {
     if let Some(request) = event_log.request_index_by_id.get(&id).map(|at| &event_log.requests[*at]) {
-        writeln!(text, "client: {}", client_line(request))?;
+        writeln!(text, "client: {}", request_line(request))?;
     }
     for attempt in event_log.attempts.iter().filter(|attempt| attempt.id == id) {
         writeln!(text, "  backend {}", attempt_line(plan, attempt))?;
@@ -107,7 +108,7 @@
     Ok(())
 }
 
-fn client_line(request: &Request) -> String {
+fn request_line(request: &Request) -> String {
     let safety = if request.class.is_idempotent { "safe" } else { "unsafe" };
     let mut end = match (request.answers.first(), request.left_at, request.connection_closed_at) {
         (Some((at, answer)), ..) => format!("ended {at:.3}: {answer:?}"),
@@ -147,15 +148,15 @@
     )
 }
 
-/// A client's connection as it is printed: the node, the client, and which of its connections.
+/// A client's connection: the node, the client, and the number among the client's connections.
 fn connection_name(connection: &ClientConnection) -> String {
     format!("n{} by c{}.{}", connection.node, connection.client, connection.number)
 }
 
 fn write_signals(text: &mut String, event_log: &EventLog) -> std::fmt::Result {
     writeln!(text, "\nSignals")?;
-    for (at, node, signal) in &event_log.node_events {
-        let what = match signal {
+    for (at, node, event) in &event_log.node_events {
+        let name = match event {
             NodeEvent::Started => "started",
             NodeEvent::Ready => "ready",
             NodeEvent::Terminate => "SIGTERM",
@@ -164,15 +165,15 @@
             NodeEvent::Exited { is_expected: true } => "ended",
             NodeEvent::Exited { is_expected: false } => "crashed",
         };
-        writeln!(text, "n{node} {at:.3} {what}")?;
+        writeln!(text, "n{node} {at:.3} {name}")?;
     }
     Ok(())
 }
 
 fn write_list(text: &mut String, plan: &Plan, event_log: &EventLog) -> std::fmt::Result {
     writeln!(text, "\nThe list of servers")?;
-    for event in &event_log.list_changes {
-        let state = match event.state {
+    for change in &event_log.list_changes {
+        let state = match change.state {
             ListState::Ready => "ready",
             ListState::Draining => "draining",
             ListState::Gone => "gone",
@@ -180,9 +181,9 @@
         writeln!(
             text,
             "{:.3} v{} {} {state}",
-            event.at,
-            event.position,
-            server_name(plan.seed, event.server)
+            change.at,
+            change.position,
+            server_name(plan.seed, change.server)
         )?;
     }
     let closes: Vec<String> =
@@ -194,14 +195,14 @@
     Ok(())
 }
 
-/// The lines of a node's log that name one of the sessions, and those of a crash.
+/// The lines of a node's log that contain the id of one of the sessions or a panic.
 fn write_log(text: &mut String, node: usize, log: &PathBuf, sessions: &[u64]) -> std::fmt::Result {
     writeln!(text, "\nLog of n{node}")?;
     let log = std::fs::read_to_string(log).unwrap_or_default();
     let ids: Vec<String> = sessions.iter().map(|id| format!("{id:016x}")).collect();
-    let is_named = |line: &&str| line.contains("panicked") || ids.iter().any(|id| line.contains(id));
-    for line in log.lines().filter(is_named).take(LOG_LINES_MOST) {
-        writeln!(text, "{}", line.chars().take(LINE_MOST).collect::<String>())?;
+    let is_relevant = |line: &&str| line.contains("panicked") || ids.iter().any(|id| line.contains(id));
+    for line in log.lines().filter(is_relevant).take(MAX_LOG_LINES) {
+        writeln!(text, "{}", line.chars().take(MAX_LINE_LENGTH).collect::<String>())?;
     }
     Ok(())
 }
--- a/crates/lemontide-standin/src/soak/stub_server.rs
+++ b/crates/lemontide-standin/src/soak/stub_server.rs
@@ -380,7 +380,8 @@
     set_up: SetUp,
     response: Response,
 ) {
-    let fraction = |what: u64| seeded_fraction(server.plan.seed, id ^ 0x5eed, attempt as u64 * 8 + what);
+    let fraction =
+        |purpose: u64| seeded_fraction(server.plan.seed, id ^ 0x5eed, attempt as u64 * 8 + purpose);
     let mut set_up_time_s = SET_UP_TIME_S.0 + (SET_UP_TIME_S.1 - SET_UP_TIME_S.0) * fraction(0);
     if response == Response::AnswerLate {
         set_up_time_s = set_up.wait_ms as f64 / 1e3 + 0.2 * fraction(1);
--- a/crates/lemontide-standin/src/soak/stub_server/connection.rs
+++ b/crates/lemontide-standin/src/soak/stub_server/connection.rs
@@ -60,8 +60,8 @@
         state.connection_count
     };
     let connection = (number << 8) | server.index as u64;
-    let position = (server.index * 64 + node) as u64;
-    let fraction = |what: u64| seeded_fraction(server.plan.seed, position + 0xc000, number * 8 + what);
+    let hash_key = (server.index * 64 + node) as u64;
+    let fraction = |purpose: u64| seeded_fraction(server.plan.seed, hash_key + 0xc000, number * 8 + purpose);
     let opened_at = server.recorder.now();
     let delay_s = server.plan.max_network_delay_s * fraction(0);
     let ready_at =
