--- a/crates/lemontide-standin/src/soak/client.rs
+++ b/crates/lemontide-standin/src/soak/client.rs
@@ -6,7 +6,7 @@
 pub use faulty::{run_faulty, run_idle, run_repeating, FAULTY_CLIENT_TIMEOUT_S};
 
 use super::event_log::{Answer, ClientConnection, FaultyClient, Recorder, Request, CLASSES};
-use super::node::{NodeProcess, NodeStatus};
+use super::node_process::{NodeProcess, NodeStatus};
 use super::plan::{seeded_fraction, Plan};
 use crate::platform::bytes_of;
 use bytes::{Bytes, BytesMut};
--- a/crates/lemontide-standin/src/soak/mod.rs
+++ b/crates/lemontide-standin/src/soak/mod.rs
@@ -2,14 +2,14 @@
 //! on an event log of what crossed the sockets.
 //!
 //! `plan` generates the scenario of a seed. `stub_server`, `stub_discovery` and `client` simulate the controllers'
-//! surroundings. `node` runs a controller as a process. `event_log` keeps what happened, `invariants` checks it and
+//! surroundings. `node_process` runs a controller. `event_log` keeps what happened, `invariants` checks it and
 //! `report` prints it. `front` generates and runs days of `lemontide front`.
 
 mod client;
 pub mod event_log;
 pub mod front;
 pub mod invariants;
-mod node;
+mod node_process;
 mod plan;
 mod report;
 pub mod stub_discovery;
@@ -17,7 +17,7 @@
 
 use client::ClientContext;
 use event_log::{ListState, Recorder};
-use node::NodeProcess;
+use node_process::NodeProcess;
 use plan::{seeded_fraction, Fault, Mode, Plan};
 use serde_json::{json, Value as Json};
 use std::io;
@@ -143,8 +143,8 @@
             StubDiscovery::start(node, recorder.clone(), addresses.collect())
         };
         let discoveries: Vec<_> = (0..plan.node_count).map(discovery).collect();
-        let settings = node::settings(&plan);
-        recorder.event_log().cold_budget = node::cold_budget(&settings);
+        let settings = node_process::settings(&plan);
+        recorder.event_log().cold_budget = node_process::cold_budget(&settings);
         let node = |at: usize| {
             let listen = address(at, 1, port + CLIENT_PORT_OFFSET);
             let discovery = discoveries[at].clone();
--- a/crates/lemontide-standin/src/soak/node.rs
+++ b/crates/lemontide-standin/src/soak/node_process.rs
@@ -125,10 +125,12 @@
         })
     }
 
+    /// The configuration file of the process.
     fn config_path(&self) -> PathBuf {
         self.folder.join(format!("n{}.json", self.index))
     }
 
+    /// The file to which the process writes its output.
     pub fn log_path(&self) -> PathBuf {
         self.folder.join(format!("n{}.log", self.index))
     }
@@ -181,6 +183,7 @@
         Ok(())
     }
 
+    /// Waits until the process answers a health test.
     async fn wait_until_ready(&self) {
         loop {
             if let Ok(mut client) = platform::End::viewer(self.listen_address).await {
--- a/crates/lemontide-standin/src/soak/stub_server.rs
+++ b/crates/lemontide-standin/src/soak/stub_server.rs
@@ -147,6 +147,7 @@
         self.index
     }
 
+    /// The mode the server is in now.
     pub fn mode(&self) -> Mode {
         self.state().mode
     }
