--- a/crates/lemontide-cli/src/soak.rs
+++ b/crates/lemontide-cli/src/soak.rs
@@ -37,8 +37,8 @@
 /// The most runs of a seed: a run that is inconclusive, as this machine was late, is repeated once.
 const MAX_RUNS: usize = 2;
 
-/// Runs the seeds. The exit code is 1 if an invariant was violated, and 2 if a seed could not be judged, as this machine
-/// was late twice.
+/// Runs the seeds. The exit code is 1 if an invariant was violated, and 2 if a seed could not be judged, as this
+/// machine was late twice.
 pub fn run(args: &Args) -> Outcome {
     let program = match &args.program {
         Some(program) => program.clone(),
--- a/crates/lemontide-standin/src/soak/client.rs
+++ b/crates/lemontide-standin/src/soak/client.rs
@@ -23,7 +23,8 @@
 
 /// Clients open new connections until this long after SIGTERM.
 const CONNECT_AFTER_SIGTERM_S: f64 = 0.3;
-/// A set-up that was written within this time before the node closed the connection crossed the close; it is sent once more.
+/// A set-up that was written within this time before the node closed the connection crossed the close; it is sent once
+/// more.
 const CLOSE_RACE_S: f64 = 0.05;
 /// A request counts as unanswered this long after its client's timeout.
 const GIVE_UP_AFTER_S: f64 = 1.0;
--- a/crates/lemontide-standin/src/soak/client/faulty.rs
+++ b/crates/lemontide-standin/src/soak/client/faulty.rs
@@ -84,8 +84,8 @@
     }
 }
 
-/// Sends one request after the other, each of them three times with the same id, soon after it was cancelled, answered or
-/// left.
+/// Sends one request after the other, each of them three times with the same id, soon after it was cancelled, answered
+/// or left.
 pub async fn run_repeating(context: Arc<ClientContext>) {
     let mut number = 0;
     while context.recorder.now() < context.last_request_at {
--- a/crates/lemontide-standin/src/soak/event_log.rs
+++ b/crates/lemontide-standin/src/soak/event_log.rs
@@ -1,5 +1,6 @@
-//! The event log of one run, as seen on the sockets: requests, attempts, list changes, process events. Times are seconds
-//! since the start of the run. The stubs and clients write it; the invariants are checked on it when the run is over.
+//! The event log of one run, as seen on the sockets: requests, attempts, list changes, process events. Times are
+//! seconds since the start of the run. The stubs and clients write it; the invariants are checked on it when the run is
+//! over.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -52,7 +53,8 @@
     /// When its last byte was written, and how long its client waits for the answer.
     pub sent_at: f64,
     pub client_timeout_s: f64,
-    /// Its client sends it again with the same id, which is the client's fault: only concurrent attempts are checked for it.
+    /// Its client sends it again with the same id, which is the client's fault: only concurrent attempts are checked
+    /// for it.
     pub reuses_id: bool,
     /// Whether it was the first on its connection.
     pub is_first_on_connection: bool,
@@ -100,8 +102,8 @@
 }
 
 impl Attempt {
-    /// The end of the time in which the attempt is outstanding; it begins when the attempt has arrived and ends when its
-    /// answer or end is written or it is given up.
+    /// The end of the time in which the attempt is outstanding; it begins when the attempt has arrived and ends when
+    /// its answer or end is written or it is given up.
     pub fn outstanding_until(&self) -> f64 {
         let ended = self.ended.map(|(at, _)| at);
         self.answered_at.into_iter().chain(ended).fold(f64::INFINITY, f64::min)
@@ -169,7 +171,8 @@
     pub is_excused: bool,
 }
 
-/// The set-ups that a server takes from all nodes in each window while it is cold, that is for `cold_span_s` after its start.
+/// The set-ups that a server takes from all nodes in each window while it is cold, that is for `cold_span_s` after its
+/// start.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdBudget {
     pub set_ups_per_window: f64,
--- a/crates/lemontide-standin/src/soak/front.rs
+++ b/crates/lemontide-standin/src/soak/front.rs
@@ -1,4 +1,5 @@
-//! Seeded days of `lemontide front`: sizes, viewers and troubles depend on the seed; the judge of days gives the verdict.
+//! Seeded days of `lemontide front`: sizes, viewers and troubles depend on the seed; the judge of days gives the
+//! verdict.
 
 use crate::day::{Day, DayTenant, Trouble, What};
 use crate::judge::{judge, Verdict};
--- a/crates/lemontide-standin/src/soak/invariants.rs
+++ b/crates/lemontide-standin/src/soak/invariants.rs
@@ -19,7 +19,8 @@
 const INFORMED_AFTER_SILENCE_S: f64 = 4.0;
 /// A node counts as informed this long after it was given a new configuration.
 const INFORMED_AFTER_RECONFIGURATION_S: f64 = 4.0;
-/// Attempts that begin later than this after their client left are late; a run may have `MAX_TOLERATED_ATTEMPTS` of them.
+/// Attempts that begin later than this after their client left are late; a run may have `MAX_TOLERATED_ATTEMPTS` of
+/// them.
 const LEAVE_GRACE_S: f64 = 0.1;
 const MAX_TOLERATED_ATTEMPTS: usize = 2;
 /// No attempt at all may begin later than this after its client left.
--- a/crates/lemontide-standin/src/soak/mod.rs
+++ b/crates/lemontide-standin/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! Soak test: seeded runs of a few real controller processes on loopback under combined faults. The invariants are checked
-//! on an event log of what crossed the sockets.
+//! Soak test: seeded runs of a few real controller processes on loopback under combined faults. The invariants are
+//! checked on an event log of what crossed the sockets.
 //!
 //! `plan` generates the scenario of a seed. `stub_server`, `stub_discovery` and `client` simulate the controllers'
 //! surroundings. `node_process` runs a controller. `event_log` keeps what happened, `invariants` checks it and
@@ -62,7 +62,7 @@
     pub summary: String,
     /// The violations, in the form of the operators' reports; empty if there are none.
     pub report: String,
-    /// False if this process was late and that lateness alone may have caused every violation found.
+    /// False if this process was late and every violation found, if any, may be due to that.
     pub is_conclusive: bool,
 }
 
--- a/crates/lemontide-standin/src/soak/node_process.rs
+++ b/crates/lemontide-standin/src/soak/node_process.rs
@@ -224,8 +224,8 @@
         self.start().await
     }
 
-    /// Kills the process. The time of SIGKILL is logged when the process is gone, as it may have read what was sent until
-    /// then.
+    /// Kills the process. The time of SIGKILL is logged when the process is gone, as it may have read what was sent
+    /// until then.
     pub async fn stop(&self) {
         self.status.send_replace(NodeStatus::Down);
         if let Some(mut child) = self.child.lock().await.take() {
--- a/crates/lemontide-standin/src/soak/plan.rs
+++ b/crates/lemontide-standin/src/soak/plan.rs
@@ -8,7 +8,8 @@
 const QUIET_END_S: f64 = 4.0;
 /// Sessions that a server of limited capacity holds.
 const SMALL_SERVER_CAPACITY: std::ops::RangeInclusive<usize> = 20..=200;
-/// Large runs: their share of the seeds, their nodes, the clients of each node and the requests per second of each client.
+/// Large runs: their share of the seeds, their nodes, the clients of each node and the requests per second of each
+/// client.
 const LARGE_RUN_SHARE: f64 = 0.12;
 const LARGE_RUN_NODES: std::ops::RangeInclusive<usize> = 12..=32;
 const LARGE_RUN_CLIENTS_PER_NODE: usize = 3;
@@ -151,7 +152,8 @@
         plan
     }
 
-    /// Adds zones, tenants, a burst of requests, repeated signals, and the faults that clients cause on their connections.
+    /// Adds zones, tenants, a burst of requests, repeated signals, and the faults that clients cause on their
+    /// connections.
     fn add_further_faults(&mut self, rng: &mut StdRng) {
         let latest = self.length_s - QUIET_END_S;
         self.zone_count = rng.random_range(1..=3).min(self.server_count);
--- a/crates/lemontide-standin/src/soak/stub_server.rs
+++ b/crates/lemontide-standin/src/soak/stub_server.rs
@@ -20,8 +20,8 @@
 
 /// A release is repeated on connections that the node opens up to this long after it.
 const REPEAT_RELEASE_FOR_S: f64 = 8.0;
-/// What was written within this time before the end of a connection may not have been read: a reset can overtake it, and
-/// the node may have closed the connection, or given it up as unreadable, before.
+/// What was written within this time before the end of a connection may not have been read: a reset can overtake it,
+/// and the node may have closed the connection, or given it up as unreadable, before.
 const POSSIBLY_UNREAD_S: f64 = 0.8;
 /// Viewers poll at fixed times with this interval, and end a session within this time after its answer.
 const VIEWER_POLL_INTERVAL_S: f64 = 0.25;
@@ -342,7 +342,8 @@
         Some(state.sessions.swap_remove(position))
     }
 
-    /// Chooses the response to an attempt by the probabilities, from the seed, the id and the number of earlier attempts.
+    /// Chooses the response to an attempt by the probabilities, from the seed, the id and the number of earlier
+    /// attempts.
     fn choose_response(&self, id: u64, attempt: usize) -> Response {
         let probabilities = &self.plan.probabilities;
         let earlier_attempts =
--- a/crates/lemontide-standin/src/soak/stub_server/connection.rs
+++ b/crates/lemontide-standin/src/soak/stub_server/connection.rs
@@ -1,5 +1,5 @@
-//! The connections of a stub server and the simulated network in front of them: incoming messages are delayed or held back,
-//! outgoing ones are written late or in fragments, and each connection ends as its seed says.
+//! The connections of a stub server and the simulated network in front of them: incoming messages are delayed or held
+//! back, outgoing ones are written late or in fragments, and each connection ends as its seed says.
 
 use super::*;
 use bytes::BytesMut;
--- a/crates/lemontide-standin/tests/soak_judge.rs
+++ b/crates/lemontide-standin/tests/soak_judge.rs
@@ -1,4 +1,5 @@
-//! The invariants of the soak test: each fault in an event log is reported as a violation, and a log without faults has none.
+//! The invariants of the soak test: each fault in an event log is reported as a violation, and a log without faults has
+//! none.
 
 use lemontide_standin::soak::event_log::{
     Answer, Attempt, AttemptEnd, ClientConnection, ColdBudget, EventLog, FaultyClient, ListChange, ListState,
@@ -154,7 +155,8 @@
     };
     assert_eq!(violated_after(true, drains(9.6, Some(9.6))), [Invariant::NoSetUpsWhileDraining]);
     assert_eq!(violated_after(true, drains(9.8, Some(9.8))), []);
-    // Discovery was down: the node counts as informed six seconds after it is back, unless it was sent the change before.
+    // Discovery was down: the node counts as informed six seconds after it is back, unless it was sent the change
+    // before.
     let down = |written| {
         move |b: &mut EventLog| {
             drains(4.0, written)(b);
@@ -223,8 +225,8 @@
     assert_eq!(violated_after(true, faulty_client(Some(6.0), false)), []);
 }
 
-/// A server restarts at 20 s with a budget of 16 set-ups per second. With the margin, 26 are allowed; 27 are a violation if
-/// most come from nodes that were informed of the start.
+/// A server restarts at 20 s with a budget of 16 set-ups per second. With the margin, 26 are allowed; 27 are a
+/// violation if most come from nodes that were informed of the start.
 #[test]
 fn a_cold_server_over_its_budget_is_found() {
     let set_ups_while_cold = |count: usize, informed_at: f64, last: f64| {
