--- a/crates/lemontide-standin/src/soak/client.rs
+++ b/crates/lemontide-standin/src/soak/client.rs
@@ -1,13 +1,13 @@
-//! Clients of one node: connections that stay, leave early, write slowly, send as a connection closes, and go on until
-//! the node is killed.
+//! Simulated clients of one node. Some cancel requests or disconnect early, write slowly, send while the connection is
+//! closing, or break their connections; all go on until the node is killed.
 
-mod bad;
+mod faulty;
 
-pub use bad::{run_bad, run_idle, run_repeater, BAD_CLIENT_WAITS};
+pub use faulty::{run_faulty, run_idle, run_repeating, FAULTY_CLIENT_TIMEOUT_S};
 
-use super::node::{Node, Status};
-use super::plan::{draw, Plan};
-use super::record::{Answer, BadClient, ClientConnection, Record, Request, CLASSES};
+use super::event_log::{Answer, ClientConnection, FaultyClient, Recorder, Request, CLASSES};
+use super::node_process::{NodeProcess, NodeStatus};
+use super::plan::{seeded_fraction, Plan};
 use crate::platform::bytes_of;
 use bytes::{Bytes, BytesMut};
 use lemontide_platform::codec::{cause, Body, Codec, Figures, Message, SetUp};
@@ -21,73 +21,76 @@
 use tokio::time::{sleep, sleep_until, timeout};
 use tokio_util::codec::Decoder;
 
-/// After SIGTERM new connections are opened for so long, in seconds.
-const NEW_CONNECTIONS_FOR: f64 = 0.3;
-/// A set-up that crosses a close within this time is sent once more, in seconds.
-const CROSSES_WITHIN: f64 = 0.05;
-/// A request is unanswered for good so long after its time, in seconds.
-const GIVES_UP_AFTER: f64 = 1.0;
-/// What no message begins with.
-const NOISE: [u8; 8] = [0; 8];
-/// The longest that a slow writer takes for one message, in seconds.
-const SLOW_WRITE: f64 = 0.15;
-const CONNECT_WITHIN: Duration = Duration::from_millis(500);
-const BETWEEN_CONNECTS: Duration = Duration::from_millis(30);
+/// Clients open new connections until this long after SIGTERM.
+const CONNECT_AFTER_SIGTERM_S: f64 = 0.3;
+/// A set-up that was written within this time before the node closed the connection crossed the close; it is sent once
+/// more.
+const CLOSE_RACE_S: f64 = 0.05;
+/// A request counts as unanswered this long after its client's timeout.
+const GIVE_UP_AFTER_S: f64 = 1.0;
+/// Bytes with which no message begins.
+const GARBAGE: [u8; 8] = [0; 8];
+/// The longest time that a slow client takes to write one message.
+const MAX_SLOW_WRITE_S: f64 = 0.15;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const CONNECT_INTERVAL: Duration = Duration::from_millis(30);
 
-/// What clients need of the run.
-pub struct World {
+/// What the clients of one node need to know of the run.
+pub struct ClientContext {
     pub plan: Arc<Plan>,
-    pub record: Arc<Record>,
-    pub node: Arc<Node>,
-    /// No request is begun after this moment, in seconds.
-    pub last_request: f64,
-    pub until: f64,
-    /// Requests that each client has sent at once, or is to.
-    pub rush: watch::Sender<usize>,
+    pub recorder: Arc<Recorder>,
+    pub node: Arc<NodeProcess>,
+    /// No request is sent after this time.
+    pub last_request_at: f64,
+    pub run_until: f64,
+    /// The total of requests that each client has to send in bursts, up to now.
+    pub rush_requests: watch::Sender<usize>,
 }
 
-/// Something that is written by the writer of a connection.
-struct Write {
+/// Bytes for the writer of a connection.
+struct OutgoingBytes {
     bytes: Vec<u8>,
-    /// It is the set-up of this request; slowly, where `pauses` is above 0 seconds.
+    /// The request that these bytes set up, if any.
     request: Option<Request>,
-    pauses: f64,
-    /// The client closes its half behind it.
-    closes_half: bool,
+    /// The bytes are written slowly, over this time, if it is above 0.
+    write_duration_s: f64,
+    /// The client closes its half of the connection after these bytes.
+    half_closes: bool,
 }
 
-impl Write {
-    fn of(bytes: Vec<u8>) -> Write {
-        Write { bytes, request: None, pauses: 0.0, closes_half: false }
+impl OutgoingBytes {
+    fn new(bytes: Vec<u8>) -> OutgoingBytes {
+        OutgoingBytes { bytes, request: None, write_duration_s: 0.0, half_closes: false }
     }
 }
 
-/// What a client does to its own connection behind a request.
+/// What a client does to its own connection after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Misuse {
-    ClosesHalf,
-    Resets,
-    SendsNoise,
+enum ConnectionFault {
+    HalfClose,
+    Reset,
+    SendGarbage,
 }
 
-/// Titles that are asked for.
-const TITLES: u64 = 8;
+/// The number of titles that clients request.
+const TITLE_COUNT: u64 = 8;
 
+/// The set-up of a request.
 fn set_up(plan: &Plan, class: &str, wait_ms: u64, id: u64) -> SetUp {
     SetUp {
         lane: class.into(),
         tenant: plan.tenant(id),
-        title: format!("t{}", id % TITLES),
+        title: format!("t{}", id % TITLE_COUNT),
         wait_ms,
-        figures: Some(Figures { home: 0, copies: plan.servers, top: 1, again: false, at: None }),
+        figures: Some(Figures { home: 0, copies: plan.server_count, top: 1, again: false, at: None }),
         description: Bytes::from_static(b"asked"),
         ..SetUp::default()
     }
 }
 
-/// The message that asks for a session, or hands it over where `at` names its server.
+/// The message that hands an established session over to a node; `at` names its server.
 pub fn hand_over(plan: &Plan, request: &Request, at: &str) -> Message {
-    let wait = (request.class.deadline * 1e3) as u64;
+    let wait = (request.class.deadline_s * 1e3) as u64;
     let mut set_up = set_up(plan, request.class.name, wait, request.id);
     if let Some(figures) = &mut set_up.figures {
         figures.at = Some(at.to_owned());
@@ -95,43 +98,44 @@
     Message { session: request.id, body: Body::SetUp(set_up) }
 }
 
-/// Runs one client, connection after connection.
-pub async fn run(world: Arc<World>, slot: u64) {
-    let (mut number, mut connections) = (0, 0);
-    let mut crossed = Vec::new();
-    while world.record.now() < world.until {
-        if !may_connect(&world) {
-            sleep(BETWEEN_CONNECTS).await;
+/// Runs one client, one connection after the other.
+pub async fn run(context: Arc<ClientContext>, client: u64) {
+    let (mut request_count, mut connection_count) = (0, 0);
+    let mut to_resend = Vec::new();
+    while context.recorder.now() < context.run_until {
+        if !may_connect(&context) {
+            sleep(CONNECT_INTERVAL).await;
             continue;
         }
-        let Ok(Ok(socket)) = timeout(CONNECT_WITHIN, TcpStream::connect(world.node.listen)).await else {
-            sleep(BETWEEN_CONNECTS).await;
+        let Ok(Ok(socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen_address)).await
+        else {
+            sleep(CONNECT_INTERVAL).await;
             continue;
         };
         let _ = socket.set_nodelay(true);
         let (mut read, write) = socket.into_split();
         let (writes, written) = mpsc::unbounded_channel();
-        connections += 1;
+        connection_count += 1;
         let mut connection = Connection {
-            world: world.clone(),
-            key: ClientConnection { node: world.node.at, client: slot, number: connections },
-            slot,
-            number: &mut number,
+            context: context.clone(),
+            key: ClientConnection { node: context.node.index, client, number: connection_count },
+            client,
+            request_count: &mut request_count,
             writes,
-            open: BTreeSet::new(),
-            is_first: true,
-            sends_no_more: false,
-            resets: false,
-            noise: None,
+            unanswered: BTreeSet::new(),
+            nothing_sent: true,
+            sending_stopped: false,
+            ends_with_reset: false,
+            garbage_sent_at: None,
         };
-        for request in std::mem::take(&mut crossed) {
-            connection.send_again(request);
+        for request in std::mem::take(&mut to_resend) {
+            connection.resend(request);
         }
-        let record = world.record.clone();
-        let write = tokio::spawn(write_all(record, write, written));
-        crossed = connection.attend(&mut read).await;
-        connection.tell_noise();
-        if connection.resets {
+        let recorder = context.recorder.clone();
+        let write = tokio::spawn(write_all(recorder, write, written));
+        to_resend = connection.exchange(&mut read).await;
+        connection.record_garbage_result();
+        if connection.ends_with_reset {
             let _ = read.as_ref().set_zero_linger();
         }
         drop(connection);
@@ -139,127 +143,131 @@
     }
 }
 
-/// What a client does behind a request, by a number from 0 to 1.
-fn misuse(plan: &Plan, drawn: f64) -> Option<Misuse> {
-    let odds = &plan.odds;
-    let all = [
-        (odds.half_closes, Misuse::ClosesHalf),
-        (odds.resets, Misuse::Resets),
-        (odds.spoils_own, Misuse::SendsNoise),
+/// Chooses what a client does to its connection after a request, by a number from 0 to 1.
+fn choose_connection_fault(plan: &Plan, fraction: f64) -> Option<ConnectionFault> {
+    let probabilities = &plan.probabilities;
+    let cumulative = [
+        (probabilities.client_half_closes, ConnectionFault::HalfClose),
+        (probabilities.client_resets, ConnectionFault::Reset),
+        (probabilities.client_sends_garbage, ConnectionFault::SendGarbage),
     ];
-    let mut rest = drawn;
-    for (chance, misuse) in all {
-        if rest < chance {
-            return Some(misuse);
+    let mut rest = fraction;
+    for (probability, connection_fault) in cumulative {
+        if rest < probability {
+            return Some(connection_fault);
         }
-        rest -= chance;
+        rest -= probability;
     }
     None
 }
 
-fn may_connect(world: &World) -> bool {
-    match *world.node.status.borrow() {
-        Status::Up => true,
-        Status::Terminating(since) => world.record.now() - since < NEW_CONNECTIONS_FOR,
-        Status::Down => false,
+/// Whether clients open new connections to the node now.
+fn may_connect(context: &ClientContext) -> bool {
+    match *context.node.status.borrow() {
+        NodeStatus::Up => true,
+        NodeStatus::Terminating(since) => context.recorder.now() - since < CONNECT_AFTER_SIGTERM_S,
+        NodeStatus::Down => false,
     }
 }
 
+/// Writes the messages of a connection and logs when each request was written completely.
 async fn write_all(
-    record: Arc<Record>,
+    recorder: Arc<Recorder>,
     mut socket: OwnedWriteHalf,
-    mut writes: mpsc::UnboundedReceiver<Write>,
+    mut writes: mpsc::UnboundedReceiver<OutgoingBytes>,
 ) {
-    while let Some(Write { bytes, request, pauses, closes_half }) = writes.recv().await {
-        let pieces = if pauses > 0.0 { 3 } else { 1 };
+    while let Some(OutgoingBytes { bytes, request, write_duration_s, half_closes }) = writes.recv().await {
+        let fragment_count = if write_duration_s > 0.0 { 3 } else { 1 };
         let mut is_written = true;
-        for piece in bytes.chunks(bytes.len().div_ceil(pieces).max(1)) {
-            is_written &= socket.write_all(piece).await.is_ok();
-            if pauses > 0.0 {
-                sleep(Duration::from_secs_f64(pauses / 3.0)).await;
+        for fragment in bytes.chunks(bytes.len().div_ceil(fragment_count).max(1)) {
+            is_written &= socket.write_all(fragment).await.is_ok();
+            if write_duration_s > 0.0 {
+                sleep(Duration::from_secs_f64(write_duration_s / 3.0)).await;
             }
         }
         if !is_written {
             return;
         }
         if let Some(request) = request {
-            let now = record.now();
-            if let Some(request) = record.book().request(request.id) {
-                request.sent = request.sent.min(now);
+            let now = recorder.now();
+            if let Some(request) = recorder.event_log().request(request.id) {
+                request.sent_at = request.sent_at.min(now);
             }
         }
-        if closes_half {
+        if half_closes {
             let _ = socket.shutdown().await;
             return;
         }
     }
 }
 
+/// A connection of a client while it is open.
 struct Connection<'a> {
-    world: Arc<World>,
+    context: Arc<ClientContext>,
     key: ClientConnection,
-    slot: u64,
-    number: &'a mut u64,
-    writes: mpsc::UnboundedSender<Write>,
-    /// Requests that wait for an answer here.
-    open: BTreeSet<u64>,
-    is_first: bool,
-    /// It has closed its half, or sent what can't be read: nothing it sends now would be taken.
-    sends_no_more: bool,
-    /// It ends with a reset.
-    resets: bool,
-    /// When it sent what can't be read.
-    noise: Option<f64>,
+    client: u64,
+    request_count: &'a mut u64,
+    writes: mpsc::UnboundedSender<OutgoingBytes>,
+    /// Requests that were sent on this connection and have no answer yet.
+    unanswered: BTreeSet<u64>,
+    nothing_sent: bool,
+    /// The client has half-closed the connection, reset it or sent garbage: the node would accept nothing more on it.
+    sending_stopped: bool,
+    /// The connection ends with a reset.
+    ends_with_reset: bool,
+    /// When the client sent garbage.
+    garbage_sent_at: Option<f64>,
 }
 
 impl Connection<'_> {
-    /// Sends and reads until the connection is over; the requests that crossed its close.
-    async fn attend(&mut self, socket: &mut OwnedReadHalf) -> Vec<Request> {
+    /// Sends and receives until the connection ends. Returns the requests that crossed the node's close.
+    async fn exchange(&mut self, socket: &mut OwnedReadHalf) -> Vec<Request> {
         let mut bytes = BytesMut::new();
-        let mut status = self.world.node.status.subscribe();
-        let mut next = self.world.record.now() + 0.05 * draw(self.world.plan.seed, self.slot, 1);
-        let mut cancels: Vec<(f64, u64)> = Vec::new();
-        let mut rush = self.world.rush.subscribe();
-        let mut rushed = *rush.borrow_and_update();
+        let mut status = self.context.node.status.subscribe();
+        let mut next =
+            self.context.recorder.now() + 0.05 * seeded_fraction(self.context.plan.seed, self.client, 1);
+        let mut leave_times: Vec<(f64, u64)> = Vec::new();
+        let mut rush_requests = self.context.rush_requests.subscribe();
+        let mut rush_requests_sent = *rush_requests.borrow_and_update();
         loop {
-            let now = self.world.record.now();
-            if now >= self.world.until || *status.borrow_and_update() == Status::Down {
+            let now = self.context.recorder.now();
+            if now >= self.context.run_until || *status.borrow_and_update() == NodeStatus::Down {
                 return Vec::new();
             }
-            let due = cancels.iter().map(|(at, _)| *at).fold(next, f64::min);
+            let due = leave_times.iter().map(|(at, _)| *at).fold(next, f64::min);
             tokio::select! {
                 read = socket.read_buf(&mut bytes) => {
                     if !matches!(read, Ok(1..)) {
-                        return self.closed();
+                        return self.connection_closed();
                     }
                     loop {
                         match Codec.decode(&mut bytes) {
-                            Ok(Some(message)) => cancels.extend(self.hear(message)),
+                            Ok(Some(message)) => leave_times.extend(self.receive(message)),
                             Ok(None) => break,
-                            Err(_) => return self.closed(),
+                            Err(_) => return self.connection_closed(),
                         }
                     }
                 }
                 _ = status.changed() => {}
-                _ = rush.changed() => {
-                    let requests = *rush.borrow_and_update();
-                    (rushed..requests).for_each(|_| cancels.extend(self.send()));
-                    rushed = requests;
-                    if self.resets {
+                _ = rush_requests.changed() => {
+                    let requests = *rush_requests.borrow_and_update();
+                    (rush_requests_sent..requests).for_each(|_| leave_times.extend(self.send()));
+                    rush_requests_sent = requests;
+                    if self.ends_with_reset {
                         return Vec::new();
                     }
                 }
-                () = sleep_until(self.world.record.instant(due)) => {
-                    if let Some(place) = cancels.iter().position(|(at, _)| *at <= due) {
-                        if self.leave(cancels.swap_remove(place).1) {
+                () = sleep_until(self.context.recorder.instant(due)) => {
+                    if let Some(position) = leave_times.iter().position(|(at, _)| *at <= due) {
+                        if self.leave(leave_times.swap_remove(position).1) {
                             return Vec::new();
                         }
                     } else {
-                        cancels.extend(self.send());
-                        if self.resets {
+                        leave_times.extend(self.send());
+                        if self.ends_with_reset {
                             return Vec::new();
                         }
-                        let gap = 2.0 * draw(self.world.plan.seed, self.slot * 977 + 5, *self.number);
+                        let gap = 2.0 * seeded_fraction(self.context.plan.seed, self.client * 977 + 5, *self.request_count);
                         next = due + gap / self.rate();
                     }
                 }
@@ -267,219 +275,228 @@
         }
     }
 
-    /// Requests a second on this connection.
+    /// Requests per second on this connection.
     fn rate(&self) -> f64 {
-        self.world.plan.requests_per_s
+        self.context.plan.requests_per_client_per_s
     }
 
-    /// Sends the next request; when its client leaves, if it does.
+    /// Sends the next request. Returns when the client gives it up, if it does.
     fn send(&mut self) -> Option<(f64, u64)> {
-        let now = self.world.record.now();
-        if now >= self.world.last_request || self.sends_no_more {
+        let now = self.context.recorder.now();
+        if now >= self.context.last_request_at || self.sending_stopped {
             return None;
         }
-        *self.number += 1;
-        let (plan, record) = (&self.world.plan, &self.world.record);
-        let place = ((self.world.node.at as u64) << 40) | (self.slot << 24) | *self.number;
-        let draw = |what: u64| draw(plan.seed ^ 0xc11e, place, what);
-        let number = (draw(0) * 2f64.powi(53)) as u64;
-        let id = (number << 8) | (self.world.node.at as u64 + 1);
-        let class = CLASSES[usize::from(draw(1) < 0.6)];
-        let is_short = draw(2) < 0.03;
-        let wait = if is_short { 0.05 + 0.3 * draw(3) } else { class.deadline };
+        *self.request_count += 1;
+        let (plan, recorder) = (&self.context.plan, &self.context.recorder);
+        let hash_key = ((self.context.node.index as u64) << 40) | (self.client << 24) | *self.request_count;
+        let fraction = |purpose: u64| seeded_fraction(plan.seed ^ 0xc11e, hash_key, purpose);
+        let number = (fraction(0) * 2f64.powi(53)) as u64;
+        let id = (number << 8) | (self.context.node.index as u64 + 1);
+        let class = CLASSES[usize::from(fraction(1) < 0.6)];
+        let is_short = fraction(2) < 0.03;
+        let wait = if is_short { 0.05 + 0.3 * fraction(3) } else { class.deadline_s };
         let set_up = set_up(plan, class.name, (wait * 1e3) as u64, id);
         let request = Request {
             id,
             class,
-            node: self.world.node.at,
+            node: self.context.node.index,
             connection: self.key,
-            sent: f64::INFINITY,
-            wait,
-            is_repeated: false,
-            is_first: std::mem::take(&mut self.is_first),
-            left: None,
+            sent_at: f64::INFINITY,
+            client_timeout_s: wait,
+            reuses_id: false,
+            is_first_on_connection: std::mem::take(&mut self.nothing_sent),
+            left_at: None,
             answers: Vec::new(),
-            closed: None,
-            is_sent_again: false,
-            over: None,
+            connection_closed_at: None,
+            is_resent: false,
+            ended_at: None,
         };
-        let mut book = record.book();
-        let at = book.requests.len();
-        book.by_id.insert(id, at);
-        book.requests.push(request.clone());
-        drop(book);
+        let mut event_log = recorder.event_log();
+        let at = event_log.requests.len();
+        event_log.request_index_by_id.insert(id, at);
+        event_log.requests.push(request.clone());
+        drop(event_log);
         let bytes = bytes_of(Message { session: id, body: Body::SetUp(set_up) });
-        let pauses = if draw(4) < plan.odds.slow_writer { SLOW_WRITE * draw(5) } else { 0.0 };
-        let misuse = misuse(plan, draw(8));
-        let closes_half = misuse == Some(Misuse::ClosesHalf);
-        let _ = self.writes.send(Write { bytes, request: Some(request), pauses, closes_half });
-        self.open.insert(id);
-        if let Some(misuse) = misuse {
-            self.misuse(misuse);
+        let write_duration_s = if fraction(4) < plan.probabilities.client_writes_slowly {
+            MAX_SLOW_WRITE_S * fraction(5)
+        } else {
+            0.0
+        };
+        let connection_fault = choose_connection_fault(plan, fraction(8));
+        let half_closes = connection_fault == Some(ConnectionFault::HalfClose);
+        let _ =
+            self.writes.send(OutgoingBytes { bytes, request: Some(request), write_duration_s, half_closes });
+        self.unanswered.insert(id);
+        if let Some(connection_fault) = connection_fault {
+            self.break_connection(connection_fault);
             return None;
         }
-        (draw(6) < plan.odds.leaves).then(|| (now + pauses + 1.2 * draw(7) * draw(7), id))
+        (fraction(6) < plan.probabilities.client_leaves)
+            .then(|| (now + write_duration_s + 1.2 * fraction(7) * fraction(7), id))
     }
 
-    /// Does this to the own connection, behind the last request.
-    fn misuse(&mut self, misuse: Misuse) {
-        self.sends_no_more = true;
-        match misuse {
-            Misuse::ClosesHalf => {}
-            Misuse::SendsNoise => {
-                self.noise = Some(self.world.record.now());
-                let _ = self.writes.send(Write::of(NOISE.to_vec()));
+    /// Breaks the own connection after the last request.
+    fn break_connection(&mut self, connection_fault: ConnectionFault) {
+        self.sending_stopped = true;
+        match connection_fault {
+            ConnectionFault::HalfClose => {}
+            ConnectionFault::SendGarbage => {
+                self.garbage_sent_at = Some(self.context.recorder.now());
+                let _ = self.writes.send(OutgoingBytes::new(GARBAGE.to_vec()));
             }
-            Misuse::Resets => {
-                self.resets = true;
+            ConnectionFault::Reset => {
+                self.ends_with_reset = true;
                 self.leave_all();
             }
         }
     }
 
-    /// Records whether the node closed the connection on which it was sent what can't be read.
-    fn tell_noise(&mut self) {
-        let Some(sent) = self.noise else { return };
-        let (record, node) = (&self.world.record, self.world.node.at);
-        let now = record.now();
-        let mut book = record.book();
-        let client = BadClient {
+    /// Logs when the connection ended on which garbage was sent.
+    fn record_garbage_result(&mut self) {
+        let Some(sent_at) = self.garbage_sent_at else { return };
+        let (recorder, node) = (&self.context.recorder, self.context.node.index);
+        let now = recorder.now();
+        let mut event_log = recorder.event_log();
+        let client = FaultyClient {
             node,
-            what: "noise behind a request",
-            connected: sent,
-            heard: Some(now),
+            input: "garbage after a request",
+            connected_at: sent_at,
+            responded_at: Some(now),
             was_served: false,
-            is_void: book.has_gone(node, sent),
+            is_excused: event_log.stopped_after(node, sent_at),
         };
-        book.bad_clients.push(client);
+        event_log.faulty_clients.push(client);
     }
 
-    /// The client closes its connection: it waits for nothing on it any more.
+    /// Logs that the client closes its connection and so leaves all requests on it.
     fn leave_all(&self) {
-        let now = self.world.record.now();
-        let mut book = self.world.record.book();
-        for id in &self.open {
-            if let Some(request) = book.request(*id) {
-                request.left = Some(now);
+        let now = self.context.recorder.now();
+        let mut event_log = self.context.recorder.event_log();
+        for id in &self.unanswered {
+            if let Some(request) = event_log.request(*id) {
+                request.left_at = Some(now);
             }
         }
-        book.client_closes.push((now, self.key));
+        event_log.client_closes.push((now, self.key));
     }
 
-    /// A request that crossed a close is sent once more, as it was.
-    fn send_again(&mut self, request: Request) {
+    /// Sends a request that crossed a close once more, unchanged.
+    fn resend(&mut self, request: Request) {
         let id = request.id;
-        let wait = (request.wait * 1e3) as u64;
-        let set_up = set_up(&self.world.plan, request.class.name, wait, id);
-        if let Some(again) = self.world.record.book().request(id) {
-            again.is_sent_again = true;
-            again.connection = self.key;
-            again.sent = f64::INFINITY;
-            again.is_first = std::mem::take(&mut self.is_first);
+        let wait = (request.client_timeout_s * 1e3) as u64;
+        let set_up = set_up(&self.context.plan, request.class.name, wait, id);
+        if let Some(logged) = self.context.recorder.event_log().request(id) {
+            logged.is_resent = true;
+            logged.connection = self.key;
+            logged.sent_at = f64::INFINITY;
+            logged.is_first_on_connection = std::mem::take(&mut self.nothing_sent);
         }
         let bytes = bytes_of(Message { session: id, body: Body::SetUp(set_up) });
-        let _ = self.writes.send(Write { request: Some(request), ..Write::of(bytes) });
-        self.open.insert(id);
+        let _ = self.writes.send(OutgoingBytes { request: Some(request), ..OutgoingBytes::new(bytes) });
+        self.unanswered.insert(id);
     }
 
-    /// The client cancels, or ends what stands, or closes its connection; true where it closes.
+    /// Cancels a request, ends its established session, or closes the connection. Returns true if it closes.
     fn leave(&mut self, id: u64) -> bool {
-        let now = self.world.record.now();
-        let mut book = self.world.record.book();
-        let is_open = self.open.contains(&id);
-        if is_open && draw(self.world.plan.seed, id, 0x1eaf) < 0.4 {
-            drop(book);
+        let now = self.context.recorder.now();
+        let mut event_log = self.context.recorder.event_log();
+        let is_unanswered = self.unanswered.contains(&id);
+        if is_unanswered && seeded_fraction(self.context.plan.seed, id, 0x1eaf) < 0.4 {
+            drop(event_log);
             self.leave_all();
             return true;
         }
-        if self.sends_no_more {
+        if self.sending_stopped {
             return false;
         }
-        let Some(request) = book.request(id) else { return false };
-        if is_open {
-            request.left = Some(now);
-            self.open.remove(&id);
-        } else if request.over.is_none() {
-            request.over = Some(now);
+        let Some(request) = event_log.request(id) else { return false };
+        if is_unanswered {
+            request.left_at = Some(now);
+            self.unanswered.remove(&id);
+        } else if request.ended_at.is_none() {
+            request.ended_at = Some(now);
         }
-        drop(book);
+        drop(event_log);
         let bytes = bytes_of(Message { session: id, body: Body::release(cause::NORMAL) });
-        let _ = self.writes.send(Write::of(bytes));
+        let _ = self.writes.send(OutgoingBytes::new(bytes));
         false
     }
 
-    /// Hears the node; when what stands from now on is ended by its client, if it is.
-    fn hear(&mut self, message: Message) -> Option<(f64, u64)> {
-        let now = self.world.record.now();
+    /// Handles a message of the node. Returns when the client ends the session established by it, if it does.
+    fn receive(&mut self, message: Message) -> Option<(f64, u64)> {
+        let now = self.context.recorder.now();
         let id = message.session;
-        let mut book = self.world.record.book();
-        let made = book.made.get(&id).cloned().unwrap_or_default();
-        let request = book.request(id)?;
-        let stands = request.answers.last().is_some_and(|answer| answer.1 == Answer::Served);
+        let mut event_log = self.context.recorder.event_log();
+        let made = event_log.descriptions_by_session.get(&id).cloned().unwrap_or_default();
+        let request = event_log.request(id)?;
+        let is_established = request.answers.last().is_some_and(|answer| answer.1 == Answer::Served);
         match message.body {
             Body::Answer { description, .. } => {
-                let is_right = made.iter().any(|made| made.as_bytes() == &description[..]);
-                request.answers.push((now, if is_right { Answer::Served } else { Answer::ServedWrong }));
-                self.open.remove(&id);
-                let ends = draw(self.world.plan.seed, id, 0xe4d5);
-                return (ends < 0.3).then_some((now + 4.0 * ends, id));
+                let was_made_for_request = made.iter().any(|made| made.as_bytes() == &description[..]);
+                request
+                    .answers
+                    .push((now, if was_made_for_request { Answer::Served } else { Answer::ServedWrong }));
+                self.unanswered.remove(&id);
+                let end_fraction = seeded_fraction(self.context.plan.seed, id, 0xe4d5);
+                return (end_fraction < 0.3).then_some((now + 4.0 * end_fraction, id));
             }
-            Body::Release { .. } | Body::Move if stands => {
-                request.over.get_or_insert(now);
+            Body::Release { .. } | Body::Move if is_established => {
+                request.ended_at.get_or_insert(now);
             }
             Body::Release { cause, .. } => {
-                let is_refusal = [cause::FULL, cause::TURNED_BACK, cause::MOOT].contains(&cause);
-                request.answers.push((now, if is_refusal { Answer::Refused } else { Answer::Failed }));
-                self.open.remove(&id);
+                let is_rejection = [cause::FULL, cause::TURNED_BACK, cause::MOOT].contains(&cause);
+                request.answers.push((now, if is_rejection { Answer::Refused } else { Answer::Failed }));
+                self.unanswered.remove(&id);
             }
             _ => {}
         }
         None
     }
 
-    /// The node closed the connection.
-    fn closed(&mut self) -> Vec<Request> {
-        let now = self.world.record.now();
-        let mut crossed = Vec::new();
-        let mut book = self.world.record.book();
-        for id in &self.open {
-            let Some(request) = book.request(*id) else { continue };
-            let crosses = now - request.sent <= CROSSES_WITHIN && !self.sends_no_more;
-            if crosses && !request.is_sent_again {
-                crossed.push(request.clone());
+    /// Logs that the node closed the connection. Returns the requests that crossed the close.
+    fn connection_closed(&mut self) -> Vec<Request> {
+        let now = self.context.recorder.now();
+        let mut to_resend = Vec::new();
+        let mut event_log = self.context.recorder.event_log();
+        for id in &self.unanswered {
+            let Some(request) = event_log.request(*id) else { continue };
+            let close_raced = now - request.sent_at <= CLOSE_RACE_S && !self.sending_stopped;
+            if close_raced && !request.is_resent {
+                to_resend.push(request.clone());
             } else {
-                request.closed = Some(now);
+                request.connection_closed_at = Some(now);
             }
         }
-        crossed
+        to_resend
     }
 }
 
-/// How long after its time a client still listens for an answer.
-pub fn listens_until(request: &Request) -> f64 {
-    request.sent + request.wait + GIVES_UP_AFTER
+/// The time until which a client awaits the answer to a request.
+pub fn answer_awaited_until(request: &Request) -> f64 {
+    request.sent_at + request.client_timeout_s + GIVE_UP_AFTER_S
 }
 
-/// Hands all that stands over to a node that was started again, and goes on hearing it there.
-pub async fn hand_over_all(world: Arc<World>, name: impl Fn(usize) -> String) {
-    let standing: Vec<(Request, usize)> = {
-        let book = world.record.book();
-        let stands = |request: &&Request| {
+/// Hands all established sessions over to a node that was started again, and logs their ends from there.
+pub async fn hand_over_all(context: Arc<ClientContext>, name: impl Fn(usize) -> String) {
+    let established: Vec<(Request, usize)> = {
+        let event_log = context.recorder.event_log();
+        let is_established = |request: &&Request| {
             let served = matches!(request.answers.first(), Some((_, Answer::Served)));
-            request.node == world.node.at && served && request.over.is_none()
+            request.node == context.node.index && served && request.ended_at.is_none()
         };
-        let server = |request: &Request| {
-            let attempts = book.attempts.iter().rev().filter(|attempt| attempt.id == request.id);
-            attempts.clone().find(|attempt| attempt.answered.is_some()).map(|attempt| attempt.server)
+        let server_of = |request: &Request| {
+            let attempts = event_log.attempts.iter().rev().filter(|attempt| attempt.id == request.id);
+            attempts.clone().find(|attempt| attempt.answered_at.is_some()).map(|attempt| attempt.server)
         };
-        let standing = book.requests.iter().filter(stands);
-        standing.filter_map(|request| Some((request.clone(), server(request)?))).collect()
+        let established = event_log.requests.iter().filter(is_established);
+        established.filter_map(|request| Some((request.clone(), server_of(request)?))).collect()
     };
-    let Ok(Ok(mut socket)) = timeout(CONNECT_WITHIN, TcpStream::connect(world.node.listen)).await else {
+    let Ok(Ok(mut socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen_address)).await
+    else {
         return;
     };
-    for (request, server) in &standing {
-        let message = hand_over(&world.plan, request, &name(*server));
+    for (request, server) in &established {
+        let message = hand_over(&context.plan, request, &name(*server));
         if socket.write_all(&bytes_of(message)).await.is_err() {
             return;
         }
@@ -487,9 +504,9 @@
     let mut bytes = BytesMut::new();
     while matches!(socket.read_buf(&mut bytes).await, Ok(1..)) {
         while let Ok(Some(message)) = Codec.decode(&mut bytes) {
-            let now = world.record.now();
-            if let Some(request) = world.record.book().request(message.session) {
-                request.over.get_or_insert(now);
+            let now = context.recorder.now();
+            if let Some(request) = context.recorder.event_log().request(message.session) {
+                request.ended_at.get_or_insert(now);
             }
         }
     }
