--- a/crates/lemontide-front/src/gossip.rs
+++ b/crates/lemontide-front/src/gossip.rs
@@ -6,7 +6,7 @@
 use lemontide::clock::{Point, Span};
 use lemontide_gossip::keys::{Networks, Own, Ring};
 use lemontide_gossip::membership::Pace;
-use lemontide_gossip::message::LARGEST;
+use lemontide_gossip::message::MAX_DATAGRAM_BYTES;
 use lemontide_gossip::node::{Node, Terms, View};
 use lemontide_wire::clock::Clock;
 use lemontide_wire::tap::{Tap, What};
@@ -123,7 +123,7 @@
     reports: mpsc::Sender<Happened>,
 ) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else { return };
-    let mut bytes = [0u8; LARGEST + 1];
+    let mut bytes = [0u8; MAX_DATAGRAM_BYTES + 1];
     let mut handed: BTreeSet<String> = BTreeSet::new();
     let shares = node.members.record.number.is_some();
     let mut hand_over = Instant::now();
--- a/crates/lemontide-gossip/src/belief.rs
+++ b/crates/lemontide-gossip/src/belief.rs
@@ -89,7 +89,7 @@
     pub fn take(&mut self, now: Point, voice: Voice, said: &Testimony, covered: Vec<u8>) -> Taken {
         if let Some(known) = self.claims.get(&said.origin) {
             if (said.boot, said.seq) == (known.boot, known.seq) && covered != known.said {
-                // Signed twice by the same hand: nothing it says is worth anything for a while.
+                // Signable twice by the same hand: nothing it says is worth anything for a while.
                 self.count(now, voice, 0.0, 20.0);
                 return Taken::Equivocation;
             }
@@ -190,7 +190,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::message::{Seen, Signed};
+    use crate::message::{Seen, Signable};
     use proptest::prelude::*;
 
     fn at(s: f64) -> Point {
@@ -207,7 +207,7 @@
     }
 
     fn take(belief: &mut Belief, now: Point, voice: u8, testimony: &Testimony) -> Taken {
-        belief.take(now, [voice; 32], testimony, testimony.covered())
+        belief.take(now, [voice; 32], testimony, testimony.signed_bytes())
     }
 
     #[test]
--- a/crates/lemontide-gossip/src/evidence.rs
+++ b/crates/lemontide-gossip/src/evidence.rs
@@ -1,6 +1,6 @@
 //! What this instance saw of the streamers itself: tries and failures that fade, bounded in number. Never hearsay.
 
-use crate::message::{Seen, SEEN_MOST};
+use crate::message::{Seen, MAX_TESTIMONY_STREAMERS};
 use lemontide::clock::Point;
 use std::collections::BTreeMap;
 
@@ -69,7 +69,7 @@
             let failures = (tally.failing() * f64::from(tries)).round() as u32;
             Seen { streamer: name.clone(), tries, failures: failures.min(tries) }
         };
-        told.into_iter().take(SEEN_MOST).map(seen).collect()
+        told.into_iter().take(MAX_TESTIMONY_STREAMERS).map(seen).collect()
     }
 }
 
@@ -85,7 +85,7 @@
             evidence.saw(at(0.0), &format!("s{i:02}"), i != 30);
         }
         let told = evidence.tell(at(0.1));
-        assert_eq!((told.len(), told[0].streamer.as_str(), told[0].failures), (SEEN_MOST, "s30", 1));
+        assert_eq!((told.len(), told[0].streamer.as_str(), told[0].failures), (MAX_TESTIMONY_STREAMERS, "s30", 1));
         assert!((evidence.of(at(4.0), "s30").failures - 0.5).abs() < 1e-9);
         assert!(evidence.tell(at(20.0)).is_empty());
         (0..2 * STREAMERS_MOST).for_each(|i| evidence.saw(at(30.0), &i.to_string(), true));
--- a/crates/lemontide-gossip/src/keys.rs
+++ b/crates/lemontide-gossip/src/keys.rs
@@ -1,7 +1,7 @@
 //! Who may speak: keys that the operator lists, networks that datagrams may come from, and what keeps replays
 //! out. Cheap checks come first; a signature is verified only when all of them have passed.
 
-use crate::message::Signed;
+use crate::message::Signable;
 use ed25519_dalek::{Signature, Signer, SigningKey, Verifier, VerifyingKey};
 use ipnet::IpNet;
 use lemontide::clock::{Point, Span};
@@ -40,9 +40,9 @@
     }
 
     /// The voice that signed this in the name of an instance, if one of its keys did.
-    pub fn voice(&self, name: &str, signed: &impl Signed, signature: &[u8]) -> Option<Voice> {
+    pub fn voice(&self, name: &str, signed: &impl Signable, signature: &[u8]) -> Option<Voice> {
         let signature = Signature::from_slice(signature).ok()?;
-        let covered = signed.covered();
+        let covered = signed.signed_bytes();
         let signs = |key: &&VerifyingKey| key.verify(&covered, &signature).is_ok();
         self.keys.get(name)?.iter().find(signs).map(VerifyingKey::to_bytes)
     }
@@ -60,8 +60,8 @@
         self.0.verifying_key().to_bytes()
     }
 
-    pub fn sign(&self, what: &impl Signed) -> Vec<u8> {
-        self.0.sign(&what.covered()).to_bytes().to_vec()
+    pub fn sign(&self, what: &impl Signable) -> Vec<u8> {
+        self.0.sign(&what.signed_bytes()).to_bytes().to_vec()
     }
 }
 
--- a/crates/lemontide-gossip/src/node.rs
+++ b/crates/lemontide-gossip/src/node.rs
@@ -7,8 +7,8 @@
 use crate::keys::{Gate, Networks, Own, Ring, Stale};
 use crate::membership::{Act, Change, Membership, Pace, Rumour, Status};
 use crate::message::{
-    self, Ack, Body, Challenge, Datagram, Kind, Ping, PingReq, Record, Signed, Suspicion, Sync, Testimony,
-    LARGEST,
+    self, Ack, Body, Challenge, Datagram, Kind, Ping, PingReq, Record, Signable, Suspicion, Sync, Testimony,
+    MAX_DATAGRAM_BYTES,
 };
 use lemontide::clock::{Point, Span};
 use prost::Message;
@@ -18,7 +18,7 @@
 
 /// Room in a datagram beside its body.
 const OUTER: usize = 64 + NAME_ROOM + 40;
-const NAME_ROOM: usize = message::NAME_MOST;
+const NAME_ROOM: usize = message::MAX_NAME_BYTES;
 /// A testimony is made at most this often, and passed on this often by each who hears it.
 const TELL_EVERY: Span = Span::of_millis(500);
 const TELL_AGAIN: Span = Span::of_millis(4000);
@@ -369,7 +369,7 @@
             self.dropped.network += 1;
             return;
         }
-        let Some(datagram) = message::outer(bytes) else {
+        let Some(datagram) = message::decode_datagram(bytes) else {
             self.dropped.malformed += 1;
             return;
         };
@@ -398,7 +398,7 @@
             self.dropped.unsigned += 1;
             return;
         };
-        let Some(body) = message::body(&datagram.body) else {
+        let Some(body) = message::decode_body(&datagram.body) else {
             self.dropped.malformed += 1;
             return;
         };
@@ -488,7 +488,7 @@
         self.act(now);
     }
 
-    fn verified(&mut self, name: &str, signed: &impl Signed, signature: &[u8]) -> bool {
+    fn verified(&mut self, name: &str, signed: &impl Signable, signature: &[u8]) -> bool {
         self.signatures_checked += 1;
         let fine = self.terms.ring.voice(name, signed, signature).is_some();
         if !fine {
@@ -535,7 +535,7 @@
             self.dropped.forged += 1;
             return;
         };
-        match self.belief.take(now, voice, said, said.covered()) {
+        match self.belief.take(now, voice, said, said.signed_bytes()) {
             Taken::New => {
                 self.hurry(now, said);
                 if self.testimonies.len() < TESTIMONIES_MOST || self.testimonies.contains_key(&said.origin) {
@@ -613,7 +613,7 @@
             return;
         }
         // What is passed on uses what spare messages may use, so that pings and answers always have room.
-        let mut room = self.budget.left(now, Need::Spare).min(LARGEST).saturating_sub(size);
+        let mut room = self.budget.left(now, Need::Spare).min(MAX_DATAGRAM_BYTES).saturating_sub(size);
         if !strangers {
             // Neither news of members nor words of streamers may crowd the other out: when many join at once, the
             // former would fill every datagram.
--- a/crates/lemontide-standin/src/liar.rs
+++ b/crates/lemontide-standin/src/liar.rs
@@ -9,7 +9,7 @@
 use lemontide_front::settings::Gossip;
 use lemontide_gossip::keys::{Networks, Own, Ring};
 use lemontide_gossip::membership::Pace;
-use lemontide_gossip::message::{Seen, LARGEST};
+use lemontide_gossip::message::{Seen, MAX_DATAGRAM_BYTES};
 use lemontide_gossip::node::{Node, Terms};
 use lemontide_wire::clock::Clock;
 use std::collections::BTreeMap;
@@ -111,7 +111,7 @@
 
 /// Lies until the day is over: every streamer fails, every other member is dead.
 pub async fn lies((mut node, socket): (Node, tokio::net::UdpSocket), streamers: Vec<String>, clock: Clock) {
-    let mut bytes = [0u8; LARGEST + 1];
+    let mut bytes = [0u8; MAX_DATAGRAM_BYTES + 1];
     let mut beat = interval(Duration::from_millis(250));
     let mut round = 0;
     loop {
