--- a/crates/lemontide-front/src/gossip.rs
+++ b/crates/lemontide-front/src/gossip.rs
@@ -4,7 +4,7 @@
 use crate::events::Happened;
 use crate::settings::{read_json, Gossip};
 use lemontide::clock::{Point, Span};
-use lemontide_gossip::keys::{Networks, Own, Ring};
+use lemontide_gossip::authentication::{AllowedNetworks, OwnKey, Keyring};
 use lemontide_gossip::membership::Pace;
 use lemontide_gossip::message::MAX_DATAGRAM_BYTES;
 use lemontide_gossip::node::{Node, Terms, View};
@@ -50,12 +50,12 @@
 }
 
 /// Reads the secret and the ring. Errors name the file and the remedy.
-fn keys(terms: &Gossip) -> io::Result<(Own, Ring)> {
+fn keys(terms: &Gossip) -> io::Result<(OwnKey, Keyring)> {
     let wrong = |file: &Path, what: &str| io::Error::other(format!("{}: {what}", file.display()));
     let secret = std::fs::read_to_string(&terms.secret).map_err(|e| wrong(&terms.secret, &e.to_string()))?;
     let secret = key(&secret).ok_or_else(|| wrong(&terms.secret, "a secret key is 64 hex digits"))?;
     let listed: BTreeMap<String, Vec<String>> = read_json(&terms.keys).map_err(io::Error::other)?;
-    let mut ring = Ring::default();
+    let mut ring = Keyring::default();
     for (name, publics) in &listed {
         for (i, public) in publics.iter().enumerate() {
             let at = format!("at {name}[{i}]: ");
@@ -64,10 +64,10 @@
             ring.add(name, &public).map_err(|what| wrong(&terms.keys, &(at + what)))?;
         }
     }
-    if !ring.knows(&terms.name) {
+    if !ring.contains(&terms.name) {
         return Err(wrong(&terms.keys, &format!("it has no key of {}; list this instance, too", terms.name)));
     }
-    Ok((Own::new(&secret), ring))
+    Ok((OwnKey::new(&secret), ring))
 }
 
 /// Starts to gossip. What was seen goes in by the first sender; the second takes questions of operators.
@@ -90,7 +90,7 @@
             number,
             own,
             ring,
-            networks: Networks::new(&terms.networks),
+            networks: AllowedNetworks::new(&terms.networks),
             seeds: terms.seeds.clone(),
             pace: Pace {
                 period: Span::of(terms.period_s),
--- a/crates/lemontide-gossip/src/keys.rs
+++ b/crates/lemontide-gossip/src/authentication.rs
@@ -16,15 +16,15 @@
 const CHALLENGES_MOST: usize = 1024;
 
 /// The identity behind a signature: instances under one key speak with one voice.
-pub type Voice = [u8; 32];
+pub type SignerKey = [u8; 32];
 
 /// The keys of all instances, by instance name. While a key is changed an instance has two.
 #[derive(Clone, Debug, Default)]
-pub struct Ring {
+pub struct Keyring {
     keys: BTreeMap<String, Vec<VerifyingKey>>,
 }
 
-impl Ring {
+impl Keyring {
     /// Adds a key of an instance. Errors: it is no ed25519 public key, or a weak one.
     pub fn add(&mut self, name: &str, public: &[u8; 32]) -> Result<(), &'static str> {
         let key = VerifyingKey::from_bytes(public).map_err(|_| "it is no ed25519 public key")?;
@@ -35,12 +35,12 @@
         Ok(())
     }
 
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.keys.contains_key(name)
     }
 
     /// The voice that signed this in the name of an instance, if one of its keys did.
-    pub fn voice(&self, name: &str, signed: &impl Signable, signature: &[u8]) -> Option<Voice> {
+    pub fn verify_signer(&self, name: &str, signed: &impl Signable, signature: &[u8]) -> Option<SignerKey> {
         let signature = Signature::from_slice(signature).ok()?;
         let covered = signed.signed_bytes();
         let signs = |key: &&VerifyingKey| key.verify(&covered, &signature).is_ok();
@@ -49,11 +49,11 @@
 }
 
 /// The own key.
-pub struct Own(SigningKey);
+pub struct OwnKey(SigningKey);
 
-impl Own {
-    pub fn new(secret: &[u8; 32]) -> Own {
-        Own(SigningKey::from_bytes(secret))
+impl OwnKey {
+    pub fn new(secret: &[u8; 32]) -> OwnKey {
+        OwnKey(SigningKey::from_bytes(secret))
     }
 
     pub fn public(&self) -> [u8; 32] {
@@ -65,16 +65,16 @@
     }
 }
 
-/// Networks that datagrams may come from.
+/// AllowedNetworks that datagrams may come from.
 #[derive(Clone, Debug, Default)]
-pub struct Networks {
+pub struct AllowedNetworks {
     v4: PrefixSet<ipnet::Ipv4Net>,
     v6: PrefixSet<ipnet::Ipv6Net>,
 }
 
-impl Networks {
-    pub fn new(nets: &[IpNet]) -> Networks {
-        let mut networks = Networks::default();
+impl AllowedNetworks {
+    pub fn new(nets: &[IpNet]) -> AllowedNetworks {
+        let mut networks = AllowedNetworks::default();
         for net in nets {
             match net {
                 IpNet::V4(net) => networks.v4.insert(net.trunc()),
@@ -84,7 +84,7 @@
         networks
     }
 
-    pub fn admit(&self, from: IpAddr) -> bool {
+    pub fn contains(&self, from: IpAddr) -> bool {
         match from {
             IpAddr::V4(ip) => self.v4.get_lpm(&ipnet::Ipv4Net::from(ip)).is_some(),
             IpAddr::V6(ip) => self.v6.get_lpm(&ipnet::Ipv6Net::from(ip)).is_some(),
@@ -105,43 +105,43 @@
 
 /// Why a datagram is not listened to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stale {
+pub enum ReplayCheckError {
     /// Seen already, or too old to tell.
     Replayed,
     /// Its clock is not where the greeting showed it.
-    OutOfTime,
+    ClockDrift,
     /// A process that has not proven that it lives now.
-    Unproven,
+    UnknownProcess,
 }
 
 /// Keeps replays out. A process is let in when it has signed a fresh challenge, so clocks need not agree: the
 /// greeting tells how far a peer's clock is off, and later datagrams are held against that.
 #[derive(Default)]
-pub struct Gate {
+pub struct ReplayGuard {
     sessions: BTreeMap<String, Session>,
     challenges: BTreeMap<String, (u64, Point)>,
 }
 
-impl Gate {
+impl ReplayGuard {
     /// Whether a datagram of this process and number may be new; cheap, asked before the signature is verified.
-    pub fn may_be_new(&self, sender: &str, boot: u64, seq: u64) -> Result<(), Stale> {
+    pub fn check_sequence(&self, sender: &str, boot: u64, seq: u64) -> Result<(), ReplayCheckError> {
         let Some(session) = self.sessions.get(sender).filter(|session| session.boot == boot) else {
-            return Err(Stale::Unproven);
+            return Err(ReplayCheckError::UnknownProcess);
         };
         let behind = session.highest.checked_sub(seq);
         match behind {
             None => Ok(()),
             Some(behind) if behind < 64 && session.window & (1 << behind) == 0 => Ok(()),
-            Some(_) => Err(Stale::Replayed),
+            Some(_) => Err(ReplayCheckError::Replayed),
         }
     }
 
     /// Enters a datagram whose signature was verified.
-    pub fn enter(&mut self, now: Point, sender: &str, seq: u64, time: Point) -> Result<(), Stale> {
-        let Some(session) = self.sessions.get_mut(sender) else { return Err(Stale::Unproven) };
+    pub fn accept(&mut self, now: Point, sender: &str, seq: u64, time: Point) -> Result<(), ReplayCheckError> {
+        let Some(session) = self.sessions.get_mut(sender) else { return Err(ReplayCheckError::UnknownProcess) };
         let off = (time - now).seconds() - session.offset;
         if off.abs() > CLOCK_WINDOW.seconds() {
-            return Err(Stale::OutOfTime);
+            return Err(ReplayCheckError::ClockDrift);
         }
         if seq > session.highest {
             let ahead = seq - session.highest;
@@ -154,7 +154,7 @@
     }
 
     /// A challenge for a process that is not known, one at a time for each sender.
-    pub fn challenge(&mut self, now: Point, sender: &str, nonce: u64) -> Option<u64> {
+    pub fn open_challenge(&mut self, now: Point, sender: &str, nonce: u64) -> Option<u64> {
         self.challenges.retain(|_, (_, at)| now - *at < CHALLENGE);
         if self.challenges.contains_key(sender) || self.challenges.len() >= CHALLENGES_MOST {
             return None;
@@ -164,7 +164,7 @@
     }
 
     /// A process proves itself by the nonce; whether it is let in. What was known of an earlier one is dropped.
-    pub fn proven(&mut self, now: Point, sender: &str, boot: u64, seq: u64, nonce: u64, time: Point) -> bool {
+    pub fn accept_proof(&mut self, now: Point, sender: &str, boot: u64, seq: u64, nonce: u64, time: Point) -> bool {
         let asked =
             self.challenges.get(sender).is_some_and(|(asked, at)| *asked == nonce && now - *at < CHALLENGE);
         if asked {
@@ -177,7 +177,7 @@
     }
 
     /// The process that is let in under this name.
-    pub fn boot(&self, sender: &str) -> Option<u64> {
+    pub fn current_boot(&self, sender: &str) -> Option<u64> {
         self.sessions.get(sender).map(|session| session.boot)
     }
 
@@ -193,50 +193,50 @@
 
     #[test]
     fn only_listed_keys_speak_and_two_overlap_while_one_changes() {
-        let (old, new, other) = (Own::new(&[1; 32]), Own::new(&[2; 32]), Own::new(&[3; 32]));
-        let mut ring = Ring::default();
+        let (old, new, other) = (OwnKey::new(&[1; 32]), OwnKey::new(&[2; 32]), OwnKey::new(&[3; 32]));
+        let mut ring = Keyring::default();
         ring.add("a", &old.public()).expect("a key");
         ring.add("a", &new.public()).expect("a key");
         let record = Record { name: "a".into(), ..Record::default() };
         for own in [&old, &new] {
-            assert_eq!(ring.voice("a", &record, &own.sign(&record)), Some(own.public()));
+            assert_eq!(ring.verify_signer("a", &record, &own.sign(&record)), Some(own.public()));
         }
-        assert_eq!(ring.voice("a", &record, &other.sign(&record)), None);
-        assert_eq!(ring.voice("b", &record, &old.sign(&record)), None);
+        assert_eq!(ring.verify_signer("a", &record, &other.sign(&record)), None);
+        assert_eq!(ring.verify_signer("b", &record, &old.sign(&record)), None);
         let forged = Record { incarnation: 9, ..record.clone() };
-        assert_eq!(ring.voice("a", &forged, &old.sign(&record)), None);
+        assert_eq!(ring.verify_signer("a", &forged, &old.sign(&record)), None);
         assert!(ring.add("c", &[0; 32]).is_err());
     }
 
     #[test]
     fn replays_fail_even_with_clocks_minutes_apart() {
-        let mut gate = Gate::default();
+        let mut gate = ReplayGuard::default();
         let now = Point::at(1000.0);
         let theirs = Point::at(1300.0);
-        assert_eq!(gate.may_be_new("a", 7, 1), Err(Stale::Unproven));
-        let nonce = gate.challenge(now, "a", 42).expect("none is open");
-        assert_eq!(gate.challenge(now, "a", 43), None);
-        assert!(!gate.proven(now, "a", 7, 5, 41, theirs));
-        assert!(gate.proven(now, "a", 7, 5, nonce, theirs));
-        assert!(!gate.proven(now, "a", 7, 5, nonce, theirs), "a proof is good once");
-        assert_eq!(gate.may_be_new("a", 7, 5), Err(Stale::Replayed));
-        assert_eq!(gate.may_be_new("a", 6, 500), Err(Stale::Unproven), "an earlier process");
-        assert_eq!(gate.may_be_new("a", 7, 9), Ok(()));
-        assert_eq!(gate.enter(now, "a", 9, theirs), Ok(()));
-        assert_eq!(gate.may_be_new("a", 7, 8), Ok(()), "overtaken on the way");
-        assert_eq!(gate.enter(now, "a", 8, theirs), Ok(()));
-        assert_eq!(gate.may_be_new("a", 7, 8), Err(Stale::Replayed));
-        assert_eq!(gate.enter(now, "a", 900, now), Err(Stale::OutOfTime));
-        assert_eq!(gate.enter(now, "a", 900, theirs), Ok(()));
-        assert_eq!(gate.may_be_new("a", 7, 9), Err(Stale::Replayed), "too old to tell");
+        assert_eq!(gate.check_sequence("a", 7, 1), Err(ReplayCheckError::UnknownProcess));
+        let nonce = gate.open_challenge(now, "a", 42).expect("none is open");
+        assert_eq!(gate.open_challenge(now, "a", 43), None);
+        assert!(!gate.accept_proof(now, "a", 7, 5, 41, theirs));
+        assert!(gate.accept_proof(now, "a", 7, 5, nonce, theirs));
+        assert!(!gate.accept_proof(now, "a", 7, 5, nonce, theirs), "a proof is good once");
+        assert_eq!(gate.check_sequence("a", 7, 5), Err(ReplayCheckError::Replayed));
+        assert_eq!(gate.check_sequence("a", 6, 500), Err(ReplayCheckError::UnknownProcess), "an earlier process");
+        assert_eq!(gate.check_sequence("a", 7, 9), Ok(()));
+        assert_eq!(gate.accept(now, "a", 9, theirs), Ok(()));
+        assert_eq!(gate.check_sequence("a", 7, 8), Ok(()), "overtaken on the way");
+        assert_eq!(gate.accept(now, "a", 8, theirs), Ok(()));
+        assert_eq!(gate.check_sequence("a", 7, 8), Err(ReplayCheckError::Replayed));
+        assert_eq!(gate.accept(now, "a", 900, now), Err(ReplayCheckError::ClockDrift));
+        assert_eq!(gate.accept(now, "a", 900, theirs), Ok(()));
+        assert_eq!(gate.check_sequence("a", 7, 9), Err(ReplayCheckError::Replayed), "too old to tell");
     }
 
     #[test]
     fn networks_admit_what_the_operator_lists() {
         let nets = ["127.0.0.0/8", "2001:db8::/32"].map(|net| net.parse().expect("a network"));
-        let networks = Networks::new(&nets);
+        let networks = AllowedNetworks::new(&nets);
         for (ip, fine) in [("127.3.0.1", true), ("128.0.0.1", false), ("2001:db8::9", true), ("::1", false)] {
-            assert_eq!(networks.admit(ip.parse().expect("an address")), fine, "{ip}");
+            assert_eq!(networks.contains(ip.parse().expect("an address")), fine, "{ip}");
         }
     }
 }
--- a/crates/lemontide-gossip/src/belief.rs
+++ b/crates/lemontide-gossip/src/belief.rs
@@ -3,7 +3,7 @@
 //! voice alone never suffices.
 
 use crate::evidence::Evidence;
-use crate::keys::Voice;
+use crate::authentication::SignerKey;
 use crate::message::Testimony;
 use lemontide::clock::Point;
 use std::collections::BTreeMap;
@@ -58,7 +58,7 @@
 
 #[derive(Clone, Debug)]
 struct Claim {
-    voice: Voice,
+    voice: SignerKey,
     boot: u64,
     seq: u64,
     at: Point,
@@ -80,13 +80,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Belief {
     claims: BTreeMap<String, Claim>,
-    trust: BTreeMap<Voice, Trust>,
+    trust: BTreeMap<SignerKey, Trust>,
 }
 
 impl Belief {
     /// Takes a testimony whose signature was verified. For each origin only its latest word counts, so order and
     /// repetition make no difference. `covered` is what the signature covers.
-    pub fn take(&mut self, now: Point, voice: Voice, said: &Testimony, covered: Vec<u8>) -> Taken {
+    pub fn take(&mut self, now: Point, voice: SignerKey, said: &Testimony, covered: Vec<u8>) -> Taken {
         if let Some(known) = self.claims.get(&said.origin) {
             if (said.boot, said.seq) == (known.boot, known.seq) && covered != known.said {
                 // Signable twice by the same hand: nothing it says is worth anything for a while.
@@ -109,7 +109,7 @@
         Taken::New
     }
 
-    fn count(&mut self, now: Point, voice: Voice, agreed: f64, lied: f64) {
+    fn count(&mut self, now: Point, voice: SignerKey, agreed: f64, lied: f64) {
         let trust = self.trust.entry(voice).or_insert(Trust { at: now, ..Trust::default() });
         *trust = trust.faded(now);
         trust.agreed += agreed;
@@ -136,7 +136,7 @@
         }
     }
 
-    pub fn trust(&self, now: Point, voice: &Voice) -> f64 {
+    pub fn trust(&self, now: Point, voice: &SignerKey) -> f64 {
         self.trust.get(voice).copied().unwrap_or_default().value(now)
     }
 
@@ -149,7 +149,7 @@
     /// For each streamer that others speak of, how far to believe that it fails: from 0 to 1, 0 left out.
     pub fn weights(&self, now: Point, own: &Evidence) -> BTreeMap<String, f64> {
         // One entry a voice and streamer: many instances under one key are one.
-        let mut said: BTreeMap<&str, BTreeMap<Voice, (f64, f64)>> = BTreeMap::new();
+        let mut said: BTreeMap<&str, BTreeMap<SignerKey, (f64, f64)>> = BTreeMap::new();
         for claim in self.claims.values() {
             let age = (now - claim.at).seconds().max(0.0);
             let trust = self.trust(now, &claim.voice);
--- a/crates/lemontide-gossip/src/node.rs
+++ b/crates/lemontide-gossip/src/node.rs
@@ -4,7 +4,7 @@
 use crate::belief::{Belief, Taken};
 use crate::budget::{Bytes, Need, Rates};
 use crate::evidence::Evidence;
-use crate::keys::{Gate, Networks, Own, Ring, Stale};
+use crate::authentication::{ReplayGuard, AllowedNetworks, OwnKey, Keyring, ReplayCheckError};
 use crate::membership::{Act, Change, Membership, Pace, Rumour, Status};
 use crate::message::{
     self, Ack, Body, Challenge, Datagram, Kind, Ping, PingReq, Record, Signable, Suspicion, Sync, Testimony,
@@ -40,9 +40,9 @@
     pub address: SocketAddr,
     /// Its number in the fleet, where it tells one.
     pub number: Option<u32>,
-    pub own: Own,
-    pub ring: Ring,
-    pub networks: Networks,
+    pub own: OwnKey,
+    pub ring: Keyring,
+    pub networks: AllowedNetworks,
     /// Where others may be found at first.
     pub seeds: Vec<SocketAddr>,
     pub pace: Pace,
@@ -105,7 +105,7 @@
     pub members: Membership,
     evidence: Evidence,
     belief: Belief,
-    gate: Gate,
+    gate: ReplayGuard,
     budget: Bytes,
     by_member: Rates<(String, std::net::IpAddr)>,
     by_address: Rates<std::net::IpAddr>,
@@ -137,7 +137,7 @@
             members,
             evidence: Evidence::default(),
             belief: Belief::default(),
-            gate: Gate::default(),
+            gate: ReplayGuard::default(),
             budget: Bytes::new(terms.bytes_per_s),
             by_member: Rates::new(MEMBER_RATE),
             by_address: Rates::new(STRANGER_RATE),
@@ -172,7 +172,7 @@
     }
 
     /// Takes other keys into use: the operator changed the list while this runs.
-    pub fn set_keys(&mut self, own: Own, ring: Ring) {
+    pub fn set_keys(&mut self, own: OwnKey, ring: Keyring) {
         self.terms.own = own;
         self.terms.ring = ring;
         // Records and words under keys that are gone must not be passed on.
@@ -182,7 +182,7 @@
             .members
             .peers()
             .map(|(name, _)| name.clone())
-            .filter(|name| !self.terms.ring.knows(name))
+            .filter(|name| !self.terms.ring.contains(name))
             .collect();
         gone.iter().for_each(|name| self.gate.forget(name));
     }
@@ -227,8 +227,8 @@
         for record in records {
             self.members.learn(now, record);
             if let Some(boot) = boots.get(&record.name) {
-                let nonce = self.gate.challenge(now, &record.name, 1).unwrap_or(1);
-                self.gate.proven(now, &record.name, *boot, 0, nonce, now);
+                let nonce = self.gate.open_challenge(now, &record.name, 1).unwrap_or(1);
+                self.gate.accept_proof(now, &record.name, *boot, 0, nonce, now);
             }
         }
         self.members.settle();
@@ -365,7 +365,7 @@
 
     /// Takes a datagram as it came.
     pub fn receive(&mut self, now: Point, from: SocketAddr, bytes: &[u8]) {
-        if !self.terms.networks.admit(from.ip()) {
+        if !self.terms.networks.contains(from.ip()) {
             self.dropped.network += 1;
             return;
         }
@@ -373,12 +373,12 @@
             self.dropped.malformed += 1;
             return;
         };
-        if !self.terms.ring.knows(&datagram.sender) || datagram.sender == self.terms.name {
+        if !self.terms.ring.contains(&datagram.sender) || datagram.sender == self.terms.name {
             self.dropped.unknown_sender += 1;
             return;
         }
         // A flood under one name must not shut out others, nor a flood from strangers the members.
-        let admitted = match self.gate.boot(&datagram.sender) {
+        let admitted = match self.gate.current_boot(&datagram.sender) {
             Some(boot) if boot == datagram.boot => {
                 self.by_member.admits(now, &(datagram.sender.clone(), from.ip()))
             }
@@ -388,13 +388,13 @@
             self.dropped.rate += 1;
             return;
         }
-        let new = self.gate.may_be_new(&datagram.sender, datagram.boot, datagram.seq);
-        if new == Err(Stale::Replayed) {
+        let new = self.gate.check_sequence(&datagram.sender, datagram.boot, datagram.seq);
+        if new == Err(ReplayCheckError::Replayed) {
             self.dropped.replayed += 1;
             return;
         }
         self.signatures_checked += 1;
-        let Some(voice) = self.terms.ring.voice(&datagram.sender, &datagram, &datagram.signature) else {
+        let Some(voice) = self.terms.ring.verify_signer(&datagram.sender, &datagram, &datagram.signature) else {
             self.dropped.unsigned += 1;
             return;
         };
@@ -404,10 +404,10 @@
         };
         let time = Point::at(body.time_ms as f64 / 1e3);
         let sender = datagram.sender.clone();
-        if new == Err(Stale::Unproven) {
+        if new == Err(ReplayCheckError::UnknownProcess) {
             return self.greet(now, from, &datagram, &body, time);
         }
-        if self.gate.enter(now, &sender, datagram.seq, time).is_err() {
+        if self.gate.accept(now, &sender, datagram.seq, time).is_err() {
             self.dropped.out_of_time += 1;
             return;
         }
@@ -420,7 +420,7 @@
         let sender = &datagram.sender;
         match &body.kind {
             Some(Kind::Proof(proof))
-                if self.gate.proven(now, sender, datagram.boot, datagram.seq, proof.nonce, time) =>
+                if self.gate.accept_proof(now, sender, datagram.boot, datagram.seq, proof.nonce, time) =>
             {
                 self.take(now, sender, body.clone());
             }
@@ -438,7 +438,7 @@
     fn challenge(&mut self, now: Point, to: SocketAddr, sender: &str) {
         let fresh = now.turn(Span::of_millis(1)) as u64 ^ self.seq.rotate_left(32) ^ self.terms.seed;
         let nonce = fresh.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        if let Some(nonce) = self.gate.challenge(now, sender, nonce) {
+        if let Some(nonce) = self.gate.open_challenge(now, sender, nonce) {
             let kind = Kind::Challenge(Challenge { nonce });
             self.send(now, to, kind, Need::Answer, Vec::new(), Vec::new());
         }
@@ -490,7 +490,7 @@
 
     fn verified(&mut self, name: &str, signed: &impl Signable, signature: &[u8]) -> bool {
         self.signatures_checked += 1;
-        let fine = self.terms.ring.voice(name, signed, signature).is_some();
+        let fine = self.terms.ring.verify_signer(name, signed, signature).is_some();
         if !fine {
             self.dropped.forged += 1;
         }
@@ -511,7 +511,7 @@
             None => false,
         };
         let reachable =
-            record.address.parse::<SocketAddr>().is_ok_and(|at| self.terms.networks.admit(at.ip()));
+            record.address.parse::<SocketAddr>().is_ok_and(|at| self.terms.networks.contains(at.ip()));
         if !known && reachable && self.verified(&record.name, record, &record.signature) {
             self.members.learn(now, record);
         }
@@ -522,7 +522,7 @@
             return;
         }
         // Words of a process that is gone are replays, whoever brings them.
-        if self.gate.boot(&said.origin).is_some_and(|boot| boot != said.boot) {
+        if self.gate.current_boot(&said.origin).is_some_and(|boot| boot != said.boot) {
             self.dropped.replayed += 1;
             return;
         }
@@ -531,7 +531,7 @@
             return;
         }
         self.signatures_checked += 1;
-        let Some(voice) = self.terms.ring.voice(&said.origin, said, &said.signature) else {
+        let Some(voice) = self.terms.ring.verify_signer(&said.origin, said, &said.signature) else {
             self.dropped.forged += 1;
             return;
         };
--- a/crates/lemontide-standin/src/liar.rs
+++ b/crates/lemontide-standin/src/liar.rs
@@ -7,7 +7,7 @@
 use ipnet::IpNet;
 use lemontide::clock::Point;
 use lemontide_front::settings::Gossip;
-use lemontide_gossip::keys::{Networks, Own, Ring};
+use lemontide_gossip::authentication::{AllowedNetworks, OwnKey, Keyring};
 use lemontide_gossip::membership::Pace;
 use lemontide_gossip::message::{Seen, MAX_DATAGRAM_BYTES};
 use lemontide_gossip::node::{Node, Terms};
@@ -86,7 +86,7 @@
     /// The liar: a member like others, with a key of its own, and its socket.
     pub async fn liar(&self, clock: Clock) -> io::Result<(Node, tokio::net::UdpSocket)> {
         let number = self.addresses.len() - 1;
-        let mut ring = Ring::default();
+        let mut ring = Keyring::default();
         for i in 0..self.addresses.len() {
             ring.add(&name(i), &own(i).public()).map_err(io::Error::other)?;
         }
@@ -94,9 +94,9 @@
             name: name(number),
             address: self.doors[number],
             number: None,
-            own: Own::new(&crate::town::secret(number)),
+            own: OwnKey::new(&crate::town::secret(number)),
             ring,
-            networks: Networks::new(&loopback()),
+            networks: AllowedNetworks::new(&loopback()),
             seeds: self.doors.iter().take(3).copied().collect(),
             pace: Pace::default(),
             // It keeps to no budget that honours anybody.
--- a/crates/lemontide-standin/src/town.rs
+++ b/crates/lemontide-standin/src/town.rs
@@ -1,7 +1,7 @@
 //! A town of gossiping instances in virtual time: datagrams with delay, loss and partitions between real cores.
 
 use lemontide::clock::{Point, Span};
-use lemontide_gossip::keys::{Networks, Own, Ring};
+use lemontide_gossip::authentication::{AllowedNetworks, OwnKey, Keyring};
 use lemontide_gossip::membership::Pace;
 use lemontide_gossip::message::Record;
 use lemontide_gossip::node::{Node, Terms};
@@ -75,7 +75,7 @@
     /// One-way losses beside the plan's: from, to, part.
     pub deaf: Vec<(usize, usize, f64)>,
     pub plan: Plan,
-    ring: Ring,
+    ring: Keyring,
     skew: Vec<Span>,
     letters: BinaryHeap<Reverse<Letter>>,
     wakes: BinaryHeap<Reverse<(Point, usize)>>,
@@ -100,22 +100,22 @@
 }
 
 /// The own key of the instance of that number, as all towns give it.
-pub fn own(i: usize) -> Own {
-    Own::new(&secret(i))
+pub fn own(i: usize) -> OwnKey {
+    OwnKey::new(&secret(i))
 }
 
 fn address(i: usize) -> SocketAddr {
     SocketAddr::from(([127, 1, (i / 250) as u8, (i % 250 + 1) as u8], 7000))
 }
 
-fn terms(plan: &Plan, ring: &Ring, i: usize) -> Terms {
+fn terms(plan: &Plan, ring: &Keyring, i: usize) -> Terms {
     Terms {
         name: name(i),
         address: address(i),
         number: Some(i as u32),
         own: own(i),
         ring: ring.clone(),
-        networks: Networks::new(&["127.0.0.0/8".parse().unwrap_or_default()]),
+        networks: AllowedNetworks::new(&["127.0.0.0/8".parse().unwrap_or_default()]),
         seeds: (0..3.min(plan.instances)).map(address).collect(),
         pace: Pace::default(),
         bytes_per_s: plan.bytes_per_s,
@@ -127,7 +127,7 @@
 impl Town {
     pub fn new(plan: Plan) -> Town {
         let now = Point::at(100_000.0);
-        let mut ring = Ring::default();
+        let mut ring = Keyring::default();
         for i in 0..plan.instances {
             ring.add(&name(i), &own(i).public()).unwrap_or_default();
         }
--- a/crates/lemontide-standin/tests/gossip.rs
+++ b/crates/lemontide-standin/tests/gossip.rs
@@ -1,7 +1,7 @@
 //! Gossip's hard cases, in virtual time between whole nodes: liars, floods, partitions, clocks, restarts, keys.
 
 use lemontide::clock::{Point, Span};
-use lemontide_gossip::keys::Ring;
+use lemontide_gossip::authentication::Keyring;
 use lemontide_gossip::message::{Body, Datagram, Kind, Ping, Record, Seen, Testimony};
 use lemontide_gossip::node::Node;
 use lemontide_standin::town::{name, own, Plan, Town};
@@ -308,7 +308,7 @@
 fn a_key_is_changed_while_all_run() {
     let mut town = town(6);
     let ring = |with_new: bool, with_old: bool| {
-        let mut ring = Ring::default();
+        let mut ring = Keyring::default();
         for i in 0..6 {
             if i != 5 || with_old {
                 ring.add(&name(i), &own(i).public()).expect("a key");
