--- a/crates/lemontide-gossip/src/node.rs
+++ b/crates/lemontide-gossip/src/node.rs
@@ -2,7 +2,7 @@
 //! keeps to the budget, and gives what is believed of streamers.
 
 use crate::belief::{Belief, Taken};
-use crate::budget::{Bytes, Need, Rates};
+use crate::budget::{ByteBudget, Priority, RateLimiter};
 use crate::evidence::Evidence;
 use crate::authentication::{ReplayGuard, AllowedNetworks, OwnKey, Keyring, ReplayCheckError};
 use crate::membership::{Act, Change, Membership, Pace, Rumour, Status};
@@ -46,7 +46,7 @@
     /// Where others may be found at first.
     pub seeds: Vec<SocketAddr>,
     pub pace: Pace,
-    /// Bytes that may leave in any second.
+    /// ByteBudget that may leave in any second.
     pub bytes_per_s: usize,
     /// Tells this process from earlier ones: the wall clock at its start will do.
     pub boot: u64,
@@ -106,9 +106,9 @@
     evidence: Evidence,
     belief: Belief,
     gate: ReplayGuard,
-    budget: Bytes,
-    by_member: Rates<(String, std::net::IpAddr)>,
-    by_address: Rates<std::net::IpAddr>,
+    budget: ByteBudget,
+    by_member: RateLimiter<(String, std::net::IpAddr)>,
+    by_address: RateLimiter<std::net::IpAddr>,
     testimonies: BTreeMap<String, (Testimony, u32)>,
     own_seq: u64,
     told: Option<(Point, Vec<message::Seen>)>,
@@ -138,9 +138,9 @@
             evidence: Evidence::default(),
             belief: Belief::default(),
             gate: ReplayGuard::default(),
-            budget: Bytes::new(terms.bytes_per_s),
-            by_member: Rates::new(MEMBER_RATE),
-            by_address: Rates::new(STRANGER_RATE),
+            budget: ByteBudget::new(terms.bytes_per_s),
+            by_member: RateLimiter::new(MEMBER_RATE),
+            by_address: RateLimiter::new(STRANGER_RATE),
             testimonies: BTreeMap::new(),
             own_seq: 0,
             told: None,
@@ -274,7 +274,7 @@
         (self.push_at, self.pushed) = (None, now);
         for name in self.members.draw(PUSH) {
             let kind = Kind::Sync(Sync { answer_me: false, digest: self.members.digest() });
-            self.send_to(now, &name, kind, Need::Spare, Vec::new(), Vec::new());
+            self.send_to(now, &name, kind, Priority::Background, Vec::new(), Vec::new());
         }
     }
 
@@ -287,7 +287,7 @@
         for name in to {
             let kind = Kind::Sync(Sync { answer_me: false, digest: self.members.digest() });
             let record = self.members.record.clone();
-            self.send_to(now, &name, kind, Need::Answer, vec![record], Vec::new());
+            self.send_to(now, &name, kind, Priority::Reply, vec![record], Vec::new());
         }
     }
 
@@ -302,7 +302,7 @@
                 self.greeted.insert(seed, now);
                 let kind = Kind::Sync(Sync { answer_me: true, digest: self.members.digest() });
                 let record = self.members.record.clone();
-                self.send(now, seed, kind, Need::Plain, vec![record], Vec::new());
+                self.send(now, seed, kind, Priority::Protocol, vec![record], Vec::new());
             }
         }
     }
@@ -359,7 +359,7 @@
         let to: Vec<String> = self.members.peers().map(|(name, _)| name.clone()).take(6).collect();
         for to in to {
             let kind = Kind::Sync(Sync { answer_me: false, digest: 0 });
-            self.send_to(now, &to, kind, Need::Answer, Vec::new(), vec![suspicion.clone()]);
+            self.send_to(now, &to, kind, Priority::Reply, Vec::new(), vec![suspicion.clone()]);
         }
     }
 
@@ -380,9 +380,9 @@
         // A flood under one name must not shut out others, nor a flood from strangers the members.
         let admitted = match self.gate.current_boot(&datagram.sender) {
             Some(boot) if boot == datagram.boot => {
-                self.by_member.admits(now, &(datagram.sender.clone(), from.ip()))
+                self.by_member.allow(now, &(datagram.sender.clone(), from.ip()))
             }
-            _ => self.by_address.admits(now, &from.ip()) || self.members.alive() <= 1,
+            _ => self.by_address.allow(now, &from.ip()) || self.members.alive() <= 1,
         };
         if !admitted {
             self.dropped.rate += 1;
@@ -428,7 +428,7 @@
             Some(Kind::Challenge(challenge)) => {
                 let kind = Kind::Proof(Challenge { nonce: challenge.nonce });
                 let record = self.members.record.clone();
-                self.send(now, from, kind, Need::Answer, vec![record], Vec::new());
+                self.send(now, from, kind, Priority::Reply, vec![record], Vec::new());
                 self.challenge(now, from, sender);
             }
             _ => self.challenge(now, from, sender),
@@ -440,7 +440,7 @@
         let nonce = fresh.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         if let Some(nonce) = self.gate.open_challenge(now, sender, nonce) {
             let kind = Kind::Challenge(Challenge { nonce });
-            self.send(now, to, kind, Need::Answer, Vec::new(), Vec::new());
+            self.send(now, to, kind, Priority::Reply, Vec::new(), Vec::new());
         }
     }
 
@@ -473,14 +473,14 @@
                 if differs {
                     let kind = Kind::Sync(Sync { answer_me: false, digest: self.members.digest() });
                     let records = self.members.some_records(SYNC_RECORDS);
-                    self.send_to(now, sender, kind, Need::Spare, records, Vec::new());
+                    self.send_to(now, sender, kind, Priority::Background, records, Vec::new());
                 }
             }
             Some(Kind::Challenge(challenge)) => {
                 // The other side forgot this process, or never knew it.
                 let record = self.members.record.clone();
                 let kind = Kind::Proof(Challenge { nonce: challenge.nonce });
-                self.send_to(now, sender, kind, Need::Answer, vec![record], Vec::new());
+                self.send_to(now, sender, kind, Priority::Reply, vec![record], Vec::new());
             }
             _ => {}
         }
@@ -557,15 +557,15 @@
                         charge
                     });
                     let kind = Kind::Ping(Ping { nonce });
-                    self.send_to(now, &to, kind, Need::Plain, Vec::new(), charge.into_iter().collect());
+                    self.send_to(now, &to, kind, Priority::Protocol, Vec::new(), charge.into_iter().collect());
                 }
                 Act::Ack { to, nonce } => {
                     let kind = Kind::Ack(Ack { nonce });
-                    self.send_to(now, &to, kind, Need::Answer, Vec::new(), Vec::new());
+                    self.send_to(now, &to, kind, Priority::Reply, Vec::new(), Vec::new());
                 }
                 Act::PingReq { to, target, nonce } => {
                     let kind = Kind::PingReq(PingReq { nonce, target });
-                    self.send_to(now, &to, kind, Need::Plain, Vec::new(), Vec::new());
+                    self.send_to(now, &to, kind, Priority::Protocol, Vec::new(), Vec::new());
                 }
                 Act::Sync { to } => {
                     let charge = self.members.charge(&to).map(|mut charge| {
@@ -574,7 +574,7 @@
                     });
                     let kind = Kind::Sync(Sync { answer_me: true, digest: self.members.digest() });
                     let records = self.members.some_records(SYNC_RECORDS);
-                    self.send_to(now, &to, kind, Need::Spare, records, charge.into_iter().collect());
+                    self.send_to(now, &to, kind, Priority::Background, records, charge.into_iter().collect());
                 }
             }
         }
@@ -585,7 +585,7 @@
         now: Point,
         to: &str,
         kind: Kind,
-        need: Need,
+        need: Priority,
         records: Vec<Record>,
         suspicions: Vec<Suspicion>,
     ) {
@@ -601,7 +601,7 @@
         now: Point,
         to: SocketAddr,
         kind: Kind,
-        need: Need,
+        need: Priority,
         records: Vec<Record>,
         suspicions: Vec<Suspicion>,
     ) {
@@ -613,7 +613,7 @@
             return;
         }
         // What is passed on uses what spare messages may use, so that pings and answers always have room.
-        let mut room = self.budget.left(now, Need::Spare).min(MAX_DATAGRAM_BYTES).saturating_sub(size);
+        let mut room = self.budget.available(now, Priority::Background).min(MAX_DATAGRAM_BYTES).saturating_sub(size);
         if !strangers {
             // Neither news of members nor words of streamers may crowd the other out: when many join at once, the
             // former would fill every datagram.
@@ -657,7 +657,7 @@
         };
         datagram.signature = self.terms.own.sign(&datagram);
         let bytes = datagram.encode_to_vec();
-        if !self.budget.take(now, Need::Answer, bytes.len()) {
+        if !self.budget.try_spend(now, Priority::Reply, bytes.len()) {
             self.dropped.over_budget += 1;
             return;
         }
@@ -666,8 +666,8 @@
         self.outbox.push((to, bytes));
     }
 
-    fn budget_allows(&mut self, now: Point, need: Need, size: usize) -> bool {
-        let fits = size <= self.budget.left(now, need);
+    fn budget_allows(&mut self, now: Point, need: Priority, size: usize) -> bool {
+        let fits = size <= self.budget.available(now, need);
         if !fits {
             self.dropped.over_budget += 1;
         }
@@ -724,7 +724,7 @@
             members: members.collect(),
             suspicions: self.weights(now),
             health: self.members.health,
-            bytes_last_s: self.budget.last_second(now),
+            bytes_last_s: self.budget.spent_in_last_second(now),
             bytes_per_s: self.terms.bytes_per_s,
             bytes_sent: self.bytes_sent,
             datagrams_sent: self.datagrams_sent,
