--- a/crates/lemontide-cli/src/measure/gossip.rs
+++ b/crates/lemontide-cli/src/measure/gossip.rs
@@ -107,7 +107,7 @@
     let mean = quiet.mean_bytes(lasts);
     let mut most = quiet.most_bytes();
     for i in 0..3 {
-        (0..3).for_each(|_| quiet.with(i, |node, now| node.saw(now, "s", false)));
+        (0..3).for_each(|_| quiet.with(i, |node, now| node.record_outcome(now, "s", false)));
     }
     let mut heard = vec![f64::NAN; size];
     let mut passed = 0.0;
@@ -115,7 +115,7 @@
         quiet.pass(0.1);
         passed += 0.1;
         for (i, at) in heard.iter_mut().enumerate().filter(|(_, at)| at.is_nan()) {
-            if quiet.with(i, |node, now| node.weights(now).contains_key("s")) {
+            if quiet.with(i, |node, now| node.failure_scores(now).contains_key("s")) {
                 *at = passed;
             }
         }
--- a/crates/lemontide-front/src/gossip.rs
+++ b/crates/lemontide-front/src/gossip.rs
@@ -140,7 +140,7 @@
                         node.receive(now(), from, &bytes[..length]);
                     }
                 }
-                Some(seen) = hears.recv() => node.saw(now(), &seen.streamer, seen.good),
+                Some(seen) = hears.recv() => node.record_outcome(now(), &seen.streamer, seen.good),
                 Some(reply) = asked.recv() => { let _ = reply.send(node.view(now())); }
                 // Who leaves in order says so: nobody waits for a suspicion to last out.
                 Ok(()) = stopped.changed(), if !*stopped.borrow() => node.leave(now()),
@@ -167,7 +167,7 @@
         }
         if Instant::now() >= hand_over {
             hand_over = Instant::now() + HAND_OVER;
-            let weights = node.weights(now());
+            let weights = node.failure_scores(now());
             // Who is not suspected any more is told as such, once.
             let gone =
                 handed.iter().filter(|name| !weights.contains_key(*name)).map(|name| (name.clone(), 0.0));
--- a/crates/lemontide-gossip/src/lib.rs
+++ b/crates/lemontide-gossip/src/lib.rs
@@ -4,9 +4,9 @@
 //! `membership` finds out who lives, `evidence` keeps what was seen, `belief` weighs what others say, `authentication` lets
 //! in who may speak and keeps out replays, `budget` bounds the bytes, `node` ties them together.
 
-pub mod belief;
+pub mod testimonies;
 pub mod budget;
-pub mod evidence;
+pub mod observations;
 pub mod authentication;
 pub mod membership;
 pub mod message;
--- a/crates/lemontide-gossip/src/node.rs
+++ b/crates/lemontide-gossip/src/node.rs
@@ -1,9 +1,9 @@
 //! One instance's gossip, whole: bytes in, bytes out. Checks what comes in from the cheapest check to the dearest,
 //! keeps to the budget, and gives what is believed of streamers.
 
-use crate::belief::{Belief, Taken};
+use crate::testimonies::{TestimonyStore, MergeOutcome};
 use crate::budget::{ByteBudget, Priority, RateLimiter};
-use crate::evidence::Evidence;
+use crate::observations::LocalObservations;
 use crate::authentication::{ReplayGuard, AllowedNetworks, OwnKey, Keyring, ReplayCheckError};
 use crate::membership::{Act, Change, Membership, Pace, Rumour, Status};
 use crate::message::{
@@ -79,7 +79,7 @@
     pub status: String,
     /// Seconds since it was heard itself.
     pub heard_s: Option<f64>,
-    /// Trust in its words of streamers, from 0 to 1; absent while it has said nothing lately.
+    /// SignerTrust in its words of streamers, from 0 to 1; absent while it has said nothing lately.
     pub trust: Option<f64>,
 }
 
@@ -103,8 +103,8 @@
 pub struct Node {
     terms: Terms,
     pub members: Membership,
-    evidence: Evidence,
-    belief: Belief,
+    evidence: LocalObservations,
+    belief: TestimonyStore,
     gate: ReplayGuard,
     budget: ByteBudget,
     by_member: RateLimiter<(String, std::net::IpAddr)>,
@@ -135,8 +135,8 @@
         members.record.number = terms.number;
         Node {
             members,
-            evidence: Evidence::default(),
-            belief: Belief::default(),
+            evidence: LocalObservations::default(),
+            belief: TestimonyStore::default(),
             gate: ReplayGuard::default(),
             budget: ByteBudget::new(terms.bytes_per_s),
             by_member: RateLimiter::new(MEMBER_RATE),
@@ -188,14 +188,14 @@
     }
 
     /// This instance saw a try at a streamer end well or badly.
-    pub fn saw(&mut self, now: Point, streamer: &str, good: bool) {
-        self.evidence.saw(now, streamer, good);
-        self.belief.saw(now, streamer, good);
+    pub fn record_outcome(&mut self, now: Point, streamer: &str, good: bool) {
+        self.evidence.record_outcome(now, streamer, good);
+        self.belief.record_outcome(now, streamer, good);
     }
 
     /// How far to believe that each streamer fails, from 0 to 1; those not named are not suspected.
-    pub fn weights(&self, now: Point) -> BTreeMap<String, f64> {
-        self.belief.weights(now, &self.evidence)
+    pub fn failure_scores(&self, now: Point) -> BTreeMap<String, f64> {
+        self.belief.failure_scores(now, &self.evidence)
     }
 
     /// The numbers that other members hold, as far as this one knows: whether a member of that number lives and, if none
@@ -309,7 +309,7 @@
 
     /// Says what was seen here, when it changed, or again after a while so that it does not fade.
     fn testify(&mut self, now: Point) {
-        let seen = self.evidence.tell(now);
+        let seen = self.evidence.most_relevant(now);
         if let Some((at, last)) = &self.told {
             let again = !seen.is_empty() && now - *at >= TELL_AGAIN;
             if now - *at < TELL_EVERY || seen == *last && !again {
@@ -535,15 +535,15 @@
             self.dropped.forged += 1;
             return;
         };
-        match self.belief.take(now, voice, said, said.signed_bytes()) {
-            Taken::New => {
+        match self.belief.merge(now, voice, said, said.signed_bytes()) {
+            MergeOutcome::Newer => {
                 self.hurry(now, said);
                 if self.testimonies.len() < TESTIMONIES_MOST || self.testimonies.contains_key(&said.origin) {
                     self.testimonies.insert(said.origin.clone(), (said.clone(), 0));
                 }
             }
-            Taken::Equivocation => self.dropped.equivocated += 1,
-            Taken::Old => {}
+            MergeOutcome::Equivocation => self.dropped.equivocated += 1,
+            MergeOutcome::Stale => {}
         }
     }
 
@@ -704,7 +704,7 @@
 
     /// All of it for operators.
     pub fn view(&mut self, now: Point) -> View {
-        let trusts: BTreeMap<String, f64> = self.belief.voices(now).into_iter().collect();
+        let trusts: BTreeMap<String, f64> = self.belief.trust_by_origin(now).into_iter().collect();
         let members = self.members.peers().map(|(name, peer)| Member {
             name: name.clone(),
             address: peer.record.address.clone(),
@@ -722,7 +722,7 @@
         View {
             name: self.terms.name.clone(),
             members: members.collect(),
-            suspicions: self.weights(now),
+            suspicions: self.failure_scores(now),
             health: self.members.health,
             bytes_last_s: self.budget.spent_in_last_second(now),
             bytes_per_s: self.terms.bytes_per_s,
--- a/crates/lemontide-standin/tests/gossip.rs
+++ b/crates/lemontide-standin/tests/gossip.rs
@@ -23,14 +23,14 @@
         for i in honest.clone().filter(|i| town.up[*i]).collect::<Vec<_>>() {
             let streamer = (i as u32 * 3 + half) % streamers;
             let good = !failing.contains(&streamer);
-            town.with(i, |node, now| node.saw(now, &format!("s{streamer}"), good));
+            town.with(i, |node, now| node.record_outcome(now, &format!("s{streamer}"), good));
         }
         town.pass(0.5);
     }
 }
 
 fn weight(town: &mut Town, i: usize, streamer: &str) -> f64 {
-    town.with(i, |node, now| node.weights(now).get(streamer).copied().unwrap_or(0.0))
+    town.with(i, |node, now| node.failure_scores(now).get(streamer).copied().unwrap_or(0.0))
 }
 
 fn most_doubted(town: &mut Town, of: std::ops::Range<usize>, streamer: &str) -> f64 {
@@ -62,7 +62,7 @@
 fn a_failing_streamer_is_known_to_all_who_never_tried_it() {
     let mut town = town(20);
     for i in 0..4 {
-        (0..3).for_each(|_| town.with(i, |node, now| node.saw(now, "s9", false)));
+        (0..3).for_each(|_| town.with(i, |node, now| node.record_outcome(now, "s9", false)));
     }
     town.pass(5.0);
     let least = least_doubted(&mut town, 4..20, "s9");
@@ -160,7 +160,7 @@
     assert_eq!((dropped.unsigned, dropped.forged, dropped.replayed), (1, 2, 1), "{dropped:?}");
     assert_eq!((dropped.unknown_sender, dropped.malformed), (1, 2), "{dropped:?}");
     assert_eq!(town.nodes[0].members.peer("i3").map(|p| p.record.incarnation), Some(0));
-    assert!(town.with(0, |node, now| node.weights(now)).is_empty());
+    assert!(town.with(0, |node, now| node.failure_scores(now)).is_empty());
 }
 
 #[test]
@@ -216,8 +216,8 @@
 #[test]
 fn a_member_that_falls_silent_is_buried_and_its_rumour_lives_on() {
     let mut town = town(16);
-    (0..3).for_each(|_| town.with(5, |node, now| node.saw(now, "s1", false)));
-    (0..3).for_each(|_| town.with(6, |node, now| node.saw(now, "s1", false)));
+    (0..3).for_each(|_| town.with(5, |node, now| node.record_outcome(now, "s1", false)));
+    (0..3).for_each(|_| town.with(6, |node, now| node.record_outcome(now, "s1", false)));
     town.pass(1.2);
     (town.up[5], town.up[6]) = (false, false);
     town.pass(3.0);
@@ -238,13 +238,13 @@
     work(&mut town, 60, 5, &[2], 0..10);
     assert!(town.acquaintance() < 0.6, "{}", town.acquaintance());
     for i in 0..10 {
-        (0..3).for_each(|_| town.with(i, |node, now| node.saw(now, "s2", false)));
+        (0..3).for_each(|_| town.with(i, |node, now| node.record_outcome(now, "s2", false)));
     }
     town.side.fill(0);
     town.pass(45.0);
     assert_eq!(town.acquaintance(), 1.0);
     for i in 0..10 {
-        (0..3).for_each(|_| town.with(i, |node, now| node.saw(now, "s2", false)));
+        (0..3).for_each(|_| town.with(i, |node, now| node.record_outcome(now, "s2", false)));
     }
     town.pass(6.0);
     assert!(least_doubted(&mut town, 10..20, "s2") > 0.3, "the other half learns of it");
@@ -273,7 +273,7 @@
     }
     let known = town.nodes[0].members.peer("i9").map_or(0, |peer| peer.record.incarnation);
     assert!(known > 0, "it answered slander by new incarnations");
-    town.with(9, |node, now| (0..4).for_each(|_| node.saw(now, "s1", false)));
+    town.with(9, |node, now| (0..4).for_each(|_| node.record_outcome(now, "s1", false)));
     town.pass(2.0);
     town.up[9] = false;
     town.pass(2.0);
