--- a/crates/lemontide-cli/src/gossip.rs
+++ b/crates/lemontide-cli/src/gossip.rs
@@ -2,7 +2,7 @@
 
 use crate::measure::get;
 use crate::Outcome;
-use lemontide_gossip::node::View;
+use lemontide_gossip::node::GossipView;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
@@ -16,7 +16,7 @@
 }
 
 pub fn run(args: &Args) -> Outcome {
-    let view: View = get(args.controller, "/v1/gossip")
+    let view: GossipView = get(args.controller, "/v1/gossip")
         .map_err(|e| format!("{e}; is it a controller, and is gossip in its settings?"))?;
     if args.json {
         println!("{}", serde_json::to_string(&view)?);
@@ -28,7 +28,7 @@
     );
     let figure = |value: Option<f64>, digits| value.map_or("-".into(), |v| format!("{v:.digits$}"));
     for m in &view.members {
-        let (heard, trust) = (figure(m.heard_s, 1), figure(m.trust, 2));
+        let (heard, trust) = (figure(m.last_heard_age_s, 1), figure(m.trust, 2));
         println!(
             "{:<20} {:<22} {:>5} {:<8} {heard:>8} {trust:>6}",
             m.name, m.address, m.incarnation, m.status
@@ -40,7 +40,7 @@
     }
     println!(
         "budget: {} of {} bytes in the last second; {} datagrams sent, {} taken, {} signatures checked, slowness {}",
-        view.bytes_last_s, view.bytes_per_s, view.datagrams_sent, view.datagrams_taken, view.signatures_checked, view.health
+        view.bytes_last_s, view.bytes_per_s, view.datagrams_sent, view.datagrams_accepted, view.signatures_checked, view.health_score
     );
     println!("dropped: {}", serde_json::to_string(&view.dropped)?);
     Ok(ExitCode::SUCCESS)
--- a/crates/lemontide-cli/src/measure/gossip.rs
+++ b/crates/lemontide-cli/src/measure/gossip.rs
@@ -131,10 +131,10 @@
             town.pass(1.0);
             passed += 1.0;
             for i in 0..size {
-                let changes = town.with(i, |node, _| node.changes());
+                let changes = town.with(i, |node, _| node.take_changes());
                 dead += changes
                     .iter()
-                    .filter(|c| matches!(c, lemontide_gossip::membership::Change::Died(_)))
+                    .filter(|c| matches!(c, lemontide_gossip::membership::MembershipChange::Died(_)))
                     .count();
             }
         }
--- a/crates/lemontide-front/src/gossip.rs
+++ b/crates/lemontide-front/src/gossip.rs
@@ -4,10 +4,10 @@
 use crate::events::Happened;
 use crate::settings::{read_json, Gossip};
 use lemontide::clock::{Point, Span};
-use lemontide_gossip::authentication::{AllowedNetworks, OwnKey, Keyring};
-use lemontide_gossip::membership::Pace;
+use lemontide_gossip::authentication::{AllowedNetworks, Keyring, OwnKey};
+use lemontide_gossip::membership::Timing;
 use lemontide_gossip::message::MAX_DATAGRAM_BYTES;
-use lemontide_gossip::node::{Node, Terms, View};
+use lemontide_gossip::node::{GossipView, Node, NodeConfig};
 use lemontide_wire::clock::Clock;
 use lemontide_wire::tap::{Tap, What};
 use std::collections::{BTreeMap, BTreeSet};
@@ -34,7 +34,7 @@
     pub good: bool,
 }
 
-type Questions = mpsc::Sender<oneshot::Sender<View>>;
+type Questions = mpsc::Sender<oneshot::Sender<GossipView>>;
 
 /// Reads a key of 64 hex digits.
 pub fn key(text: &str) -> Option<[u8; 32]> {
@@ -84,24 +84,24 @@
     let socket = UdpSocket::bind(terms.listen).await?;
     let node = Node::new(
         Point::at(clock.now()),
-        Terms {
+        NodeConfig {
             name: terms.name.clone(),
             address: terms.advertise.map_or_else(|| socket.local_addr(), Ok)?,
             number,
-            own,
-            ring,
-            networks: AllowedNetworks::new(&terms.networks),
+            own_key: own,
+            keyring: ring,
+            allowed_networks: AllowedNetworks::new(&terms.networks),
             seeds: terms.seeds.clone(),
-            pace: Pace {
-                period: Span::of(terms.period_s),
-                timeout: Span::of(terms.period_s * TIMEOUT_PART),
-                heal: Span::of(terms.period_s * HEAL_PERIODS),
-                ..Pace::default()
+            timing: Timing {
+                probe_period: Span::of(terms.period_s),
+                probe_timeout: Span::of(terms.period_s * TIMEOUT_PART),
+                sync_interval: Span::of(terms.period_s * HEAL_PERIODS),
+                ..Timing::default()
             },
             bytes_per_s: terms.bytes_per_s,
             // Unlike that of any earlier process of this instance, whatever its clock says.
-            boot: rand::random(),
-            seed,
+            boot_id: rand::random(),
+            rng_seed: seed,
         },
     );
     let (heard, hears) = mpsc::channel(EVIDENCE_MOST);
@@ -118,19 +118,19 @@
     clock: Clock,
     tap: Tap,
     mut hears: mpsc::Receiver<Heard>,
-    mut asked: mpsc::Receiver<oneshot::Sender<View>>,
+    mut asked: mpsc::Receiver<oneshot::Sender<GossipView>>,
     mut stopped: watch::Receiver<bool>,
     reports: mpsc::Sender<Happened>,
 ) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else { return };
     let mut bytes = [0u8; MAX_DATAGRAM_BYTES + 1];
     let mut handed: BTreeSet<String> = BTreeSet::new();
-    let shares = node.members.record.number.is_some();
+    let shares = node.membership.own_record.number.is_some();
     let mut hand_over = Instant::now();
     let (mut second, mut sent) = (clock.now().floor(), 0);
     loop {
         let now = || Point::at(clock.now());
-        let next = clock.instant(crate::core::seconds(node.next()));
+        let next = clock.instant(crate::core::seconds(node.next_tick_at()));
         // A tick that could not do all it wanted must not become a busy loop.
         let next = Instant::from_std(next).max(Instant::now() + Duration::from_millis(5)).min(hand_over);
         let _ = timeout_at(next, async {
@@ -162,7 +162,7 @@
             // A datagram that can't leave is a lost one, and the protocol lives with those.
             let _ = socket.try_send_to(&datagram, to);
         }
-        for change in node.changes() {
+        for change in node.take_changes() {
             tracing::info!(target: "gossip", ?change);
         }
         if Instant::now() >= hand_over {
@@ -180,7 +180,7 @@
             }
             handed = weights.into_keys().collect();
             if shares {
-                let _ = reports.try_send(Happened::Fleet(node.numbers()));
+                let _ = reports.try_send(Happened::Fleet(node.gone_since_by_number()));
             }
         }
     }
--- a/crates/lemontide-front/src/http.rs
+++ b/crates/lemontide-front/src/http.rs
@@ -15,7 +15,7 @@
 use axum::{Json, Router};
 use futures::stream;
 use lemontide::clock::{Point, Span};
-use lemontide_gossip::node::View;
+use lemontide_gossip::node::GossipView;
 use lemontide_shed::admit::Word;
 use lemontide_shed::door::Bounds;
 use lemontide_shed::room::Entered;
@@ -47,7 +47,7 @@
     retry_after: Option<f64>,
     /// Name and cut-off of each lane, and whether it is live.
     lanes: Arc<Vec<(String, f64, bool)>>,
-    gossip: Option<mpsc::Sender<oneshot::Sender<View>>>,
+    gossip: Option<mpsc::Sender<oneshot::Sender<GossipView>>>,
 }
 
 /// What stands between the sockets and the deciding thread.
@@ -94,7 +94,7 @@
     before: Before,
     reports: mpsc::Sender<Happened>,
     stopped: watch::Receiver<bool>,
-    gossip: Option<mpsc::Sender<oneshot::Sender<View>>>,
+    gossip: Option<mpsc::Sender<oneshot::Sender<GossipView>>>,
 ) {
     let allowed = settings.retry_after.allowed && settings.retry_after.longest_s > 0.0;
     let lanes = settings.lanes.iter().map(|lane| (lane.name.clone(), lane.cut_off_s, lane.live)).collect();
@@ -350,7 +350,7 @@
     let (reply, view) = oneshot::channel();
     let sent = gossip.send(reply).await;
     match (sent, view.await) {
-        (Ok(()), Ok(view)) => Json::<View>(view).into_response(),
+        (Ok(()), Ok(view)) => Json::<GossipView>(view).into_response(),
         _ => StatusCode::SERVICE_UNAVAILABLE.into_response(),
     }
 }
--- a/crates/lemontide-gossip/src/authentication.rs
+++ b/crates/lemontide-gossip/src/authentication.rs
@@ -56,7 +56,7 @@
         OwnKey(SigningKey::from_bytes(secret))
     }
 
-    pub fn public(&self) -> [u8; 32] {
+    pub fn public_key(&self) -> [u8; 32] {
         self.0.verifying_key().to_bytes()
     }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// AllowedNetworks that datagrams may come from.
+/// Networks that datagrams may come from.
 #[derive(Clone, Debug, Default)]
 pub struct AllowedNetworks {
     v4: PrefixSet<ipnet::Ipv4Net>,
@@ -137,8 +137,16 @@
     }
 
     /// Enters a datagram whose signature was verified.
-    pub fn accept(&mut self, now: Point, sender: &str, seq: u64, time: Point) -> Result<(), ReplayCheckError> {
-        let Some(session) = self.sessions.get_mut(sender) else { return Err(ReplayCheckError::UnknownProcess) };
+    pub fn accept(
+        &mut self,
+        now: Point,
+        sender: &str,
+        seq: u64,
+        time: Point,
+    ) -> Result<(), ReplayCheckError> {
+        let Some(session) = self.sessions.get_mut(sender) else {
+            return Err(ReplayCheckError::UnknownProcess);
+        };
         let off = (time - now).seconds() - session.offset;
         if off.abs() > CLOCK_WINDOW.seconds() {
             return Err(ReplayCheckError::ClockDrift);
@@ -164,7 +172,15 @@
     }
 
     /// A process proves itself by the nonce; whether it is let in. What was known of an earlier one is dropped.
-    pub fn accept_proof(&mut self, now: Point, sender: &str, boot: u64, seq: u64, nonce: u64, time: Point) -> bool {
+    pub fn accept_proof(
+        &mut self,
+        now: Point,
+        sender: &str,
+        boot: u64,
+        seq: u64,
+        nonce: u64,
+        time: Point,
+    ) -> bool {
         let asked =
             self.challenges.get(sender).is_some_and(|(asked, at)| *asked == nonce && now - *at < CHALLENGE);
         if asked {
@@ -195,11 +211,11 @@
     fn only_listed_keys_speak_and_two_overlap_while_one_changes() {
         let (old, new, other) = (OwnKey::new(&[1; 32]), OwnKey::new(&[2; 32]), OwnKey::new(&[3; 32]));
         let mut ring = Keyring::default();
-        ring.add("a", &old.public()).expect("a key");
-        ring.add("a", &new.public()).expect("a key");
+        ring.add("a", &old.public_key()).expect("a key");
+        ring.add("a", &new.public_key()).expect("a key");
         let record = Record { name: "a".into(), ..Record::default() };
         for own in [&old, &new] {
-            assert_eq!(ring.verify_signer("a", &record, &own.sign(&record)), Some(own.public()));
+            assert_eq!(ring.verify_signer("a", &record, &own.sign(&record)), Some(own.public_key()));
         }
         assert_eq!(ring.verify_signer("a", &record, &other.sign(&record)), None);
         assert_eq!(ring.verify_signer("b", &record, &old.sign(&record)), None);
@@ -220,7 +236,11 @@
         assert!(gate.accept_proof(now, "a", 7, 5, nonce, theirs));
         assert!(!gate.accept_proof(now, "a", 7, 5, nonce, theirs), "a proof is good once");
         assert_eq!(gate.check_sequence("a", 7, 5), Err(ReplayCheckError::Replayed));
-        assert_eq!(gate.check_sequence("a", 6, 500), Err(ReplayCheckError::UnknownProcess), "an earlier process");
+        assert_eq!(
+            gate.check_sequence("a", 6, 500),
+            Err(ReplayCheckError::UnknownProcess),
+            "an earlier process"
+        );
         assert_eq!(gate.check_sequence("a", 7, 9), Ok(()));
         assert_eq!(gate.accept(now, "a", 9, theirs), Ok(()));
         assert_eq!(gate.check_sequence("a", 7, 8), Ok(()), "overtaken on the way");
--- a/crates/lemontide-gossip/src/budget.rs
+++ b/crates/lemontide-gossip/src/budget.rs
@@ -7,7 +7,7 @@
 /// Peers whose rate is counted at a time; more than that are not let in until some fall silent.
 const PEERS_MOST: usize = 4096;
 
-/// ByteBudget that may leave within any second. Some of it is kept for what must not wait.
+/// Bytes that may leave within any second. Some of it is kept for what must not wait.
 #[derive(Clone, Debug)]
 pub struct ByteBudget {
     most: usize,
@@ -58,7 +58,7 @@
         fits
     }
 
-    /// ByteBudget that left within the last second.
+    /// Bytes that left within the last second.
     pub fn spent_in_last_second(&mut self, now: Point) -> usize {
         self.available(now, Priority::Reply);
         self.sum
--- a/crates/lemontide-gossip/src/lib.rs
+++ b/crates/lemontide-gossip/src/lib.rs
@@ -4,10 +4,10 @@
 //! `membership` finds out who lives, `evidence` keeps what was seen, `belief` weighs what others say, `authentication` lets
 //! in who may speak and keeps out replays, `budget` bounds the bytes, `node` ties them together.
 
-pub mod testimonies;
-pub mod budget;
-pub mod observations;
 pub mod authentication;
+pub mod budget;
 pub mod membership;
 pub mod message;
 pub mod node;
+pub mod observations;
+pub mod testimonies;
--- a/crates/lemontide-gossip/src/message.rs
+++ b/crates/lemontide-gossip/src/message.rs
@@ -68,8 +68,9 @@
         return None;
     }
     let datagram = Datagram::decode(bytes).ok()?;
-    let sane =
-        !datagram.sender.is_empty() && datagram.sender.len() <= MAX_NAME_BYTES && datagram.signature.len() == 64;
+    let sane = !datagram.sender.is_empty()
+        && datagram.sender.len() <= MAX_NAME_BYTES
+        && datagram.signature.len() == 64;
     sane.then_some(datagram)
 }
 
--- a/crates/lemontide-gossip/src/node.rs
+++ b/crates/lemontide-gossip/src/node.rs
@@ -1,15 +1,15 @@
 //! One instance's gossip, whole: bytes in, bytes out. Checks what comes in from the cheapest check to the dearest,
 //! keeps to the budget, and gives what is believed of streamers.
 
-use crate::testimonies::{TestimonyStore, MergeOutcome};
+use crate::authentication::{AllowedNetworks, Keyring, OwnKey, ReplayCheckError, ReplayGuard};
 use crate::budget::{ByteBudget, Priority, RateLimiter};
-use crate::observations::LocalObservations;
-use crate::authentication::{ReplayGuard, AllowedNetworks, OwnKey, Keyring, ReplayCheckError};
-use crate::membership::{Act, Change, Membership, Pace, Rumour, Status};
+use crate::membership::{Action, Membership, MembershipChange, PeerStatus, Timing, Update};
 use crate::message::{
     self, Ack, Body, Challenge, Datagram, Kind, Ping, PingReq, Record, Signable, Suspicion, Sync, Testimony,
     MAX_DATAGRAM_BYTES,
 };
+use crate::observations::LocalObservations;
+use crate::testimonies::{MergeOutcome, TestimonyStore};
 use lemontide::clock::{Point, Span};
 use prost::Message;
 use serde::{Deserialize, Serialize};
@@ -34,35 +34,39 @@
 const SYNC_RECORDS: usize = 4;
 
 /// What an instance is told at its start.
-pub struct Terms {
+pub struct NodeConfig {
     pub name: String,
     /// Where others reach it.
     pub address: SocketAddr,
     /// Its number in the fleet, where it tells one.
     pub number: Option<u32>,
-    pub own: OwnKey,
-    pub ring: Keyring,
-    pub networks: AllowedNetworks,
+    pub own_key: OwnKey,
+    pub keyring: Keyring,
+    pub allowed_networks: AllowedNetworks,
     /// Where others may be found at first.
     pub seeds: Vec<SocketAddr>,
-    pub pace: Pace,
-    /// ByteBudget that may leave in any second.
+    pub timing: Timing,
+    /// Bytes that may leave in any second.
     pub bytes_per_s: usize,
     /// Tells this process from earlier ones: the wall clock at its start will do.
-    pub boot: u64,
-    pub seed: u64,
+    pub boot_id: u64,
+    pub rng_seed: u64,
 }
 
 /// Datagrams dropped, by cause.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Dropped {
-    pub network: u64,
-    pub rate: u64,
+pub struct DropCounters {
+    #[serde(rename = "network")]
+    pub disallowed_network: u64,
+    #[serde(rename = "rate")]
+    pub rate_limited: u64,
     pub malformed: u64,
     pub unknown_sender: u64,
-    pub unsigned: u64,
+    #[serde(rename = "unsigned")]
+    pub bad_signature: u64,
     pub replayed: u64,
-    pub out_of_time: u64,
+    #[serde(rename = "out_of_time")]
+    pub clock_drift: u64,
     /// Passed-on words whose own signature failed.
     pub forged: u64,
     pub equivocated: u64,
@@ -72,37 +76,40 @@
 
 /// A member as operators see it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Member {
+pub struct MemberView {
     pub name: String,
     pub address: String,
     pub incarnation: u64,
     pub status: String,
     /// Seconds since it was heard itself.
-    pub heard_s: Option<f64>,
-    /// SignerTrust in its words of streamers, from 0 to 1; absent while it has said nothing lately.
+    #[serde(rename = "heard_s")]
+    pub last_heard_age_s: Option<f64>,
+    /// Trust in its words of streamers, from 0 to 1; absent while it has said nothing lately.
     pub trust: Option<f64>,
 }
 
 /// All of it as operators see it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct View {
+pub struct GossipView {
     pub name: String,
-    pub members: Vec<Member>,
+    pub members: Vec<MemberView>,
     /// How far others' words of streamers are believed, where they are.
     pub suspicions: BTreeMap<String, f64>,
-    pub health: u32,
+    #[serde(rename = "health")]
+    pub health_score: u32,
     pub bytes_last_s: usize,
     pub bytes_per_s: usize,
     pub bytes_sent: u64,
     pub datagrams_sent: u64,
-    pub datagrams_taken: u64,
+    #[serde(rename = "datagrams_taken")]
+    pub datagrams_accepted: u64,
     pub signatures_checked: u64,
-    pub dropped: Dropped,
+    pub dropped: DropCounters,
 }
 
 pub struct Node {
-    terms: Terms,
-    pub members: Membership,
+    terms: NodeConfig,
+    pub membership: Membership,
     evidence: LocalObservations,
     belief: TestimonyStore,
     gate: ReplayGuard,
@@ -119,22 +126,22 @@
     /// Strangers that were not answered by anybody yet: who to greet again.
     next_join: Point,
     greeted: BTreeMap<SocketAddr, Point>,
-    pub dropped: Dropped,
+    pub dropped: DropCounters,
     bytes_sent: u64,
     datagrams_sent: u64,
-    datagrams_taken: u64,
+    datagrams_accepted: u64,
     signatures_checked: u64,
     /// Datagrams to be sent.
     pub outbox: Vec<(SocketAddr, Vec<u8>)>,
 }
 
 impl Node {
-    pub fn new(now: Point, terms: Terms) -> Node {
+    pub fn new(now: Point, terms: NodeConfig) -> Node {
         let address = terms.address.to_string();
-        let mut members = Membership::new(now, terms.pace, &terms.name, &address, terms.seed);
-        members.record.number = terms.number;
+        let mut members = Membership::new(now, terms.timing, &terms.name, &address, terms.rng_seed);
+        members.own_record.number = terms.number;
         Node {
-            members,
+            membership: members,
             evidence: LocalObservations::default(),
             belief: TestimonyStore::default(),
             gate: ReplayGuard::default(),
@@ -149,10 +156,10 @@
             pushed: now,
             next_join: now,
             greeted: BTreeMap::new(),
-            dropped: Dropped::default(),
+            dropped: DropCounters::default(),
             bytes_sent: 0,
             datagrams_sent: 0,
-            datagrams_taken: 0,
+            datagrams_accepted: 0,
             signatures_checked: 0,
             outbox: Vec::new(),
             terms,
@@ -160,29 +167,29 @@
     }
 
     /// When `tick` wants to be called next.
-    pub fn next(&self) -> Point {
+    pub fn next_tick_at(&self) -> Point {
         let tell = self.told.as_ref().map_or(self.next_join, |(at, _)| *at + TELL_EVERY);
         let push = self.push_at.unwrap_or(tell);
-        self.members.next().min(self.next_join).min(tell).min(push)
+        self.membership.next_tick_at().min(self.next_join).min(tell).min(push)
     }
 
     /// Begins as another process of the same instance.
-    pub fn set_boot(&mut self, boot: u64) {
-        self.terms.boot = boot;
+    pub fn set_boot_id(&mut self, boot: u64) {
+        self.terms.boot_id = boot;
     }
 
     /// Takes other keys into use: the operator changed the list while this runs.
     pub fn set_keys(&mut self, own: OwnKey, ring: Keyring) {
-        self.terms.own = own;
-        self.terms.ring = ring;
+        self.terms.own_key = own;
+        self.terms.keyring = ring;
         // Records and words under keys that are gone must not be passed on.
-        self.members.unsigned = true;
+        self.membership.needs_signature = true;
         self.testimonies.clear();
         let gone: Vec<String> = self
-            .members
+            .membership
             .peers()
             .map(|(name, _)| name.clone())
-            .filter(|name| !self.terms.ring.contains(name))
+            .filter(|name| !self.terms.keyring.contains(name))
             .collect();
         gone.iter().for_each(|name| self.gate.forget(name));
     }
@@ -201,15 +208,15 @@
     /// The numbers that other members hold, as far as this one knows: whether a member of that number lives and, if none
     /// does, since when. Of two under one number the living one counts. Who is suspected counts as gone since then, as to
     /// bury many takes one own probe each: half of 300 lost at once would count as there for minutes.
-    pub fn numbers(&self) -> BTreeMap<u32, Option<Point>> {
+    pub fn gone_since_by_number(&self) -> BTreeMap<u32, Option<Point>> {
         let mut numbers: BTreeMap<u32, Option<Point>> = BTreeMap::new();
-        for (_, peer) in self.members.peers() {
+        for (_, peer) in self.membership.peers() {
             let Some(number) = peer.record.number else { continue };
             let gone = match peer.status {
-                Status::Suspect { since, .. } | Status::Dead { since } | Status::Left { since } => {
-                    Some(since)
-                }
-                Status::Alive => None,
+                PeerStatus::Suspect { since, .. }
+                | PeerStatus::Dead { since }
+                | PeerStatus::Left { since } => Some(since),
+                PeerStatus::Alive => None,
             };
             // None, for one that lives, is the least of all; of the gone the last counts.
             let known = numbers.entry(number).or_insert(gone);
@@ -218,38 +225,38 @@
         numbers
     }
 
-    pub fn changes(&mut self) -> Vec<Change> {
-        std::mem::take(&mut self.members.changes)
+    pub fn take_changes(&mut self) -> Vec<MembershipChange> {
+        std::mem::take(&mut self.membership.changes)
     }
 
     /// Enters members as known and alive, as after a long time together; for measurements at large sizes.
     pub fn preload(&mut self, now: Point, records: &[Record], boots: &BTreeMap<String, u64>) {
         for record in records {
-            self.members.learn(now, record);
+            self.membership.on_record(now, record);
             if let Some(boot) = boots.get(&record.name) {
                 let nonce = self.gate.open_challenge(now, &record.name, 1).unwrap_or(1);
                 self.gate.accept_proof(now, &record.name, *boot, 0, nonce, now);
             }
         }
-        self.members.settle();
+        self.membership.discard_pending();
     }
 
     /// The own record, signed; for preloading others.
-    pub fn own_record(&mut self) -> Record {
+    pub fn signed_own_record(&mut self) -> Record {
         self.sign_record();
-        self.members.record.clone()
+        self.membership.own_record.clone()
     }
 
     fn sign_record(&mut self) {
-        if self.members.unsigned {
-            let signature = self.terms.own.sign(&self.members.record);
-            self.members.signed(signature);
+        if self.membership.needs_signature {
+            let signature = self.terms.own_key.sign(&self.membership.own_record);
+            self.membership.set_signature(signature);
         }
     }
 
     /// Regular work: probes, greetings of seeds, the own testimony.
     pub fn tick(&mut self, now: Point) {
-        self.members.tick(now);
+        self.membership.tick(now);
         self.sign_record();
         if now >= self.next_join {
             self.next_join = now + Span::of_millis(1000);
@@ -272,36 +279,37 @@
             return;
         }
         (self.push_at, self.pushed) = (None, now);
-        for name in self.members.draw(PUSH) {
-            let kind = Kind::Sync(Sync { answer_me: false, digest: self.members.digest() });
+        for name in self.membership.sample_members(PUSH) {
+            let kind = Kind::Sync(Sync { answer_me: false, digest: self.membership.digest() });
             self.send_to(now, &name, kind, Priority::Background, Vec::new(), Vec::new());
         }
     }
 
     /// Says goodbye to some members; they pass it on.
     pub fn leave(&mut self, now: Point) {
-        self.members.leave();
+        self.membership.leave();
         self.sign_record();
         let to: Vec<String> =
-            self.members.peers().filter(|(_, p)| p.lives()).map(|(n, _)| n.clone()).take(4).collect();
+            self.membership.peers().filter(|(_, p)| p.is_live()).map(|(n, _)| n.clone()).take(4).collect();
         for name in to {
-            let kind = Kind::Sync(Sync { answer_me: false, digest: self.members.digest() });
-            let record = self.members.record.clone();
+            let kind = Kind::Sync(Sync { answer_me: false, digest: self.membership.digest() });
+            let record = self.membership.own_record.clone();
             self.send_to(now, &name, kind, Priority::Reply, vec![record], Vec::new());
         }
     }
 
     /// Greets the seeds while hardly anybody is known, and now and then ever after: a partition of seeds heals.
     fn join(&mut self, now: Point) {
-        let lonely = self.members.alive() <= 1;
+        let lonely = self.membership.alive_count() <= 1;
         for seed in self.terms.seeds.clone() {
-            let known = self.members.peers().any(|(_, p)| p.lives() && p.record.address == seed.to_string());
+            let known =
+                self.membership.peers().any(|(_, p)| p.is_live() && p.record.address == seed.to_string());
             let rest = if lonely { Span::of_millis(1000) } else { Span::of_millis(10_000) };
             let due = self.greeted.get(&seed).is_none_or(|at| now - *at >= rest);
             if seed != self.terms.address && !known && due {
                 self.greeted.insert(seed, now);
-                let kind = Kind::Sync(Sync { answer_me: true, digest: self.members.digest() });
-                let record = self.members.record.clone();
+                let kind = Kind::Sync(Sync { answer_me: true, digest: self.membership.digest() });
+                let record = self.membership.own_record.clone();
                 self.send(now, seed, kind, Priority::Protocol, vec![record], Vec::new());
             }
         }
@@ -321,42 +329,42 @@
         self.own_seq += 1;
         let mut said = Testimony {
             origin: self.terms.name.clone(),
-            boot: self.terms.boot,
+            boot: self.terms.boot_id,
             seq: self.own_seq,
             seen: seen.clone(),
             signature: Vec::new(),
         };
-        said.signature = self.terms.own.sign(&said);
+        said.signature = self.terms.own_key.sign(&said);
         self.told = Some((now, seen));
         self.hurry(now, &said);
         self.testimonies.insert(said.origin.clone(), (said, 0));
     }
 
     /// Says something of streamers that was not seen here: a liar, for tests and measurements only.
-    pub fn lie(&mut self, seen: Vec<message::Seen>) {
+    pub fn publish_false_testimony(&mut self, seen: Vec<message::Seen>) {
         self.own_seq += 1;
         let mut said = Testimony {
             origin: self.terms.name.clone(),
-            boot: self.terms.boot,
+            boot: self.terms.boot_id,
             seq: self.own_seq,
             seen,
             signature: Vec::new(),
         };
-        said.signature = self.terms.own.sign(&said);
+        said.signature = self.terms.own_key.sign(&said);
         self.testimonies.insert(said.origin.clone(), (said, 0));
     }
 
     /// Accuses a member of being dead: a liar's word again.
-    pub fn slander(&mut self, now: Point, name: &str) {
-        let Some(peer) = self.members.peer(name) else { return };
+    pub fn send_false_suspicion(&mut self, now: Point, name: &str) {
+        let Some(peer) = self.membership.peer(name) else { return };
         let mut suspicion = Suspicion {
             accuser: self.terms.name.clone(),
             name: name.to_owned(),
             incarnation: peer.record.incarnation,
             signature: Vec::new(),
         };
-        suspicion.signature = self.terms.own.sign(&suspicion);
-        let to: Vec<String> = self.members.peers().map(|(name, _)| name.clone()).take(6).collect();
+        suspicion.signature = self.terms.own_key.sign(&suspicion);
+        let to: Vec<String> = self.membership.peers().map(|(name, _)| name.clone()).take(6).collect();
         for to in to {
             let kind = Kind::Sync(Sync { answer_me: false, digest: 0 });
             self.send_to(now, &to, kind, Priority::Reply, Vec::new(), vec![suspicion.clone()]);
@@ -365,15 +373,15 @@
 
     /// Takes a datagram as it came.
     pub fn receive(&mut self, now: Point, from: SocketAddr, bytes: &[u8]) {
-        if !self.terms.networks.contains(from.ip()) {
-            self.dropped.network += 1;
+        if !self.terms.allowed_networks.contains(from.ip()) {
+            self.dropped.disallowed_network += 1;
             return;
         }
         let Some(datagram) = message::decode_datagram(bytes) else {
             self.dropped.malformed += 1;
             return;
         };
-        if !self.terms.ring.contains(&datagram.sender) || datagram.sender == self.terms.name {
+        if !self.terms.keyring.contains(&datagram.sender) || datagram.sender == self.terms.name {
             self.dropped.unknown_sender += 1;
             return;
         }
@@ -382,10 +390,10 @@
             Some(boot) if boot == datagram.boot => {
                 self.by_member.allow(now, &(datagram.sender.clone(), from.ip()))
             }
-            _ => self.by_address.allow(now, &from.ip()) || self.members.alive() <= 1,
+            _ => self.by_address.allow(now, &from.ip()) || self.membership.alive_count() <= 1,
         };
         if !admitted {
-            self.dropped.rate += 1;
+            self.dropped.rate_limited += 1;
             return;
         }
         let new = self.gate.check_sequence(&datagram.sender, datagram.boot, datagram.seq);
@@ -394,8 +402,9 @@
             return;
         }
         self.signatures_checked += 1;
-        let Some(voice) = self.terms.ring.verify_signer(&datagram.sender, &datagram, &datagram.signature) else {
-            self.dropped.unsigned += 1;
+        let Some(voice) = self.terms.keyring.verify_signer(&datagram.sender, &datagram, &datagram.signature)
+        else {
+            self.dropped.bad_signature += 1;
             return;
         };
         let Some(body) = message::decode_body(&datagram.body) else {
@@ -408,7 +417,7 @@
             return self.greet(now, from, &datagram, &body, time);
         }
         if self.gate.accept(now, &sender, datagram.seq, time).is_err() {
-            self.dropped.out_of_time += 1;
+            self.dropped.clock_drift += 1;
             return;
         }
         let _ = voice;
@@ -427,7 +436,7 @@
             // Its challenge is answered though it is a stranger, or two strangers would wait for each other.
             Some(Kind::Challenge(challenge)) => {
                 let kind = Kind::Proof(Challenge { nonce: challenge.nonce });
-                let record = self.members.record.clone();
+                let record = self.membership.own_record.clone();
                 self.send(now, from, kind, Priority::Reply, vec![record], Vec::new());
                 self.challenge(now, from, sender);
             }
@@ -436,7 +445,7 @@
     }
 
     fn challenge(&mut self, now: Point, to: SocketAddr, sender: &str) {
-        let fresh = now.turn(Span::of_millis(1)) as u64 ^ self.seq.rotate_left(32) ^ self.terms.seed;
+        let fresh = now.turn(Span::of_millis(1)) as u64 ^ self.seq.rotate_left(32) ^ self.terms.rng_seed;
         let nonce = fresh.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         if let Some(nonce) = self.gate.open_challenge(now, sender, nonce) {
             let kind = Kind::Challenge(Challenge { nonce });
@@ -445,40 +454,40 @@
     }
 
     fn take(&mut self, now: Point, sender: &str, body: Body) {
-        self.datagrams_taken += 1;
+        self.datagrams_accepted += 1;
         for record in &body.records {
             self.learn(now, record);
         }
-        self.members.heard(now, sender);
+        self.membership.on_message_from(now, sender);
         for suspicion in &body.suspicions {
             // What changes nothing is not worth a signature check.
             let of_me = suspicion.name == self.terms.name;
-            let current = match self.members.peer(&suspicion.name) {
-                Some(peer) => peer.record.incarnation == suspicion.incarnation && peer.lives(),
-                None => of_me && suspicion.incarnation == self.members.record.incarnation,
+            let current = match self.membership.peer(&suspicion.name) {
+                Some(peer) => peer.record.incarnation == suspicion.incarnation && peer.is_live(),
+                None => of_me && suspicion.incarnation == self.membership.own_record.incarnation,
             };
             if current && self.verified(&suspicion.accuser, suspicion, &suspicion.signature) {
-                self.members.accused(now, suspicion);
+                self.membership.on_suspicion(now, suspicion);
             }
         }
         for said in &body.testimonies {
             self.hear(now, said);
         }
         match body.kind {
-            Some(Kind::Ping(ping)) => self.members.ping(sender, ping.nonce),
-            Some(Kind::Ack(ack)) => self.members.ack(sender, ack.nonce),
-            Some(Kind::PingReq(ask)) => self.members.ping_req(now, sender, &ask.target, ask.nonce),
+            Some(Kind::Ping(ping)) => self.membership.on_ping(sender, ping.nonce),
+            Some(Kind::Ack(ack)) => self.membership.on_ack(sender, ack.nonce),
+            Some(Kind::PingReq(ask)) => self.membership.on_ping_req(now, sender, &ask.target, ask.nonce),
             Some(Kind::Sync(sync)) if sync.answer_me => {
-                let differs = sync.digest != self.members.digest() || self.members.alive() <= 2;
+                let differs = sync.digest != self.membership.digest() || self.membership.alive_count() <= 2;
                 if differs {
-                    let kind = Kind::Sync(Sync { answer_me: false, digest: self.members.digest() });
-                    let records = self.members.some_records(SYNC_RECORDS);
+                    let kind = Kind::Sync(Sync { answer_me: false, digest: self.membership.digest() });
+                    let records = self.membership.sample_records(SYNC_RECORDS);
                     self.send_to(now, sender, kind, Priority::Background, records, Vec::new());
                 }
             }
             Some(Kind::Challenge(challenge)) => {
                 // The other side forgot this process, or never knew it.
-                let record = self.members.record.clone();
+                let record = self.membership.own_record.clone();
                 let kind = Kind::Proof(Challenge { nonce: challenge.nonce });
                 self.send_to(now, sender, kind, Priority::Reply, vec![record], Vec::new());
             }
@@ -490,7 +499,7 @@
 
     fn verified(&mut self, name: &str, signed: &impl Signable, signature: &[u8]) -> bool {
         self.signatures_checked += 1;
-        let fine = self.terms.ring.verify_signer(name, signed, signature).is_some();
+        let fine = self.terms.keyring.verify_signer(name, signed, signature).is_some();
         if !fine {
             self.dropped.forged += 1;
         }
@@ -498,22 +507,24 @@
     }
 
     fn learn(&mut self, now: Point, record: &Record) {
-        let known = match self.members.peer(&record.name) {
+        let known = match self.membership.peer(&record.name) {
             Some(peer) => {
                 record.incarnation < peer.record.incarnation
                     || record.incarnation == peer.record.incarnation && record.left == peer.record.left
             }
             None if record.name == self.terms.name => {
-                let own = &self.members.record;
+                let own = &self.membership.own_record;
                 let same = (&record.address, record.number) == (&own.address, own.number);
                 record.incarnation < own.incarnation || record.incarnation == own.incarnation && same
             }
             None => false,
         };
-        let reachable =
-            record.address.parse::<SocketAddr>().is_ok_and(|at| self.terms.networks.contains(at.ip()));
+        let reachable = record
+            .address
+            .parse::<SocketAddr>()
+            .is_ok_and(|at| self.terms.allowed_networks.contains(at.ip()));
         if !known && reachable && self.verified(&record.name, record, &record.signature) {
-            self.members.learn(now, record);
+            self.membership.on_record(now, record);
         }
     }
 
@@ -531,7 +542,7 @@
             return;
         }
         self.signatures_checked += 1;
-        let Some(voice) = self.terms.ring.verify_signer(&said.origin, said, &said.signature) else {
+        let Some(voice) = self.terms.keyring.verify_signer(&said.origin, said, &said.signature) else {
             self.dropped.forged += 1;
             return;
         };
@@ -548,32 +559,39 @@
     }
 
     fn act(&mut self, now: Point) {
-        for act in std::mem::take(&mut self.members.acts) {
+        for act in std::mem::take(&mut self.membership.actions) {
             match act {
-                Act::Ping { to, nonce } => {
+                Action::Ping { to, nonce } => {
                     // One that is suspected must hear of it to answer.
-                    let charge = self.members.charge(&to).map(|mut charge| {
-                        charge.signature = self.terms.own.sign(&charge);
+                    let charge = self.membership.suspicion_about(&to).map(|mut charge| {
+                        charge.signature = self.terms.own_key.sign(&charge);
                         charge
                     });
                     let kind = Kind::Ping(Ping { nonce });
-                    self.send_to(now, &to, kind, Priority::Protocol, Vec::new(), charge.into_iter().collect());
+                    self.send_to(
+                        now,
+                        &to,
+                        kind,
+                        Priority::Protocol,
+                        Vec::new(),
+                        charge.into_iter().collect(),
+                    );
                 }
-                Act::Ack { to, nonce } => {
+                Action::Ack { to, nonce } => {
                     let kind = Kind::Ack(Ack { nonce });
                     self.send_to(now, &to, kind, Priority::Reply, Vec::new(), Vec::new());
                 }
-                Act::PingReq { to, target, nonce } => {
+                Action::PingReq { to, target, nonce } => {
                     let kind = Kind::PingReq(PingReq { nonce, target });
                     self.send_to(now, &to, kind, Priority::Protocol, Vec::new(), Vec::new());
                 }
-                Act::Sync { to } => {
-                    let charge = self.members.charge(&to).map(|mut charge| {
-                        charge.signature = self.terms.own.sign(&charge);
+                Action::Sync { to } => {
+                    let charge = self.membership.suspicion_about(&to).map(|mut charge| {
+                        charge.signature = self.terms.own_key.sign(&charge);
                         charge
                     });
-                    let kind = Kind::Sync(Sync { answer_me: true, digest: self.members.digest() });
-                    let records = self.members.some_records(SYNC_RECORDS);
+                    let kind = Kind::Sync(Sync { answer_me: true, digest: self.membership.digest() });
+                    let records = self.membership.sample_records(SYNC_RECORDS);
                     self.send_to(now, &to, kind, Priority::Background, records, charge.into_iter().collect());
                 }
             }
@@ -589,7 +607,7 @@
         records: Vec<Record>,
         suspicions: Vec<Suspicion>,
     ) {
-        let address = self.members.address(to).and_then(|address| address.parse().ok());
+        let address = self.membership.address_of(to).and_then(|address| address.parse().ok());
         if let Some(address) = address {
             self.send(now, address, kind, need, records, suspicions);
         }
@@ -613,25 +631,26 @@
             return;
         }
         // What is passed on uses what spare messages may use, so that pings and answers always have room.
-        let mut room = self.budget.available(now, Priority::Background).min(MAX_DATAGRAM_BYTES).saturating_sub(size);
+        let mut room =
+            self.budget.available(now, Priority::Background).min(MAX_DATAGRAM_BYTES).saturating_sub(size);
         if !strangers {
             // Neither news of members nor words of streamers may crowd the other out: when many join at once, the
             // former would fill every datagram.
             let mut kept = if self.testimonies_wait() { room / 2 } else { 0 };
             room -= kept;
-            let own = &self.terms.own;
-            self.members.spread(|rumour| {
+            let own = &self.terms.own_key;
+            self.membership.take_updates(|rumour| {
                 let rumour = match rumour {
-                    Rumour::Suspicion(s) if s.signature.is_empty() => {
+                    Update::Suspicion(s) if s.signature.is_empty() => {
                         let mut signed = s.clone();
                         signed.signature = own.sign(s);
-                        Rumour::Suspicion(signed)
+                        Update::Suspicion(signed)
                     }
                     other => other.clone(),
                 };
                 let len = 4 + match &rumour {
-                    Rumour::Record(record) => record.encoded_len(),
-                    Rumour::Suspicion(suspicion) => suspicion.encoded_len(),
+                    Update::Record(record) => record.encoded_len(),
+                    Update::Suspicion(suspicion) => suspicion.encoded_len(),
                 };
                 if len > room {
                     return false;
@@ -639,8 +658,8 @@
                 room -= len;
                 size += len;
                 match rumour {
-                    Rumour::Record(record) => body.records.push(record),
-                    Rumour::Suspicion(suspicion) => body.suspicions.push(suspicion),
+                    Update::Record(record) => body.records.push(record),
+                    Update::Suspicion(suspicion) => body.suspicions.push(suspicion),
                 }
                 true
             });
@@ -650,12 +669,12 @@
         self.seq += 1;
         let mut datagram = Datagram {
             sender: self.terms.name.clone(),
-            boot: self.terms.boot,
+            boot: self.terms.boot_id,
             seq: self.seq,
             body: body.encode_to_vec(),
             signature: Vec::new(),
         };
-        datagram.signature = self.terms.own.sign(&datagram);
+        datagram.signature = self.terms.own_key.sign(&datagram);
         let bytes = datagram.encode_to_vec();
         if !self.budget.try_spend(now, Priority::Reply, bytes.len()) {
             self.dropped.over_budget += 1;
@@ -676,7 +695,7 @@
 
     /// How often each testimony is passed on.
     fn testimony_most(&self) -> u32 {
-        (TESTIMONY_SPREAD * self.members.logarithm()).ceil() as u32
+        (TESTIMONY_SPREAD * self.membership.log2_size()).ceil() as u32
     }
 
     fn testimonies_wait(&self) -> bool {
@@ -703,32 +722,32 @@
     }
 
     /// All of it for operators.
-    pub fn view(&mut self, now: Point) -> View {
+    pub fn view(&mut self, now: Point) -> GossipView {
         let trusts: BTreeMap<String, f64> = self.belief.trust_by_origin(now).into_iter().collect();
-        let members = self.members.peers().map(|(name, peer)| Member {
+        let members = self.membership.peers().map(|(name, peer)| MemberView {
             name: name.clone(),
             address: peer.record.address.clone(),
             incarnation: peer.record.incarnation,
             status: match peer.status {
-                Status::Alive => "alive",
-                Status::Suspect { .. } => "suspect",
-                Status::Dead { .. } => "dead",
-                Status::Left { .. } => "left",
+                PeerStatus::Alive => "alive",
+                PeerStatus::Suspect { .. } => "suspect",
+                PeerStatus::Dead { .. } => "dead",
+                PeerStatus::Left { .. } => "left",
             }
             .to_owned(),
-            heard_s: peer.heard.map(|at| (now - at).seconds()),
+            last_heard_age_s: peer.last_heard.map(|at| (now - at).seconds()),
             trust: trusts.get(name).copied(),
         });
-        View {
+        GossipView {
             name: self.terms.name.clone(),
             members: members.collect(),
             suspicions: self.failure_scores(now),
-            health: self.members.health,
+            health_score: self.membership.health_score,
             bytes_last_s: self.budget.spent_in_last_second(now),
             bytes_per_s: self.terms.bytes_per_s,
             bytes_sent: self.bytes_sent,
             datagrams_sent: self.datagrams_sent,
-            datagrams_taken: self.datagrams_taken,
+            datagrams_accepted: self.datagrams_accepted,
             signatures_checked: self.signatures_checked,
             dropped: self.dropped.clone(),
         }
--- a/crates/lemontide-gossip/src/observations.rs
+++ b/crates/lemontide-gossip/src/observations.rs
@@ -60,9 +60,13 @@
     /// when something happened. Empty where nothing was seen lately.
     pub fn most_relevant(&self, now: Point) -> Vec<Seen> {
         let lately = self.of.iter().map(|(name, tally)| (name, tally.faded(now)));
-        let mut told: Vec<(&String, OutcomeCounts)> = lately.filter(|(_, tally)| tally.attempts >= LEAST).collect();
+        let mut told: Vec<(&String, OutcomeCounts)> =
+            lately.filter(|(_, tally)| tally.attempts >= LEAST).collect();
         told.sort_by(|a, b| {
-            b.1.failures.total_cmp(&a.1.failures).then(b.1.attempts.total_cmp(&a.1.attempts)).then(a.0.cmp(b.0))
+            b.1.failures
+                .total_cmp(&a.1.failures)
+                .then(b.1.attempts.total_cmp(&a.1.attempts))
+                .then(a.0.cmp(b.0))
         });
         let seen = |(name, tally): (&String, OutcomeCounts)| {
             let tries = tally.attempts.round().clamp(1.0, 1e6) as u32;
@@ -85,7 +89,10 @@
             evidence.record_outcome(at(0.0), &format!("s{i:02}"), i != 30);
         }
         let told = evidence.most_relevant(at(0.1));
-        assert_eq!((told.len(), told[0].streamer.as_str(), told[0].failures), (MAX_TESTIMONY_STREAMERS, "s30", 1));
+        assert_eq!(
+            (told.len(), told[0].streamer.as_str(), told[0].failures),
+            (MAX_TESTIMONY_STREAMERS, "s30", 1)
+        );
         assert!((evidence.counts(at(4.0), "s30").failures - 0.5).abs() < 1e-9);
         assert!(evidence.most_relevant(at(20.0)).is_empty());
         (0..2 * STREAMERS_MOST).for_each(|i| evidence.record_outcome(at(30.0), &i.to_string(), true));
--- a/crates/lemontide-gossip/src/testimonies.rs
+++ b/crates/lemontide-gossip/src/testimonies.rs
@@ -2,9 +2,9 @@
 //! each voice's earlier claims agreed with what was then seen here, and by its age; own successes outweigh it. One
 //! voice alone never suffices.
 
-use crate::observations::LocalObservations;
 use crate::authentication::SignerKey;
 use crate::message::Testimony;
+use crate::observations::LocalObservations;
 use lemontide::clock::Point;
 use std::collections::BTreeMap;
 
@@ -86,10 +86,16 @@
 impl TestimonyStore {
     /// Takes a testimony whose signature was verified. For each origin only its latest word counts, so order and
     /// repetition make no difference. `covered` is what the signature covers.
-    pub fn merge(&mut self, now: Point, voice: SignerKey, said: &Testimony, covered: Vec<u8>) -> MergeOutcome {
+    pub fn merge(
+        &mut self,
+        now: Point,
+        voice: SignerKey,
+        said: &Testimony,
+        covered: Vec<u8>,
+    ) -> MergeOutcome {
         if let Some(known) = self.claims.get(&said.origin) {
             if (said.boot, said.seq) == (known.boot, known.seq) && covered != known.said {
-                // Signable twice by the same hand: nothing it says is worth anything for a while.
+                // Signed twice by the same hand: nothing it says is worth anything for a while.
                 self.count(now, voice, 0.0, 20.0);
                 return MergeOutcome::Equivocation;
             }
@@ -219,7 +225,10 @@
         assert!(belief.failure_scores(at(0.1), &LocalObservations::default()).is_empty());
         take(&mut belief, at(0.0), 2, &said(99, 1, &[("s", 9, 9)]));
         assert!(belief.failure_scores(at(0.1), &LocalObservations::default())["s"] > 0.5);
-        assert!(belief.failure_scores(at(31.0), &LocalObservations::default()).is_empty(), "all belief fades");
+        assert!(
+            belief.failure_scores(at(31.0), &LocalObservations::default()).is_empty(),
+            "all belief fades"
+        );
     }
 
     #[test]
@@ -232,7 +241,8 @@
         for origin in 5..8 {
             take(&mut belief, at(0.0), origin, &said(origin, 1, &[("s", 4, 0)]));
         }
-        let weight = belief.failure_scores(at(0.1), &LocalObservations::default()).get("s").copied().unwrap_or(0.0);
+        let weight =
+            belief.failure_scores(at(0.1), &LocalObservations::default()).get("s").copied().unwrap_or(0.0);
         assert!(weight < 0.3, "{weight}");
         // And what is seen here ends it: own successes outweigh, and the liars' trust is spent.
         let mut own = LocalObservations::default();
--- a/crates/lemontide-gossip/tests/explore.rs
+++ b/crates/lemontide-gossip/tests/explore.rs
@@ -2,7 +2,7 @@
 //! fair stretch in which all must find each other again.
 
 use lemontide::clock::{Point, Span};
-use lemontide_gossip::membership::{Act, Membership, Pace, Rumour, Status};
+use lemontide_gossip::membership::{Action, Membership, PeerStatus, Timing, Update};
 use lemontide_gossip::message::{Record, Suspicion};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::HashSet;
@@ -42,28 +42,28 @@
 impl Case {
     fn new(count: usize, drops: u32) -> Case {
         let now = Point::at(1000.0);
-        let node = |i: usize| Membership::new(now, Pace::default(), NAMES[i], NAMES[i], i as u64 + 1);
+        let node = |i: usize| Membership::new(now, Timing::default(), NAMES[i], NAMES[i], i as u64 + 1);
         let mut case = Case { now, nodes: (0..count).map(node).collect(), letters: Vec::new(), drops };
-        let records: Vec<Record> = case.nodes.iter().map(|node| node.record.clone()).collect();
+        let records: Vec<Record> = case.nodes.iter().map(|node| node.own_record.clone()).collect();
         for node in &mut case.nodes {
-            node.signed(Vec::new());
-            records.iter().for_each(|record| node.learn(now, record));
+            node.set_signature(Vec::new());
+            records.iter().for_each(|record| node.on_record(now, record));
             // They have known each other for long: nothing is left to be passed on.
-            (0..40).for_each(|_| node.spread(|_| true));
+            (0..40).for_each(|_| node.take_updates(|_| true));
         }
         case
     }
 
     fn collect(&mut self, at: usize) {
-        if self.nodes[at].unsigned {
-            self.nodes[at].signed(Vec::new());
+        if self.nodes[at].needs_signature {
+            self.nodes[at].set_signature(Vec::new());
         }
-        for act in std::mem::take(&mut self.nodes[at].acts) {
+        for act in std::mem::take(&mut self.nodes[at].actions) {
             let (to, word) = match act {
-                Act::Ping { to, nonce } => (to, Word::Ping(nonce)),
-                Act::Ack { to, nonce } => (to, Word::Ack(nonce)),
-                Act::PingReq { to, target, nonce } => (to, Word::PingReq(target, nonce)),
-                Act::Sync { to } => (to, Word::Sync(true)),
+                Action::Ping { to, nonce } => (to, Word::Ping(nonce)),
+                Action::Ack { to, nonce } => (to, Word::Ack(nonce)),
+                Action::PingReq { to, target, nonce } => (to, Word::PingReq(target, nonce)),
+                Action::Sync { to } => (to, Word::Sync(true)),
             };
             self.post(at, place(&to), word);
         }
@@ -73,13 +73,13 @@
         let node = &mut self.nodes[from];
         let mut records = Vec::new();
         if matches!(word, Word::Sync(_)) {
-            records.extend(node.some_records(4));
+            records.extend(node.sample_records(4));
         }
-        let mut suspicions: Vec<Suspicion> = node.charge(NAMES[to]).into_iter().collect();
-        node.spread(|rumour| {
+        let mut suspicions: Vec<Suspicion> = node.suspicion_about(NAMES[to]).into_iter().collect();
+        node.take_updates(|rumour| {
             match rumour {
-                Rumour::Record(record) => records.push(record.clone()),
-                Rumour::Suspicion(suspicion) => suspicions.push(suspicion.clone()),
+                Update::Record(record) => records.push(record.clone()),
+                Update::Suspicion(suspicion) => suspicions.push(suspicion.clone()),
             }
             true
         });
@@ -90,13 +90,13 @@
         let letter = self.letters.remove(i);
         let (now, from) = (self.now, NAMES[letter.from]);
         let node = &mut self.nodes[letter.to];
-        letter.records.iter().for_each(|record| node.learn(now, record));
-        node.heard(now, from);
-        letter.suspicions.iter().for_each(|suspicion| node.accused(now, suspicion));
+        letter.records.iter().for_each(|record| node.on_record(now, record));
+        node.on_message_from(now, from);
+        letter.suspicions.iter().for_each(|suspicion| node.on_suspicion(now, suspicion));
         match letter.word {
-            Word::Ping(nonce) => node.ping(from, nonce),
-            Word::Ack(nonce) => node.ack(from, nonce),
-            Word::PingReq(target, nonce) => node.ping_req(now, from, &target, nonce),
+            Word::Ping(nonce) => node.on_ping(from, nonce),
+            Word::Ack(nonce) => node.on_ack(from, nonce),
+            Word::PingReq(target, nonce) => node.on_ping_req(now, from, &target, nonce),
             Word::Sync(true) => self.post(letter.to, letter.from, Word::Sync(false)),
             Word::Sync(false) => {}
         }
@@ -121,7 +121,7 @@
     /// What must hold in every step, against the one before.
     fn holds_after(&self, before: &Case) {
         for (node, was) in self.nodes.iter().zip(&before.nodes) {
-            assert!(node.record.incarnation >= was.record.incarnation, "an incarnation fell");
+            assert!(node.own_record.incarnation >= was.own_record.incarnation, "an incarnation fell");
             for (name, peer) in node.peers() {
                 let was = was.peer(name).map_or(0, |peer| peer.record.incarnation);
                 assert!(peer.record.incarnation >= was, "what is known of an incarnation fell");
@@ -135,7 +135,7 @@
                             incarnation: peer.record.incarnation - 1,
                             signature: Vec::new(),
                         };
-                        again.accused(self.now, &old);
+                        again.on_suspicion(self.now, &old);
                     }
                     let status = &again.peer(name).expect("it is there").status;
                     assert_eq!(*status, peer.status, "an answered suspicion came back");
@@ -154,9 +154,10 @@
         }
         for node in &self.nodes {
             for other in &self.nodes {
-                let status = node.peer(&other.record.name).map(|peer| &peer.status);
-                let fine = node.record.name == other.record.name || status == Some(&Status::Alive);
-                assert!(fine, "{} counts {} as {status:?}", node.record.name, other.record.name);
+                let status = node.peer(&other.own_record.name).map(|peer| &peer.status);
+                let fine =
+                    node.own_record.name == other.own_record.name || status == Some(&PeerStatus::Alive);
+                assert!(fine, "{} counts {} as {status:?}", node.own_record.name, other.own_record.name);
             }
         }
     }
@@ -236,12 +237,12 @@
             case.letters.clear();
             case.pass(Span::of_millis(250));
         }
-        let dead = |status: &Status| matches!(status, Status::Dead { .. });
+        let dead = |status: &PeerStatus| matches!(status, PeerStatus::Dead { .. });
         assert!(case.nodes[0].peer("b").is_some_and(|peer| dead(&peer.status)));
         if restarts {
-            let mut fresh = Membership::new(case.now, Pace::default(), "b", "b", 99);
-            fresh.signed(Vec::new());
-            fresh.learn(case.now, &case.nodes[0].record.clone());
+            let mut fresh = Membership::new(case.now, Timing::default(), "b", "b", 99);
+            fresh.set_signature(Vec::new());
+            fresh.on_record(case.now, &case.nodes[0].own_record.clone());
             case.nodes[1] = fresh;
         }
         case.heals();
--- a/crates/lemontide-standin/src/liar.rs
+++ b/crates/lemontide-standin/src/liar.rs
@@ -7,10 +7,10 @@
 use ipnet::IpNet;
 use lemontide::clock::Point;
 use lemontide_front::settings::Gossip;
-use lemontide_gossip::authentication::{AllowedNetworks, OwnKey, Keyring};
-use lemontide_gossip::membership::Pace;
+use lemontide_gossip::authentication::{AllowedNetworks, Keyring, OwnKey};
+use lemontide_gossip::membership::Timing;
 use lemontide_gossip::message::{Seen, MAX_DATAGRAM_BYTES};
-use lemontide_gossip::node::{Node, Terms};
+use lemontide_gossip::node::{Node, NodeConfig};
 use lemontide_wire::clock::Clock;
 use std::collections::BTreeMap;
 use std::io;
@@ -52,7 +52,7 @@
         for number in 0..=controllers {
             let at = ([127, 0, 2, (number + 1).min(250) as u8], 0);
             addresses.push(UdpSocket::bind(SocketAddr::from(at))?.local_addr()?);
-            listed.insert(name(number), vec![hex(&own(number).public())]);
+            listed.insert(name(number), vec![hex(&own(number).public_key())]);
             let secret = crate::town::secret(number);
             replace(&folder.join(format!("secret-{number}")), hex(&secret).as_bytes())?;
         }
@@ -88,21 +88,21 @@
         let number = self.addresses.len() - 1;
         let mut ring = Keyring::default();
         for i in 0..self.addresses.len() {
-            ring.add(&name(i), &own(i).public()).map_err(io::Error::other)?;
+            ring.add(&name(i), &own(i).public_key()).map_err(io::Error::other)?;
         }
-        let terms = Terms {
+        let terms = NodeConfig {
             name: name(number),
             address: self.doors[number],
             number: None,
-            own: OwnKey::new(&crate::town::secret(number)),
-            ring,
-            networks: AllowedNetworks::new(&loopback()),
+            own_key: OwnKey::new(&crate::town::secret(number)),
+            keyring: ring,
+            allowed_networks: AllowedNetworks::new(&loopback()),
             seeds: self.doors.iter().take(3).copied().collect(),
-            pace: Pace::default(),
+            timing: Timing::default(),
             // It keeps to no budget that honours anybody.
             bytes_per_s: 1 << 20,
-            boot: 1,
-            seed: 666,
+            boot_id: 1,
+            rng_seed: 666,
         };
         let socket = tokio::net::UdpSocket::bind(self.addresses[number]).await?;
         Ok((Node::new(Point::at(clock.now()), terms), socket))
@@ -125,10 +125,12 @@
         node.tick(now());
         round += 1;
         let named = streamers.iter().cycle().skip(round * LIE / 2).take(LIE.min(streamers.len()));
-        node.lie(named.map(|s| Seen { streamer: s.clone(), tries: 100, failures: 100 }).collect());
-        let members: Vec<String> = node.members.peers().map(|(name, _)| name.clone()).collect();
+        node.publish_false_testimony(
+            named.map(|s| Seen { streamer: s.clone(), tries: 100, failures: 100 }).collect(),
+        );
+        let members: Vec<String> = node.membership.peers().map(|(name, _)| name.clone()).collect();
         if let Some(victim) = members.get(round % members.len().max(1)) {
-            node.slander(now(), victim);
+            node.send_false_suspicion(now(), victim);
         }
         for (to, datagram) in std::mem::take(&mut node.outbox) {
             let _ = socket.try_send_to(&datagram, to);
--- a/crates/lemontide-standin/src/swarm.rs
+++ b/crates/lemontide-standin/src/swarm.rs
@@ -414,7 +414,7 @@
         let Some(town) = &mut self.town else { return 1.0 };
         let (mut right, mut all) = (0, 0);
         for me in (0..up.len()).filter(|me| up[*me]) {
-            let numbers = town.with(me, |node, _| node.numbers());
+            let numbers = town.with(me, |node, _| node.gone_since_by_number());
             let lives = |other: usize| matches!(numbers.get(&(other as u32)), Some(None));
             for other in (0..up.len()).filter(|other| *other != me) {
                 all += 1;
@@ -510,7 +510,7 @@
             town.pass(HAND_OVER);
             for me in 0..self.instances.len() {
                 if self.instances[me].is_some() {
-                    let numbers = town.with(me, |node, _| node.numbers());
+                    let numbers = town.with(me, |node, _| node.gone_since_by_number());
                     self.with(me, |driver, now| driver.fleet(now, &numbers));
                 }
             }
--- a/crates/lemontide-standin/src/town.rs
+++ b/crates/lemontide-standin/src/town.rs
@@ -1,10 +1,10 @@
 //! A town of gossiping instances in virtual time: datagrams with delay, loss and partitions between real cores.
 
 use lemontide::clock::{Point, Span};
-use lemontide_gossip::authentication::{AllowedNetworks, OwnKey, Keyring};
-use lemontide_gossip::membership::Pace;
+use lemontide_gossip::authentication::{AllowedNetworks, Keyring, OwnKey};
+use lemontide_gossip::membership::Timing;
 use lemontide_gossip::message::Record;
-use lemontide_gossip::node::{Node, Terms};
+use lemontide_gossip::node::{Node, NodeConfig};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -108,19 +108,19 @@
     SocketAddr::from(([127, 1, (i / 250) as u8, (i % 250 + 1) as u8], 7000))
 }
 
-fn terms(plan: &Plan, ring: &Keyring, i: usize) -> Terms {
-    Terms {
+fn terms(plan: &Plan, ring: &Keyring, i: usize) -> NodeConfig {
+    NodeConfig {
         name: name(i),
         address: address(i),
         number: Some(i as u32),
-        own: own(i),
-        ring: ring.clone(),
-        networks: AllowedNetworks::new(&["127.0.0.0/8".parse().unwrap_or_default()]),
+        own_key: own(i),
+        keyring: ring.clone(),
+        allowed_networks: AllowedNetworks::new(&["127.0.0.0/8".parse().unwrap_or_default()]),
         seeds: (0..3.min(plan.instances)).map(address).collect(),
-        pace: Pace::default(),
+        timing: Timing::default(),
         bytes_per_s: plan.bytes_per_s,
-        boot: 1,
-        seed: plan.seed.wrapping_mul(1000) + i as u64,
+        boot_id: 1,
+        rng_seed: plan.seed.wrapping_mul(1000) + i as u64,
     }
 }
 
@@ -129,7 +129,7 @@
         let now = Point::at(100_000.0);
         let mut ring = Keyring::default();
         for i in 0..plan.instances {
-            ring.add(&name(i), &own(i).public()).unwrap_or_default();
+            ring.add(&name(i), &own(i).public_key()).unwrap_or_default();
         }
         let mut chance = StdRng::seed_from_u64(plan.seed);
         let skew: Vec<Span> = (0..plan.instances)
@@ -156,7 +156,7 @@
             plan,
         };
         if town.plan.acquainted {
-            let records: Vec<Record> = town.nodes.iter_mut().map(Node::own_record).collect();
+            let records: Vec<Record> = town.nodes.iter_mut().map(Node::signed_own_record).collect();
             let boots: BTreeMap<String, u64> = (0..count).map(|i| (name(i), 1)).collect();
             for i in 0..count {
                 let others: Vec<Record> = records.iter().filter(|r| r.name != name(i)).cloned().collect();
@@ -176,7 +176,7 @@
     pub fn restart(&mut self, i: usize, boot: u64) {
         let plan = Plan { seed: self.plan.seed + boot, ..self.plan.clone() };
         let mut node = Node::new(self.local(i), terms(&plan, &self.ring, i));
-        node.set_boot(boot);
+        node.set_boot_id(boot);
         self.nodes[i] = node;
         self.up[i] = true;
         self.wakes.push(Reverse((self.now, i)));
@@ -184,9 +184,9 @@
 
     /// The same, under another number in the fleet.
     pub fn renumber(&mut self, i: usize, number: u32) {
-        let terms = Terms { number: Some(number), ..terms(&self.plan, &self.ring, i) };
+        let terms = NodeConfig { number: Some(number), ..terms(&self.plan, &self.ring, i) };
         self.nodes[i] = Node::new(self.local(i), terms);
-        self.nodes[i].set_boot(2);
+        self.nodes[i].set_boot_id(2);
         self.wakes.push(Reverse((self.now, i)));
     }
 
@@ -246,7 +246,7 @@
                     let now = self.local(i);
                     self.nodes[i].tick(now);
                     self.post(i);
-                    let next = self.nodes[i].next() - now;
+                    let next = self.nodes[i].next_tick_at() - now;
                     let next = self.now + next.max(Span::of_millis(10));
                     self.wakes.push(Reverse((next, i)));
                 }
@@ -259,7 +259,7 @@
     pub fn acquaintance(&self) -> f64 {
         let running: Vec<usize> = (0..self.nodes.len()).filter(|i| self.up[*i]).collect();
         let knows =
-            |i: usize, j: usize| self.nodes[i].members.peer(&name(j)).is_some_and(|peer| peer.lives());
+            |i: usize, j: usize| self.nodes[i].membership.peer(&name(j)).is_some_and(|peer| peer.is_live());
         let pairs =
             running.iter().flat_map(|i| running.iter().map(move |j| (*i, *j))).filter(|(i, j)| i != j);
         let (known, all) =
--- a/crates/lemontide-standin/tests/gossip.rs
+++ b/crates/lemontide-standin/tests/gossip.rs
@@ -77,7 +77,7 @@
     for round in 0..6 {
         let all_dead: Vec<Seen> =
             (0..12).map(|s| seen(&format!("s{s}"), 50, if s == 3 { 0 } else { 50 })).collect();
-        town.with(19, |node, _| node.lie(all_dead));
+        town.with(19, |node, _| node.publish_false_testimony(all_dead));
         // s3, s4 and s5 are the rack; the liar calls s3 healthy.
         work(&mut town, 2, 12, if round >= 2 { &[3, 4, 5] } else { &[] }, 0..19);
     }
@@ -97,7 +97,7 @@
     for _ in 0..6 {
         for liar in 15..20 {
             let all_dead = (0..8).map(|s| seen(&format!("s{s}"), 50, 50)).collect();
-            town.with(liar, |node, _| node.lie(all_dead));
+            town.with(liar, |node, _| node.publish_false_testimony(all_dead));
         }
         work(&mut town, 2, 8, &[], 0..15);
     }
@@ -113,7 +113,7 @@
     let mut town = town(20);
     for _ in 0..60 {
         for victim in 0..19 {
-            town.with(19, |node, now| node.slander(now, &name(victim)));
+            town.with(19, |node, now| node.send_false_suspicion(now, &name(victim)));
         }
         town.pass(0.5);
     }
@@ -157,9 +157,9 @@
     town.throw(7, 0, Span::ZERO, vec![0; 4000]);
     town.pass(0.1);
     let dropped = town.nodes[0].dropped.clone();
-    assert_eq!((dropped.unsigned, dropped.forged, dropped.replayed), (1, 2, 1), "{dropped:?}");
+    assert_eq!((dropped.bad_signature, dropped.forged, dropped.replayed), (1, 2, 1), "{dropped:?}");
     assert_eq!((dropped.unknown_sender, dropped.malformed), (1, 2), "{dropped:?}");
-    assert_eq!(town.nodes[0].members.peer("i3").map(|p| p.record.incarnation), Some(0));
+    assert_eq!(town.nodes[0].membership.peer("i3").map(|p| p.record.incarnation), Some(0));
     assert!(town.with(0, |node, now| node.failure_scores(now)).is_empty());
 }
 
@@ -178,7 +178,7 @@
     }
     let spent = town.with(0, checked) - before;
     assert!(spent < 2500, "{spent} signatures checked of 10,000 datagrams");
-    assert!(town.nodes[0].dropped.rate > 7000, "{:?}", town.nodes[0].dropped);
+    assert!(town.nodes[0].dropped.rate_limited > 7000, "{:?}", town.nodes[0].dropped);
     assert!(town.most_bytes() <= town.plan.bytes_per_s);
     assert_eq!(town.acquaintance(), 1.0);
 }
@@ -186,7 +186,7 @@
 #[test]
 fn who_equivocates_loses_its_voice() {
     let mut town = town(8);
-    town.with(7, |node, _| node.lie(vec![seen("s1", 9, 9)]));
+    town.with(7, |node, _| node.publish_false_testimony(vec![seen("s1", 9, 9)]));
     town.pass(3.0);
     let other = {
         let mut said = Testimony {
@@ -225,7 +225,10 @@
     assert!(knowing >= 7, "{knowing} of 9 heard of it");
     town.pass(60.0);
     for i in (0..16).filter(|i| !(5..=6).contains(i)) {
-        assert!(town.nodes[i].members.peer("i5").is_none_or(|peer| !peer.lives()), "i{i} still counts on i5");
+        assert!(
+            town.nodes[i].membership.peer("i5").is_none_or(|peer| !peer.is_live()),
+            "i{i} still counts on i5"
+        );
     }
     assert_eq!(town.acquaintance(), 1.0);
 }
@@ -258,8 +261,10 @@
     town.deaf.push((1, 2, 1.0));
     for _ in 0..12 {
         town.pass(5.0);
-        let dead =
-            (0..10).flat_map(|i| town.nodes[i].members.peers()).filter(|(_, peer)| !peer.lives()).count();
+        let dead = (0..10)
+            .flat_map(|i| town.nodes[i].membership.peers())
+            .filter(|(_, peer)| !peer.is_live())
+            .count();
         assert!(dead == 0, "{dead} burials");
     }
 }
@@ -268,10 +273,10 @@
 fn a_restart_with_an_old_incarnation_comes_back_and_old_words_do_not() {
     let mut town = town(10);
     for _ in 0..6 {
-        (1..4).for_each(|i| town.with(i, |node, now| node.slander(now, "i9")));
+        (1..4).for_each(|i| town.with(i, |node, now| node.send_false_suspicion(now, "i9")));
         town.pass(1.0);
     }
-    let known = town.nodes[0].members.peer("i9").map_or(0, |peer| peer.record.incarnation);
+    let known = town.nodes[0].membership.peer("i9").map_or(0, |peer| peer.record.incarnation);
     assert!(known > 0, "it answered slander by new incarnations");
     town.with(9, |node, now| (0..4).for_each(|_| node.record_outcome(now, "s1", false)));
     town.pass(2.0);
@@ -280,7 +285,7 @@
     town.restart(9, 2);
     town.pass(20.0);
     assert_eq!(town.acquaintance(), 1.0);
-    let now = town.nodes[0].members.peer("i9").map_or(0, |peer| peer.record.incarnation);
+    let now = town.nodes[0].membership.peer("i9").map_or(0, |peer| peer.record.incarnation);
     assert!(now >= known, "{now} after {known}");
     // What its earlier process said is a replay by now.
     let before = town.nodes[0].dropped.replayed;
@@ -311,11 +316,11 @@
         let mut ring = Keyring::default();
         for i in 0..6 {
             if i != 5 || with_old {
-                ring.add(&name(i), &own(i).public()).expect("a key");
+                ring.add(&name(i), &own(i).public_key()).expect("a key");
             }
         }
         if with_new {
-            ring.add(&name(5), &own(50).public()).expect("a key");
+            ring.add(&name(5), &own(50).public_key()).expect("a key");
         }
         ring
     };
@@ -331,11 +336,11 @@
     });
     town.pass(20.0);
     assert_eq!(town.acquaintance(), 1.0);
-    assert_eq!(town.nodes[0].dropped.unsigned, 0);
+    assert_eq!(town.nodes[0].dropped.bad_signature, 0);
     // A key that was taken out without a successor ends the membership.
     (0..5).for_each(|i| town.with(i, |node, _| node.set_keys(own(i), ring(false, false))));
     town.pass(60.0);
-    assert!((0..5).all(|i| town.nodes[i].members.peer("i5").is_none_or(|peer| !peer.lives())));
+    assert!((0..5).all(|i| town.nodes[i].membership.peer("i5").is_none_or(|peer| !peer.is_live())));
 }
 
 #[test]
@@ -345,16 +350,16 @@
     town.pass(8.0);
     town.up[0] = true;
     town.with(0, |node, now| node.tick(now));
-    let suspects = town.nodes[0].members.peers().filter(|(_, peer)| !peer.lives()).count();
+    let suspects = town.nodes[0].membership.peers().filter(|(_, peer)| !peer.is_live()).count();
     assert_eq!(suspects, 0);
     town.pass(1.0);
-    assert!(town.nodes[0].members.health > 0, "it doubts itself first");
+    assert!(town.nodes[0].membership.health_score > 0, "it doubts itself first");
 }
 
 #[test]
 fn numbers_tell_who_lives_who_died_and_who_left() {
     let mut town = town(6);
-    let numbers = |town: &mut Town, i: usize| town.with(i, |node, _| node.numbers());
+    let numbers = |town: &mut Town, i: usize| town.with(i, |node, _| node.gone_since_by_number());
     assert!(numbers(&mut town, 0).values().all(Option::is_none) && numbers(&mut town, 0).len() == 5);
     town.with(4, |node, now| node.leave(now));
     town.pass(2.0);
@@ -379,7 +384,7 @@
     town.renumber(5, 17);
     town.pass(20.0);
     for i in 0..5 {
-        let numbers = town.with(i, |node, _| node.numbers());
+        let numbers = town.with(i, |node, _| node.gone_since_by_number());
         assert_eq!((numbers.get(&5), numbers.get(&17)), (None, Some(&None)), "as {i} sees it");
     }
 }
