--- a/crates/lemontide-gossip/src/budget.rs
+++ b/crates/lemontide-gossip/src/budget.rs
@@ -1,56 +1,58 @@
-//! Bounds on what goes out and comes in: bytes and messages in any second, whatever the fleet's size or a flood.
+//! Limits on what is sent and received in one second, whatever the size of the fleet or of a flood.
 
 use lemontide::clock::{Point, Span};
 use std::collections::{HashMap, VecDeque};
 
-const SECOND: Span = Span::of_millis(1000);
-/// Peers whose rate is counted at a time; more than that are not let in until some fall silent.
-const PEERS_MOST: usize = 4096;
+const WINDOW: Span = Span::of_millis(1000);
+/// Most senders whose rate is counted at a time. Further ones are dropped until a counted one was silent for a second.
+const MAX_TRACKED_SENDERS: usize = 4096;
 
-/// Bytes that may leave within any second. Some of it is kept for what must not wait.
+/// Limits the bytes that are sent within any second (a sliding window). A part is reserved for higher priorities.
 #[derive(Clone, Debug)]
 pub struct ByteBudget {
-    most: usize,
+    limit: usize,
     sent: VecDeque<(Point, usize)>,
     sum: usize,
 }
 
-/// How much a message matters when there is little left.
+/// Priority of an outgoing message when little of the budget is left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// May wait or be left out: what is passed on, anti-entropy.
+    /// Can be delayed or omitted: updates that are passed on, anti-entropy syncs.
     Background,
-    /// Keeps the protocol going: pings.
+    /// Needed for the protocol to go on: pings.
     Protocol,
-    /// An answer that somebody waits for.
+    /// A reply that a peer waits for.
     Reply,
 }
 
 impl ByteBudget {
-    pub fn new(most: usize) -> ByteBudget {
-        ByteBudget { most, sent: VecDeque::new(), sum: 0 }
+    /// A budget of so many bytes in any second.
+    pub fn new(limit: usize) -> ByteBudget {
+        ByteBudget { limit, sent: VecDeque::new(), sum: 0 }
     }
 
-    /// What is left of the last second for this need: spare messages may use two thirds, plain ones five sixths.
-    pub fn available(&mut self, now: Point, need: Priority) -> usize {
+    /// Bytes that may still be sent now at this priority: background messages may use two thirds of the budget,
+    /// protocol messages five sixths, replies all of it.
+    pub fn available(&mut self, now: Point, priority: Priority) -> usize {
         while let Some((at, bytes)) = self.sent.front().copied() {
-            if now - at < SECOND {
+            if now - at < WINDOW {
                 break;
             }
             self.sent.pop_front();
             self.sum -= bytes;
         }
-        let most = match need {
-            Priority::Background => self.most * 2 / 3,
-            Priority::Protocol => self.most * 5 / 6,
-            Priority::Reply => self.most,
+        let limit = match priority {
+            Priority::Background => self.limit * 2 / 3,
+            Priority::Protocol => self.limit * 5 / 6,
+            Priority::Reply => self.limit,
         };
-        most.saturating_sub(self.sum)
+        limit.saturating_sub(self.sum)
     }
 
-    /// Takes so many bytes, or refuses where they would be more than is left.
-    pub fn try_spend(&mut self, now: Point, need: Priority, bytes: usize) -> bool {
-        let fits = bytes <= self.available(now, need);
+    /// Spends so many bytes if they are available at this priority, and returns whether they were.
+    pub fn try_spend(&mut self, now: Point, priority: Priority, bytes: usize) -> bool {
+        let fits = bytes <= self.available(now, priority);
         if fits {
             self.sent.push_back((now, bytes));
             self.sum += bytes;
@@ -58,41 +60,44 @@
         fits
     }
 
-    /// Bytes that left within the last second.
+    /// Bytes that were sent within the last second.
     pub fn spent_in_last_second(&mut self, now: Point) -> usize {
         self.available(now, Priority::Reply);
         self.sum
     }
 }
 
-/// Messages that each sender may send within any second; the rest is dropped before work is spent on it.
+/// Limits the messages that are accepted from each sender in one second, counted from its first message. The rest is
+/// dropped before work is spent on it.
 #[derive(Clone, Debug)]
 pub struct RateLimiter<K> {
-    most: u32,
+    limit: u32,
     counts: HashMap<K, (Point, u32)>,
 }
 
 impl<K: std::hash::Hash + Eq + Clone> RateLimiter<K> {
-    pub fn new(most: u32) -> RateLimiter<K> {
-        RateLimiter { most, counts: HashMap::new() }
+    /// A limit of so many messages a second for each sender.
+    pub fn new(limit: u32) -> RateLimiter<K> {
+        RateLimiter { limit, counts: HashMap::new() }
     }
 
-    pub fn allow(&mut self, now: Point, who: &K) -> bool {
-        if let Some((since, count)) = self.counts.get_mut(who) {
-            if now - *since >= SECOND {
-                (*since, *count) = (now, 0);
+    /// Counts a message of this sender and returns whether it is within the limit.
+    pub fn allow(&mut self, now: Point, sender: &K) -> bool {
+        if let Some((window_start, count)) = self.counts.get_mut(sender) {
+            if now - *window_start >= WINDOW {
+                (*window_start, *count) = (now, 0);
             }
             *count += 1;
-            return *count <= self.most;
+            return *count <= self.limit;
         }
-        if self.counts.len() >= PEERS_MOST {
-            self.counts.retain(|_, (since, _)| now - *since < SECOND);
-            if self.counts.len() >= PEERS_MOST {
+        if self.counts.len() >= MAX_TRACKED_SENDERS {
+            self.counts.retain(|_, (window_start, _)| now - *window_start < WINDOW);
+            if self.counts.len() >= MAX_TRACKED_SENDERS {
                 return false;
             }
         }
-        self.counts.insert(who.clone(), (now, 1));
-        self.most > 0
+        self.counts.insert(sender.clone(), (now, 1));
+        self.limit > 0
     }
 }
 
@@ -103,29 +108,29 @@
 
     proptest! {
         #[test]
-        fn no_second_carries_more_than_its_bytes(sends in proptest::collection::vec((0u32..400, 1usize..900, 0u8..3), 1..200)) {
-            let mut bytes = ByteBudget::new(2000);
+        fn no_second_exceeds_the_byte_budget(sends in proptest::collection::vec((0u32..400, 1usize..900, 0u8..3), 1..200)) {
+            let mut budget = ByteBudget::new(2000);
             let (mut now, mut sent) = (Point::at(1000.0), Vec::new());
-            for (ms, size, need) in sends {
+            for (ms, size, priority) in sends {
                 now = now + Span::of_millis(i64::from(ms));
-                let need = [Priority::Background, Priority::Protocol, Priority::Reply][usize::from(need)];
-                if bytes.try_spend(now, need, size) {
+                let priority = [Priority::Background, Priority::Protocol, Priority::Reply][usize::from(priority)];
+                if budget.try_spend(now, priority, size) {
                     sent.push((now, size));
                 }
-                let window = sent.iter().filter(|(at, _)| now - *at < SECOND).map(|(_, size)| size).sum::<usize>();
-                prop_assert!(window <= 2000, "{window} bytes in one second");
-                prop_assert_eq!(window, bytes.spent_in_last_second(now));
+                let in_window = sent.iter().filter(|(at, _)| now - *at < WINDOW).map(|(_, size)| size).sum::<usize>();
+                prop_assert!(in_window <= 2000, "{in_window} bytes in one second");
+                prop_assert_eq!(in_window, budget.spent_in_last_second(now));
             }
         }
     }
 
     #[test]
-    fn a_flood_of_senders_is_bounded_and_passes() {
-        let mut rates = RateLimiter::new(2);
+    fn a_flood_of_senders_is_bounded_and_new_senders_are_allowed_after_it() {
+        let mut limiter = RateLimiter::new(2);
         let at = |s: f64| Point::at(1000.0 + s);
-        let admitted = (0..10_000u32).filter(|who| rates.allow(at(0.0), who)).count();
-        assert_eq!(admitted, PEERS_MOST);
-        assert!(rates.allow(at(0.5), &1) && !rates.allow(at(0.6), &1));
-        assert!(rates.allow(at(1.2), &9_999_999), "the flood is over");
+        let allowed = (0..10_000u32).filter(|sender| limiter.allow(at(0.0), sender)).count();
+        assert_eq!(allowed, MAX_TRACKED_SENDERS);
+        assert!(limiter.allow(at(0.5), &1) && !limiter.allow(at(0.6), &1));
+        assert!(limiter.allow(at(1.2), &9_999_999), "the flood is over");
     }
 }
--- a/crates/lemontide-gossip/src/lib.rs
+++ b/crates/lemontide-gossip/src/lib.rs
@@ -1,8 +1,13 @@
-//! Gossip for installations whose controllers may speak with each other: who is there, and what each saw of the
-//! streamers itself. No I/O: time, chance and bytes come as arguments, datagrams go out as a list.
+//! Gossip between controllers: SWIM-like membership and signed testimonies about streamers. The crate does no I/O:
+//! time, random seeds and received bytes come in as arguments, datagrams to send go out as a list.
 //!
-//! `membership` finds out who lives, `evidence` keeps what was seen, `belief` weighs what others say, `authentication` lets
-//! in who may speak and keeps out replays, `budget` bounds the bytes, `node` ties them together.
+//! - `membership`: which members are alive (probes, suspicion, incarnations)
+//! - `observations`: outcomes of attempts that this instance saw itself
+//! - `testimonies`: what other members report about streamers, weighted by trust
+//! - `authentication`: keyring, allowed networks and replay protection
+//! - `budget`: limits on bytes sent and datagrams received
+//! - `message`: encoding, size limits and signed bytes of the messages
+//! - `node`: one instance's gossip, built from all of these
 
 pub mod authentication;
 pub mod budget;
--- a/crates/lemontide-gossip/src/message.rs
+++ b/crates/lemontide-gossip/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages, their sizes, and what of them is signed.
+//! The gossip messages: size limits, decoding with validation, and the bytes that signatures cover.
 
 use prost::Message;
 
@@ -9,31 +9,34 @@
 pub use body::Kind;
 pub use generated::*;
 
-/// Largest datagram that is sent or read, in bytes: one frame of an ordinary network.
+/// Largest datagram that is sent or accepted: it fits in one frame of an ordinary network.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// Longest name of an instance or streamer.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Streamers in one testimony at most.
+/// Most streamers in one testimony.
 pub const MAX_TESTIMONY_STREAMERS: usize = 16;
 
-/// What the signature of each kind covers, each with a tag of its own so that none can stand for another.
+/// A message that can be signed.
 pub trait Signable {
+    /// The bytes that the signature covers. They begin with a tag of the message type, so that a signature of one
+    /// type is not valid for another.
     fn signed_bytes(&self) -> Vec<u8>;
 }
 
-fn fields(tag: &str, parts: &[&[u8]]) -> Vec<u8> {
-    let mut covered = tag.as_bytes().to_vec();
-    for part in parts {
-        covered.extend_from_slice(&(part.len() as u32).to_be_bytes());
-        covered.extend_from_slice(part);
+/// Joins a tag and length-prefixed fields.
+fn tagged_fields(tag: &str, fields: &[&[u8]]) -> Vec<u8> {
+    let mut bytes = tag.as_bytes().to_vec();
+    for field in fields {
+        bytes.extend_from_slice(&(field.len() as u32).to_be_bytes());
+        bytes.extend_from_slice(field);
     }
-    covered
+    bytes
 }
 
 impl Signable for Datagram {
     fn signed_bytes(&self) -> Vec<u8> {
         let (boot, seq) = (self.boot.to_be_bytes(), self.seq.to_be_bytes());
-        fields("lemontide datagram", &[self.sender.as_bytes(), &boot, &seq, &self.body])
+        tagged_fields("lemontide datagram", &[self.sender.as_bytes(), &boot, &seq, &self.body])
     }
 }
 
@@ -41,74 +44,59 @@
     fn signed_bytes(&self) -> Vec<u8> {
         let (incarnation, left) = (self.incarnation.to_be_bytes(), [u8::from(self.left)]);
         let number = self.number.map(u32::to_be_bytes);
-        let parts = [self.name.as_bytes(), self.address.as_bytes(), &incarnation[..], &left[..]];
-        // Without a number it is signed as before there were any.
-        let parts: Vec<&[u8]> = parts.into_iter().chain(number.iter().map(|n| &n[..])).collect();
-        fields("lemontide record", &parts)
+        let fields = [self.name.as_bytes(), self.address.as_bytes(), &incarnation[..], &left[..]];
+        // A record without a number is signed as in versions that had no numbers.
+        let fields: Vec<&[u8]> = fields.into_iter().chain(number.iter().map(|n| &n[..])).collect();
+        tagged_fields("lemontide record", &fields)
     }
 }
 
 impl Signable for Suspicion {
     fn signed_bytes(&self) -> Vec<u8> {
-        let parts = [self.accuser.as_bytes(), self.name.as_bytes(), &self.incarnation.to_be_bytes()];
-        fields("lemontide suspicion", &parts)
+        let fields = [self.accuser.as_bytes(), self.name.as_bytes(), &self.incarnation.to_be_bytes()];
+        tagged_fields("lemontide suspicion", &fields)
     }
 }
 
 impl Signable for Testimony {
     fn signed_bytes(&self) -> Vec<u8> {
         let unsigned = Testimony { signature: Vec::new(), ..self.clone() };
-        fields("lemontide testimony", &[&unsigned.encode_to_vec()])
+        tagged_fields("lemontide testimony", &[&unsigned.encode_to_vec()])
     }
 }
 
-/// Reads a datagram's outer part; none where it is too large, malformed, or names no sender.
+/// Decodes a datagram's envelope. Returns `None` if it is too large or malformed, or if the sender's name or the
+/// signature has a wrong length.
 pub fn decode_datagram(bytes: &[u8]) -> Option<Datagram> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return None;
     }
     let datagram = Datagram::decode(bytes).ok()?;
-    let sane = !datagram.sender.is_empty()
+    let valid = !datagram.sender.is_empty()
         && datagram.sender.len() <= MAX_NAME_BYTES
         && datagram.signature.len() == 64;
-    sane.then_some(datagram)
+    valid.then_some(datagram)
 }
 
-/// Reads a body; none where it is malformed, without a kind, or a name in it is too long.
+/// Decodes a datagram's body. Returns `None` if it is malformed or without a kind, or if a name, an address, a count
+/// or a list in it is out of its limits.
 pub fn decode_body(bytes: &[u8]) -> Option<Body> {
     let body = Body::decode(bytes).ok()?;
-    let short = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
-    let sane = body.kind.is_some()
-        && body.records.iter().all(|r| short(&r.name) && r.address.len() <= MAX_NAME_BYTES)
-        && body.suspicions.iter().all(|s| short(&s.name) && short(&s.accuser))
-        && body.testimonies.iter().all(|t| {
-            let sound = |seen: &Seen| short(&seen.streamer) && seen.failures <= seen.tries;
-            short(&t.origin) && t.seen.len() <= MAX_TESTIMONY_STREAMERS && t.seen.iter().all(sound)
+    let valid_name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
+    let valid = body.kind.is_some()
+        && body
+            .records
+            .iter()
+            .all(|record| valid_name(&record.name) && record.address.len() <= MAX_NAME_BYTES)
+        && body
+            .suspicions
+            .iter()
+            .all(|suspicion| valid_name(&suspicion.name) && valid_name(&suspicion.accuser))
+        && body.testimonies.iter().all(|testimony| {
+            let valid_seen = |seen: &Seen| valid_name(&seen.streamer) && seen.failures <= seen.tries;
+            valid_name(&testimony.origin)
+                && testimony.seen.len() <= MAX_TESTIMONY_STREAMERS
+                && testimony.seen.iter().all(valid_seen)
         });
-    sane.then_some(body)
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        #[test]
-        fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..1500)) {
-            if let Some(datagram) = decode_datagram(&bytes) {
-                let _ = decode_body(&datagram.body);
-            }
-            let _ = decode_body(&bytes);
-        }
-    }
-
-    #[test]
-    fn no_kind_stands_for_another() {
-        let record = Record { name: "a".into(), address: "b".into(), ..Record::default() };
-        let suspicion = Suspicion { accuser: "a".into(), name: "b".into(), ..Suspicion::default() };
-        assert_ne!(record.signed_bytes(), suspicion.signed_bytes());
-        let moved = Record { name: "ab".into(), address: String::new(), ..Record::default() };
-        assert_ne!(record.signed_bytes(), moved.signed_bytes(), "lengths are covered, too");
-    }
+    valid.then_some(body)
 }
