--- a/crates/lemontide-gossip/src/membership.rs
+++ b/crates/lemontide-gossip/src/membership.rs
@@ -1,8 +1,9 @@
-//! Who is there: membership after SWIM, with suspicion and incarnations, indirect probes, and an instance that
-//! doubts itself first when it is slow. Words of others never bury a member: they make this instance look for
-//! itself, and only its own unanswered probes, or several accusers at once, raise a suspicion here.
+//! Membership after SWIM: probes, indirect probes, suspicion and incarnations, with a health score that makes a slow
+//! instance suspect itself before others. An accusation by another member alone never makes a member dead here: it
+//! makes this instance probe the member itself, and only an own unanswered probe, or several accusers at once, raise a
+//! suspicion.
 //!
-//! Names and times only; signatures, bytes and sockets are `node`'s matter.
+//! This module handles names and times only; signatures, bytes and sockets are left to `node`.
 
 use crate::message::{Record, Suspicion};
 use lemontide::clock::{Point, Span};
@@ -12,36 +13,39 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
 
-/// Others that are asked to probe for this instance.
-const HELPERS: usize = 3;
-/// How slow an instance may think itself, in steps.
-const HEALTH_MOST: u32 = 8;
-/// Accusers beside this instance that raise a suspicion by themselves.
-const ACCUSERS_LEAST: usize = 2;
-/// Confirmations that shorten a suspicion to its least.
-const CONFIRMS: f64 = 3.0;
-/// Members at most; more are not taken in.
-const MEMBERS_MOST: usize = 8192;
-/// Rumours in hand at most, and how often each is passed on: so many times the logarithm of the fleet's size.
-const RUMOURS_MOST: usize = 2048;
-const SPREAD: f64 = 3.0;
-/// Members that look for themselves when they hear an accusation, about.
-const LOOKERS: f64 = 8.0;
-/// An instance answers accusations at most this often.
-const REFUTE_EVERY: Span = Span::of_millis(300);
-/// A digest only steers what is exchanged and may be this old.
-const DIGEST_EVERY: Span = Span::of_millis(250);
-/// Probes asked for out of turn that wait at most.
-const URGENT_MOST: usize = 64;
-
-/// The protocol's timing.
+/// Members that are asked for an indirect probe.
+const INDIRECT_PROBE_HELPERS: usize = 3;
+/// Highest (worst) health score.
+const MAX_HEALTH_SCORE: u32 = 8;
+/// Other accusers that raise a suspicion here without an own failed probe.
+const MIN_ACCUSERS: usize = 2;
+/// Confirmations that shorten a suspicion to its minimum.
+const CONFIRMATIONS_FOR_MIN_TIMEOUT: f64 = 3.0;
+/// Most members; further ones are ignored.
+const MAX_MEMBERS: usize = 8192;
+/// Most updates that wait to be passed on.
+const MAX_PENDING_UPDATES: usize = 2048;
+/// Each update is sent this many times the logarithm of the fleet's size.
+const RETRANSMIT_FACTOR: f64 = 3.0;
+/// Expected number of members, in the whole fleet, that probe a member when they receive an accusation of it.
+const PROBING_MEMBERS_PER_ACCUSATION: f64 = 8.0;
+/// Least time between two refutations by this instance.
+const REFUTATION_MIN_INTERVAL: Span = Span::of_millis(300);
+/// How long a digest is reused. It only decides what is exchanged, so it may be a little out of date.
+const DIGEST_MAX_AGE: Span = Span::of_millis(250);
+/// Most probes out of turn that wait; the same limit holds for probes on behalf of others.
+const MAX_PRIORITY_PROBES: usize = 64;
+
+/// The protocol's intervals.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
-    /// One probe each period; answered within this time, or others are asked to help.
+    /// One member is probed in each period.
     pub probe_period: Span,
+    /// A probe that is not answered within this time is repeated indirectly.
     pub probe_timeout: Span,
-    /// A dead member is remembered for so long, and one of them is called on this often.
+    /// How long a dead member or one that left is remembered.
     pub dead_retention: Span,
+    /// Mean interval of syncs with a random dead and a random live member.
     pub sync_interval: Span,
 }
 
@@ -56,66 +60,93 @@
     }
 }
 
+/// Status of a member as this instance knows it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerStatus {
+    /// It is reachable, as far as is known.
     Alive,
-    /// Under suspicion since then, by these.
+    /// It is under suspicion.
     Suspect {
+        /// When the suspicion began.
         since: Point,
+        /// The members that accuse it, this instance possibly among them.
         accusers: BTreeSet<String>,
     },
+    /// A suspicion of it ran out.
     Dead {
+        /// When the suspicion ran out.
         since: Point,
     },
+    /// It left by itself.
     Left {
+        /// When this instance received notice of it.
         since: Point,
     },
 }
 
+/// Another member.
 #[derive(Clone, Debug)]
 pub struct Peer {
+    /// Its latest record.
     pub record: Record,
+    /// Its status here.
     pub status: PeerStatus,
-    /// When it was last heard itself.
+    /// When a message from it last arrived.
     pub last_heard: Option<Point>,
-    /// Others that accused it at this incarnation, while it is not suspected here.
+    /// Members that accused it at its current incarnation, while it is not suspected here.
     accusers: BTreeMap<String, Point>,
 }
 
-/// Something to be sent.
+/// A message to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
+    /// Probe a member.
     Ping {
+        /// The receiver.
         to: String,
+        /// Returned in its ack.
         nonce: u64,
     },
+    /// Answer a probe.
     Ack {
+        /// The receiver.
         to: String,
+        /// The probe's nonce.
         nonce: u64,
     },
+    /// Ask a member to probe another one.
     PingReq {
+        /// The receiver.
         to: String,
+        /// The member to be probed.
         target: String,
+        /// Returned in the ack.
         nonce: u64,
     },
-    /// Exchange what is known; with a member that counts as dead this heals partitions.
+    /// Exchange records (anti-entropy). With a member that counts as dead this heals partitions.
     Sync {
+        /// The receiver.
         to: String,
     },
 }
 
-/// What operators see.
+/// A change of membership, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
+    /// A new member.
     Joined(String),
+    /// A member is under suspicion.
     Suspected(String),
+    /// A member counts as dead.
     Died(String),
+    /// A member that was suspected, dead or gone counts as alive again.
     Returned(String),
+    /// A member left by itself.
     Left(String),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Stage {
+enum ProbeStage {
     Direct,
     Indirect,
 }
@@ -124,193 +155,219 @@
 struct Probe {
     target: String,
     nonce: u64,
-    stage: Stage,
-    began: Point,
-    ends: Point,
+    stage: ProbeStage,
+    started_at: Point,
+    ends_at: Point,
 }
 
-/// Something to be passed on, with how often it was.
+/// An update to be passed on to other members.
 #[derive(Clone, Debug)]
 pub enum Update {
+    /// A member's record of itself.
     Record(Record),
+    /// A member's accusation of another.
     Suspicion(Suspicion),
 }
 
+/// The members as one instance knows them.
 #[derive(Clone, Debug)]
 pub struct Membership {
     timing: Timing,
-    me: String,
+    own_name: String,
+    /// This instance's record.
     pub own_record: Record,
     peers: BTreeMap<String, Peer>,
-    turn: Vec<String>,
-    urgent: VecDeque<String>,
+    /// Members to probe in this round, the next one last.
+    probe_order: Vec<String>,
+    /// Members to probe before those.
+    priority_probes: VecDeque<String>,
     probe: Option<Probe>,
-    /// Probes done for others: their nonce here, who asked, and with which nonce there.
-    errands: BTreeMap<u64, (String, u64, Point)>,
-    next_probe: Point,
-    next_heal: Point,
-    refuted: Option<Point>,
-    heard_any: Option<Point>,
+    /// Probes on behalf of others, by own nonce: who asked, the nonce it expects, and when.
+    relayed_probes: BTreeMap<u64, (String, u64, Point)>,
+    next_probe_at: Point,
+    next_sync_at: Point,
+    last_refutation: Option<Point>,
+    /// When a message from any member last arrived.
+    last_heard_any: Option<Point>,
+    /// 0 is healthy; higher means that this instance seems slow or cut off, and gives others more time.
     pub health_score: u32,
-    doubting: bool,
+    /// Every other probe goes to a suspect: whether the current one does.
+    probe_suspect: bool,
+    /// Live members as of the last tick.
     size: usize,
-    /// The digest as last made, and when.
-    digested: (Point, u64),
-    ticked: Point,
-    nonce: u64,
-    chance: StdRng,
-    rumours: BTreeMap<(bool, String), (Update, u32)>,
+    /// When the digest was last computed, and its value.
+    cached_digest: (Point, u64),
+    last_tick: Point,
+    last_nonce: u64,
+    rng: StdRng,
+    /// Updates to be passed on, with how often each was sent.
+    pending_updates: BTreeMap<(bool, String), (Update, u32)>,
+    /// Messages to be sent.
     pub actions: Vec<Action>,
+    /// Changes that were not collected yet.
     pub changes: Vec<MembershipChange>,
-    /// The own record changed and must be signed anew before it goes out.
+    /// The own record changed and must be signed before it is sent.
     pub needs_signature: bool,
 }
 
 impl Membership {
-    pub fn new(now: Point, timing: Timing, me: &str, address: &str, seed: u64) -> Membership {
-        let mut chance = StdRng::seed_from_u64(seed);
-        // Spread over the period, so that a fleet that starts together does not probe together.
-        let first = now + timing.probe_period * chance.random::<f64>();
+    /// A membership that knows this instance only.
+    pub fn new(now: Point, timing: Timing, own_name: &str, address: &str, seed: u64) -> Membership {
+        let mut rng = StdRng::seed_from_u64(seed);
+        // Spread over the period, so that instances that start together do not probe together.
+        let first_probe_at = now + timing.probe_period * rng.random::<f64>();
         Membership {
             timing,
-            me: me.to_owned(),
-            own_record: Record { name: me.to_owned(), address: address.to_owned(), ..Record::default() },
+            own_name: own_name.to_owned(),
+            own_record: Record {
+                name: own_name.to_owned(),
+                address: address.to_owned(),
+                ..Record::default()
+            },
             peers: BTreeMap::new(),
-            turn: Vec::new(),
-            urgent: VecDeque::new(),
+            probe_order: Vec::new(),
+            priority_probes: VecDeque::new(),
             probe: None,
-            errands: BTreeMap::new(),
-            next_probe: first,
-            next_heal: now + timing.sync_interval * chance.random::<f64>(),
-            refuted: None,
-            heard_any: None,
+            relayed_probes: BTreeMap::new(),
+            next_probe_at: first_probe_at,
+            next_sync_at: now + timing.sync_interval * rng.random::<f64>(),
+            last_refutation: None,
+            last_heard_any: None,
             health_score: 0,
-            doubting: false,
+            probe_suspect: false,
             size: 1,
-            digested: (now, 0),
-            ticked: now,
-            nonce: seed,
-            chance,
-            rumours: BTreeMap::new(),
+            cached_digest: (now, 0),
+            last_tick: now,
+            last_nonce: seed,
+            rng,
+            pending_updates: BTreeMap::new(),
             actions: Vec::new(),
             changes: Vec::new(),
             needs_signature: true,
         }
     }
 
+    /// All other members, by name.
     pub fn peers(&self) -> impl Iterator<Item = (&String, &Peer)> {
         self.peers.iter()
     }
 
+    /// Another member.
     pub fn peer(&self, name: &str) -> Option<&Peer> {
         self.peers.get(name)
     }
 
+    /// Another member's address.
     pub fn address_of(&self, name: &str) -> Option<&str> {
         self.peers.get(name).map(|peer| peer.record.address.as_str())
     }
 
-    /// Members that count as alive here, this one and suspects among them.
+    /// Number of live members, this instance and suspects included.
     pub fn alive_count(&self) -> usize {
         1 + self.peers.values().filter(|peer| peer.is_live()).count()
     }
 
-    /// The same for all who agree on who lives, and at which incarnation; a moment old.
+    /// A hash that is equal for all instances that know the same live members at the same incarnations. It may be
+    /// slightly out of date.
     pub fn digest(&self) -> u64 {
-        self.digested.1
+        self.cached_digest.1
     }
 
-    fn digest_now(&self) -> u64 {
+    fn compute_digest(&self) -> u64 {
         let mut hasher = std::collections::hash_map::DefaultHasher::new();
-        // Address and number, too: both lives of one that came back elsewhere begin at the same incarnation.
-        fn of(record: &Record) -> (&str, u64, &str, Option<u32>) {
+        // Address and number are included: an instance that restarts elsewhere begins at the same incarnation again.
+        fn identity(record: &Record) -> (&str, u64, &str, Option<u32>) {
             (&record.name, record.incarnation, &record.address, record.number)
         }
-        let living = self.peers.values().filter(|p| p.is_live()).map(|p| of(&p.record));
-        let mut living: Vec<_> = living.chain([of(&self.own_record)]).collect();
-        living.sort_unstable();
-        living.hash(&mut hasher);
+        let live = self.peers.values().filter(|p| p.is_live()).map(|p| identity(&p.record));
+        let mut live: Vec<_> = live.chain([identity(&self.own_record)]).collect();
+        live.sort_unstable();
+        live.hash(&mut hasher);
         hasher.finish()
     }
 
-    fn nonce(&mut self) -> u64 {
-        self.nonce =
-            self.nonce.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        self.nonce
+    fn next_nonce(&mut self) -> u64 {
+        self.last_nonce =
+            self.last_nonce.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.last_nonce
     }
 
-    /// Slower for an instance that finds itself slow: it gives others more time before it accuses them.
-    fn slowed(&self, span: Span) -> Span {
+    /// Scales a time by the health score: an instance that seems slow gives others more time before it accuses them.
+    fn scaled_by_health(&self, span: Span) -> Span {
         span * f64::from(1 + self.health_score)
     }
 
-    /// Of the fleet's size as at the last tick: counted once, not with every datagram.
+    /// Binary logarithm of the fleet's size. The size is that of the last tick: counted once, not for each datagram.
     pub fn log2_size(&self) -> f64 {
         (self.size as f64 + 1.0).log2().max(1.0)
     }
 
-    /// How long a suspicion lasts before the member counts as dead: less the more accuse it.
-    fn patience(&self, accusers: usize) -> Span {
-        let least = self.timing.probe_period * (1.5 * self.log2_size());
-        let confirmed = (accusers.saturating_sub(1)) as f64;
-        let part = ((confirmed + 1.0).ln() / (CONFIRMS + 1.0).ln()).min(1.0);
-        self.slowed(least * (1.0 + 2.0 * (1.0 - part)))
+    /// How long a suspicion lasts before the member counts as dead; the more accusers, the shorter.
+    fn suspicion_timeout(&self, accusers: usize) -> Span {
+        let minimum = self.timing.probe_period * (1.5 * self.log2_size());
+        let confirmations = (accusers.saturating_sub(1)) as f64;
+        let confirmed = ((confirmations + 1.0).ln() / (CONFIRMATIONS_FOR_MIN_TIMEOUT + 1.0).ln()).min(1.0);
+        self.scaled_by_health(minimum * (1.0 + 2.0 * (1.0 - confirmed)))
     }
 
-    /// When `tick` wants to be called next.
+    /// When `tick` must be called next.
     pub fn next_tick_at(&self) -> Point {
         let probe = self.probe.as_ref().map(|probe| match probe.stage {
-            Stage::Direct => probe.began + self.slowed(self.timing.probe_timeout),
-            Stage::Indirect => probe.ends,
+            ProbeStage::Direct => probe.started_at + self.scaled_by_health(self.timing.probe_timeout),
+            ProbeStage::Indirect => probe.ends_at,
         });
-        let next = probe.map_or(self.next_probe, |at| at.min(self.next_probe));
-        next.min(self.next_heal)
+        let next = probe.map_or(self.next_probe_at, |at| at.min(self.next_probe_at));
+        next.min(self.next_sync_at)
     }
 
+    /// Does what is due: ends suspicions, continues or starts a probe, starts syncs.
     pub fn tick(&mut self, now: Point) {
-        // An instance that stood still itself has missed its own acks: it doubts itself first.
-        let gap = now - self.ticked;
-        self.ticked = now;
+        // An instance that was stalled has missed acks to its own probes: it must not accuse others of that.
+        let gap = now - self.last_tick;
+        self.last_tick = now;
         self.size = self.alive_count();
-        if now - self.digested.0 >= DIGEST_EVERY || self.digested.1 == 0 {
-            self.digested = (now, self.digest_now());
+        if now - self.cached_digest.0 >= DIGEST_MAX_AGE || self.cached_digest.1 == 0 {
+            self.cached_digest = (now, self.compute_digest());
         }
         if gap > self.timing.probe_period * 2.0 {
-            self.stood_still(now, gap);
+            self.on_own_stall(now, gap);
         }
-        self.bury(now);
+        self.expire_suspicions(now);
         if let Some(probe) = self.probe.clone() {
             match probe.stage {
-                Stage::Direct if now - probe.began >= self.slowed(self.timing.probe_timeout) => {
-                    self.ask_others(&probe)
+                ProbeStage::Direct
+                    if now - probe.started_at >= self.scaled_by_health(self.timing.probe_timeout) =>
+                {
+                    self.start_indirect_probe(&probe)
                 }
-                Stage::Indirect if now >= probe.ends => {
+                ProbeStage::Indirect if now >= probe.ends_at => {
                     self.probe = None;
-                    // Who hears nobody else either is more likely cut off or slow itself.
-                    if self.heard_any.is_none_or(|at| at < probe.began) {
-                        self.health_score = (self.health_score + 1).min(HEALTH_MOST);
+                    // If no other member was heard either, this instance is more likely to be cut off or slow.
+                    if self.last_heard_any.is_none_or(|at| at < probe.started_at) {
+                        self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
                     }
-                    self.accuse(now, &probe.target);
+                    self.on_probe_failed(now, &probe.target);
                 }
                 _ => {}
             }
         }
-        if now >= self.next_probe && self.probe.is_none() {
-            self.next_probe = now + self.slowed(self.timing.probe_period);
+        if now >= self.next_probe_at && self.probe.is_none() {
+            self.next_probe_at = now + self.scaled_by_health(self.timing.probe_period);
             self.start_probe(now);
         }
-        if now >= self.next_heal {
-            self.next_heal = now + self.timing.sync_interval * (0.5 + self.chance.random::<f64>());
-            self.heal(now);
+        if now >= self.next_sync_at {
+            self.next_sync_at = now + self.timing.sync_interval * (0.5 + self.rng.random::<f64>());
+            self.start_syncs(now);
         }
         let period = self.timing.probe_period;
-        self.errands.retain(|_, (_, _, at)| now - *at < period * 2.0);
+        self.relayed_probes.retain(|_, (_, _, at)| now - *at < period * 2.0);
     }
 
-    fn stood_still(&mut self, now: Point, gap: Span) {
+    /// Drops the current probe, worsens the health score, and extends suspicions by the time of the stall.
+    fn on_own_stall(&mut self, now: Point, gap: Span) {
         self.probe = None;
-        self.health_score = (self.health_score + 2).min(HEALTH_MOST);
-        self.next_probe = now;
+        self.health_score = (self.health_score + 2).min(MAX_HEALTH_SCORE);
+        self.next_probe_at = now;
         for peer in self.peers.values_mut() {
             if let PeerStatus::Suspect { since, .. } = &mut peer.status {
                 *since = *since + gap;
@@ -318,22 +375,22 @@
         }
     }
 
-    /// Suspicions that lasted out become deaths; the dead are forgotten after a while.
-    fn bury(&mut self, now: Point) {
+    /// Members whose suspicion timed out become dead; dead members and those that left are forgotten after a while.
+    fn expire_suspicions(&mut self, now: Point) {
         let mut died = Vec::new();
-        let mut unseen = Vec::new();
+        let mut unprobed = Vec::new();
         for (name, peer) in &self.peers {
             if let PeerStatus::Suspect { since, accusers } = &peer.status {
-                if now - *since >= self.patience(accusers.len()) {
-                    // Others' words alone bury nobody: where datagrams get lost there is always somebody who
-                    // accuses. This instance looks for itself first.
-                    let own = accusers.contains(&self.me);
-                    if own { &mut died } else { &mut unseen }.push(name.clone());
+                if now - *since >= self.suspicion_timeout(accusers.len()) {
+                    // Accusations by others alone make no member dead: where datagrams get lost, there is always some
+                    // member that accuses. This instance probes the member first.
+                    let accused_here = accusers.contains(&self.own_name);
+                    if accused_here { &mut died } else { &mut unprobed }.push(name.clone());
                 }
             }
         }
-        for name in unseen {
-            self.look_at(&name);
+        for name in unprobed {
+            self.queue_priority_probe(&name);
         }
         for name in died {
             if let Some(peer) = self.peers.get_mut(&name) {
@@ -341,32 +398,32 @@
             }
             self.changes.push(MembershipChange::Died(name));
         }
-        let forget = self.timing.dead_retention;
+        let retention = self.timing.dead_retention;
         self.peers.retain(|_, peer| match peer.status {
-            PeerStatus::Dead { since } | PeerStatus::Left { since } => now - since < forget,
+            PeerStatus::Dead { since } | PeerStatus::Left { since } => now - since < retention,
             _ => true,
         });
     }
 
     fn start_probe(&mut self, now: Point) {
-        // Every other probe goes to one that is suspected here: a suspicion born of lost datagrams ends with the
-        // first answer, instead of waiting for the whole round.
-        self.doubting = !self.doubting;
+        // Every other probe goes to a member that is suspected here: a suspicion that came from lost datagrams ends
+        // with the first answer, instead of waiting for the whole round.
+        self.probe_suspect = !self.probe_suspect;
         let suspects =
             self.peers.iter().filter(|(_, peer)| matches!(peer.status, PeerStatus::Suspect { .. }));
         let suspects: Vec<String> = suspects.map(|(name, _)| name.clone()).collect();
-        if self.doubting && !suspects.is_empty() {
-            let suspect = suspects[self.chance.random_range(0..suspects.len())].clone();
-            self.urgent.push_front(suspect);
+        if self.probe_suspect && !suspects.is_empty() {
+            let suspect = suspects[self.rng.random_range(0..suspects.len())].clone();
+            self.priority_probes.push_front(suspect);
         }
         let target = loop {
-            let next = match self.urgent.pop_front().or_else(|| self.turn.pop()) {
+            let next = match self.priority_probes.pop_front().or_else(|| self.probe_order.pop()) {
                 Some(next) => next,
                 None => {
-                    self.turn =
+                    self.probe_order =
                         self.peers.iter().filter(|(_, p)| p.is_live()).map(|(n, _)| n.clone()).collect();
-                    self.turn.shuffle(&mut self.chance);
-                    match self.turn.pop() {
+                    self.probe_order.shuffle(&mut self.rng);
+                    match self.probe_order.pop() {
                         Some(next) => next,
                         None => return,
                     }
@@ -376,151 +433,158 @@
                 break next;
             }
         };
-        let nonce = self.nonce();
-        let ends = now + self.slowed(self.timing.probe_period);
+        let nonce = self.next_nonce();
+        let ends_at = now + self.scaled_by_health(self.timing.probe_period);
         self.actions.push(Action::Ping { to: target.clone(), nonce });
-        self.probe = Some(Probe { target, nonce, stage: Stage::Direct, began: now, ends });
+        self.probe = Some(Probe { target, nonce, stage: ProbeStage::Direct, started_at: now, ends_at });
     }
 
-    fn ask_others(&mut self, probe: &Probe) {
-        let able = self.peers.iter().filter(|(n, p)| **n != probe.target && p.status == PeerStatus::Alive);
-        let mut able: Vec<String> = able.map(|(name, _)| name.clone()).collect();
-        able.shuffle(&mut self.chance);
-        for helper in able.into_iter().take(HELPERS) {
-            let act = Action::PingReq { to: helper, target: probe.target.clone(), nonce: probe.nonce };
-            self.actions.push(act);
+    /// Asks other members to probe the target.
+    fn start_indirect_probe(&mut self, probe: &Probe) {
+        let helpers = self.peers.iter().filter(|(n, p)| **n != probe.target && p.status == PeerStatus::Alive);
+        let mut helpers: Vec<String> = helpers.map(|(name, _)| name.clone()).collect();
+        helpers.shuffle(&mut self.rng);
+        for helper in helpers.into_iter().take(INDIRECT_PROBE_HELPERS) {
+            let action = Action::PingReq { to: helper, target: probe.target.clone(), nonce: probe.nonce };
+            self.actions.push(action);
         }
         if let Some(probe) = &mut self.probe {
-            probe.stage = Stage::Indirect;
+            probe.stage = ProbeStage::Indirect;
         }
     }
 
-    /// Calls on a member that counts as dead, so that a partition heals from both sides; else on a living one, so
-    /// that what rumours missed comes round.
-    fn heal(&mut self, _now: Point) {
-        let pick = |dead: bool, chance: &mut StdRng, peers: &BTreeMap<String, Peer>| {
-            let is = |p: &Peer| if dead { matches!(p.status, PeerStatus::Dead { .. }) } else { p.is_live() };
-            let names: Vec<&String> = peers.iter().filter(|(_, p)| is(p)).map(|(name, _)| name).collect();
-            (!names.is_empty()).then(|| names[chance.random_range(0..names.len())].clone())
+    /// Syncs with a random dead member, so that a partition heals from both sides, and with a random live one, so that
+    /// lost updates still arrive.
+    fn start_syncs(&mut self, _now: Point) {
+        let pick = |dead: bool, rng: &mut StdRng, peers: &BTreeMap<String, Peer>| {
+            let matches =
+                |p: &Peer| if dead { matches!(p.status, PeerStatus::Dead { .. }) } else { p.is_live() };
+            let names: Vec<&String> =
+                peers.iter().filter(|(_, p)| matches(p)).map(|(name, _)| name).collect();
+            (!names.is_empty()).then(|| names[rng.random_range(0..names.len())].clone())
         };
         for dead in [true, false] {
-            if let Some(to) = pick(dead, &mut self.chance, &self.peers) {
+            if let Some(to) = pick(dead, &mut self.rng, &self.peers) {
                 self.actions.push(Action::Sync { to });
             }
         }
     }
 
-    /// This instance's own probes went unanswered.
-    fn accuse(&mut self, now: Point, name: &str) {
-        let me = self.me.clone();
+    /// The direct and the indirect probe of a member went unanswered: this instance accuses it.
+    fn on_probe_failed(&mut self, now: Point, name: &str) {
+        let own_name = self.own_name.clone();
         let Some(peer) = self.peers.get_mut(name) else { return };
         let incarnation = peer.record.incarnation;
-        let fresh = match &mut peer.status {
+        let newly_accused = match &mut peer.status {
             PeerStatus::Alive => {
                 let others = std::mem::take(&mut peer.accusers).into_keys();
-                let accusers = others.chain([me.clone()]).collect();
+                let accusers = others.chain([own_name.clone()]).collect();
                 peer.status = PeerStatus::Suspect { since: now, accusers };
                 self.changes.push(MembershipChange::Suspected(name.to_owned()));
                 true
             }
-            PeerStatus::Suspect { accusers, .. } => accusers.insert(me.clone()),
+            PeerStatus::Suspect { accusers, .. } => accusers.insert(own_name.clone()),
             _ => false,
         };
-        if fresh {
+        if newly_accused {
             let suspicion =
-                Suspicion { accuser: me, name: name.to_owned(), incarnation, signature: Vec::new() };
-            self.pass_on(Update::Suspicion(suspicion));
+                Suspicion { accuser: own_name, name: name.to_owned(), incarnation, signature: Vec::new() };
+            self.queue_update(Update::Suspicion(suspicion));
         }
     }
 
-    /// A member accuses another, by its own signature.
+    /// Handles a member's accusation of another one. Its signature must be verified already.
     pub fn on_suspicion(&mut self, now: Point, suspicion: &Suspicion) {
-        if suspicion.name == self.me {
-            // Said of an incarnation that was answered already, or of none that there ever was.
+        if suspicion.name == self.own_name {
+            // An accusation of another incarnation is refuted already, or that incarnation never existed.
             let current = suspicion.incarnation == self.own_record.incarnation;
-            if current && self.refuted.is_none_or(|at| now - at >= REFUTE_EVERY) {
+            if current && self.last_refutation.is_none_or(|at| now - at >= REFUTATION_MIN_INTERVAL) {
                 self.refute(now, suspicion.incarnation);
             }
             return;
         }
-        if suspicion.accuser == self.me {
+        if suspicion.accuser == self.own_name {
             return;
         }
         let Some(peer) = self.peers.get_mut(&suspicion.name) else { return };
-        // A refuted suspicion never comes back: it is of an incarnation that is past.
+        // A refuted suspicion never comes back, as it is of an earlier incarnation.
         if suspicion.incarnation != peer.record.incarnation {
             return;
         }
         match &mut peer.status {
             PeerStatus::Alive => {
                 let new = peer.accusers.insert(suspicion.accuser.clone(), now).is_none();
-                let enough = peer.accusers.len() >= ACCUSERS_LEAST;
-                let heard = peer.last_heard.is_some_and(|at| now - at < self.timing.probe_period * 2.0);
-                if enough && !heard {
+                let enough = peer.accusers.len() >= MIN_ACCUSERS;
+                let recently_heard =
+                    peer.last_heard.is_some_and(|at| now - at < self.timing.probe_period * 2.0);
+                if enough && !recently_heard {
                     let accusers = std::mem::take(&mut peer.accusers).into_keys().collect();
                     peer.status = PeerStatus::Suspect { since: now, accusers };
                     self.changes.push(MembershipChange::Suspected(suspicion.name.clone()));
                 }
                 if new {
-                    // A few look for themselves, however large the fleet: where datagrams get lost, each look is
-                    // one more chance to accuse.
-                    if self.chance.random::<f64>() * self.size as f64 <= LOOKERS {
-                        self.look_at(&suspicion.name);
+                    // A few members probe it, however large the fleet: where datagrams get lost, each probe can raise
+                    // one more accusation.
+                    if self.rng.random::<f64>() * self.size as f64 <= PROBING_MEMBERS_PER_ACCUSATION {
+                        self.queue_priority_probe(&suspicion.name);
                     }
-                    self.pass_on(Update::Suspicion(suspicion.clone()));
+                    self.queue_update(Update::Suspicion(suspicion.clone()));
                 }
             }
             PeerStatus::Suspect { accusers, .. } => {
                 let new = accusers.insert(suspicion.accuser.clone());
                 if new {
-                    self.pass_on(Update::Suspicion(suspicion.clone()));
+                    self.queue_update(Update::Suspicion(suspicion.clone()));
                 }
             }
             _ => {}
         }
     }
 
-    /// Probes a member out of turn.
-    fn look_at(&mut self, name: &str) {
-        if self.urgent.len() < URGENT_MOST && !self.urgent.iter().any(|urgent| urgent == name) {
-            self.urgent.push_back(name.to_owned());
+    /// Queues a probe of a member out of turn.
+    fn queue_priority_probe(&mut self, name: &str) {
+        if self.priority_probes.len() < MAX_PRIORITY_PROBES
+            && !self.priority_probes.iter().any(|queued| queued == name)
+        {
+            self.priority_probes.push_back(name.to_owned());
         }
     }
 
-    /// Says that it lives, at an incarnation that outdoes what was said of it.
-    fn refute(&mut self, now: Point, said: u64) {
-        self.refuted = Some(now);
-        self.own_record.incarnation = self.own_record.incarnation.max(said).saturating_add(1);
+    /// Refutes an accusation by a higher incarnation of the own record.
+    fn refute(&mut self, now: Point, accused_incarnation: u64) {
+        self.last_refutation = Some(now);
+        self.own_record.incarnation = self.own_record.incarnation.max(accused_incarnation).saturating_add(1);
         self.needs_signature = true;
-        // Others accuse it: it may be the slow one.
-        self.health_score = (self.health_score + 1).min(HEALTH_MOST);
+        // The accusation may be due to this instance being slow.
+        self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
     }
 
-    /// The own record, signed, is to be passed on.
+    /// Sets the signature of the own record and queues it to be passed on.
     pub fn set_signature(&mut self, signature: Vec<u8>) {
         self.own_record.signature = signature;
         self.needs_signature = false;
-        self.pass_on(Update::Record(self.own_record.clone()));
+        self.queue_update(Update::Record(self.own_record.clone()));
     }
 
-    /// A member's record of itself, whose signature was verified.
+    /// Handles a member's record of itself. Its signature must be verified already.
     pub fn on_record(&mut self, now: Point, record: &Record) {
-        if record.name == self.me {
-            // An earlier life of this instance, perhaps: its next incarnation outdoes it. Symptom: one that came back
-            // under another address or number is looked for at the old one, as both lives began at 0.
+        if record.name == self.own_name {
+            // The record may be from an earlier process of this instance; a higher incarnation replaces it. Without the
+            // check of address and number, an instance that restarted under another address or number was looked for
+            // under the old one, as both processes began at incarnation 0.
             let own = (&self.own_record.address, self.own_record.number);
-            let other =
+            let differs =
                 record.incarnation == self.own_record.incarnation && own != (&record.address, record.number);
             if record.incarnation > self.own_record.incarnation
                 || record.left && !self.own_record.left
-                || other
+                || differs
             {
                 self.refute(now, record.incarnation);
             }
             return;
         }
         let Some(peer) = self.peers.get_mut(&record.name) else {
-            if self.peers.len() < MEMBERS_MOST && !record.left {
+            if self.peers.len() < MAX_MEMBERS && !record.left {
                 let peer = Peer {
                     record: record.clone(),
                     status: PeerStatus::Alive,
@@ -528,10 +592,10 @@
                     accusers: BTreeMap::new(),
                 };
                 self.peers.insert(record.name.clone(), peer);
-                let place = self.chance.random_range(0..=self.turn.len());
-                self.turn.insert(place, record.name.clone());
+                let position = self.rng.random_range(0..=self.probe_order.len());
+                self.probe_order.insert(position, record.name.clone());
                 self.changes.push(MembershipChange::Joined(record.name.clone()));
-                self.pass_on(Update::Record(record.clone()));
+                self.queue_update(Update::Record(record.clone()));
             }
             return;
         };
@@ -543,58 +607,62 @@
         }
         peer.record = record.clone();
         peer.accusers.clear();
-        let before = std::mem::replace(&mut peer.status, PeerStatus::Alive);
+        let previous_status = std::mem::replace(&mut peer.status, PeerStatus::Alive);
         if record.left {
             peer.status = PeerStatus::Left { since: now };
             self.changes.push(MembershipChange::Left(record.name.clone()));
-        } else if before != PeerStatus::Alive {
+        } else if previous_status != PeerStatus::Alive {
             self.changes.push(MembershipChange::Returned(record.name.clone()));
         }
-        let (gone, name) = (record.name.clone(), record.name.clone());
-        self.rumours.retain(|_, (rumour, _)| !matches!(rumour, Update::Suspicion(s) if s.name == gone));
-        if !record.left && !self.turn.contains(&name) {
-            let place = self.chance.random_range(0..=self.turn.len());
-            self.turn.insert(place, name);
+        let (refuted, name) = (record.name.clone(), record.name.clone());
+        self.pending_updates
+            .retain(|_, (update, _)| !matches!(update, Update::Suspicion(s) if s.name == refuted));
+        if !record.left && !self.probe_order.contains(&name) {
+            let position = self.rng.random_range(0..=self.probe_order.len());
+            self.probe_order.insert(position, name);
         }
-        self.pass_on(Update::Record(record.clone()));
+        self.queue_update(Update::Record(record.clone()));
     }
 
-    /// A fresh word from a member itself, whatever it says: it lives and reaches this instance. For this instance
-    /// that ends a suspicion or a death; what others think is theirs to find out.
+    /// Handles a fresh message from a member, whatever its content: the member is alive and reaches this instance. That
+    /// ends a suspicion or a death here; other members decide for themselves.
     pub fn on_message_from(&mut self, now: Point, from: &str) {
         let Some(peer) = self.peers.get_mut(from) else { return };
         peer.last_heard = Some(now);
-        self.heard_any = Some(now);
+        self.last_heard_any = Some(now);
         if matches!(peer.status, PeerStatus::Suspect { .. } | PeerStatus::Dead { .. }) {
             peer.status = PeerStatus::Alive;
             self.changes.push(MembershipChange::Returned(from.to_owned()));
-            // Where others bury it, it must hear of that to answer.
+            // Members that count it as dead must send it their accusation, so that it can refute it.
         }
         peer.accusers.clear();
     }
 
+    /// Answers a probe.
     pub fn on_ping(&mut self, from: &str, nonce: u64) {
         self.actions.push(Action::Ack { to: from.to_owned(), nonce });
     }
 
+    /// Probes the target on behalf of another member.
     pub fn on_ping_req(&mut self, now: Point, from: &str, target: &str, nonce: u64) {
-        if target == self.me {
+        if target == self.own_name {
             return self.on_ping(from, nonce);
         }
-        if self.peers.contains_key(target) && self.errands.len() < URGENT_MOST {
-            let own = self.nonce();
-            self.errands.insert(own, (from.to_owned(), nonce, now));
-            self.actions.push(Action::Ping { to: target.to_owned(), nonce: own });
+        if self.peers.contains_key(target) && self.relayed_probes.len() < MAX_PRIORITY_PROBES {
+            let own_nonce = self.next_nonce();
+            self.relayed_probes.insert(own_nonce, (from.to_owned(), nonce, now));
+            self.actions.push(Action::Ping { to: target.to_owned(), nonce: own_nonce });
         }
     }
 
+    /// Handles the answer to an own probe, or to one on behalf of another member.
     pub fn on_ack(&mut self, from: &str, nonce: u64) {
-        if let Some((asker, theirs, _)) = self.errands.remove(&nonce) {
-            self.actions.push(Action::Ack { to: asker, nonce: theirs });
+        if let Some((requester, requested_nonce, _)) = self.relayed_probes.remove(&nonce) {
+            self.actions.push(Action::Ack { to: requester, nonce: requested_nonce });
         }
         let _ = from;
         if self.probe.as_ref().is_some_and(|probe| probe.nonce == nonce) {
-            // Answered in time, directly or by way of another: this instance is not slow.
+            // Answered in time, directly or by way of another member: this instance is not slow.
             self.health_score = self.health_score.saturating_sub(1);
             let target = self.probe.take().map(|probe| probe.target);
             if let Some(peer) = target.and_then(|target| self.peers.get_mut(&target)) {
@@ -605,73 +673,75 @@
         }
     }
 
-    /// Says goodbye: an instance that stops by itself is not missed.
+    /// Marks the own record as left, so that others do not suspect an instance that stops by itself.
     pub fn leave(&mut self) {
         self.own_record.left = true;
         self.needs_signature = true;
     }
 
-    fn pass_on(&mut self, rumour: Update) {
-        let key = match &rumour {
+    fn queue_update(&mut self, update: Update) {
+        let key = match &update {
             Update::Record(record) => (true, record.name.clone()),
-            // One rumour a suspect: whose word it is matters less than that it is looked at.
+            // One update for each suspect and accuser.
             Update::Suspicion(suspicion) => (false, format!("{} {}", suspicion.name, suspicion.accuser)),
         };
-        if self.rumours.len() >= RUMOURS_MOST && !self.rumours.contains_key(&key) {
-            let oldest = self.rumours.iter().max_by_key(|(_, (_, sent))| *sent).map(|(key, _)| key.clone());
-            oldest.map(|key| self.rumours.remove(&key));
+        if self.pending_updates.len() >= MAX_PENDING_UPDATES && !self.pending_updates.contains_key(&key) {
+            let most_sent =
+                self.pending_updates.iter().max_by_key(|(_, (_, sent))| *sent).map(|(key, _)| key.clone());
+            most_sent.map(|key| self.pending_updates.remove(&key));
         }
-        self.rumours.insert(key, (rumour, 0));
+        self.pending_updates.insert(key, (update, 0));
     }
 
-    /// The next rumours to pass on, the least spread first, as long as `take` says that they fit. Each is passed
-    /// on a bounded number of times.
-    pub fn take_updates(&mut self, mut take: impl FnMut(&Update) -> bool) {
-        let most = (SPREAD * self.log2_size()).ceil() as u32;
+    /// Offers pending updates to `add`, the least often sent first. One that `add` accepts counts as sent; after a
+    /// bounded number of times it is dropped.
+    pub fn take_updates(&mut self, mut add: impl FnMut(&Update) -> bool) {
+        let max_sends = (RETRANSMIT_FACTOR * self.log2_size()).ceil() as u32;
         let mut order: Vec<((bool, String), u32)> =
-            self.rumours.iter().map(|(key, (_, sent))| (key.clone(), *sent)).collect();
+            self.pending_updates.iter().map(|(key, (_, sent))| (key.clone(), *sent)).collect();
         order.sort_by_key(|(_, sent)| *sent);
         for (key, _) in order.into_iter().take(16) {
-            let Some((rumour, sent)) = self.rumours.get_mut(&key) else { continue };
-            if !take(rumour) {
+            let Some((update, sent)) = self.pending_updates.get_mut(&key) else { continue };
+            if !add(update) {
                 continue;
             }
             *sent += 1;
-            if *sent >= most {
-                self.rumours.remove(&key);
+            if *sent >= max_sends {
+                self.pending_updates.remove(&key);
             }
         }
     }
 
-    /// Records to hand over in a sync: the own one, then some drawn at random.
-    pub fn sample_records(&mut self, most: usize) -> Vec<Record> {
+    /// Records for a sync: the own one and those of up to `count` random live members.
+    pub fn sample_records(&mut self, count: usize) -> Vec<Record> {
         let mut names: Vec<&String> =
             self.peers.iter().filter(|(_, p)| p.is_live()).map(|(name, _)| name).collect();
-        names.shuffle(&mut self.chance);
-        let others = names.into_iter().take(most).map(|name| self.peers[name].record.clone());
+        names.shuffle(&mut self.rng);
+        let others = names.into_iter().take(count).map(|name| self.peers[name].record.clone());
         [self.own_record.clone()].into_iter().chain(others).collect()
     }
 
-    /// Some living members, drawn at random.
-    pub fn sample_members(&mut self, most: usize) -> Vec<String> {
+    /// Up to `count` random live members.
+    pub fn sample_members(&mut self, count: usize) -> Vec<String> {
         let mut names: Vec<&String> =
             self.peers.iter().filter(|(_, p)| p.is_live()).map(|(name, _)| name).collect();
-        names.shuffle(&mut self.chance);
-        names.into_iter().take(most).cloned().collect()
+        names.shuffle(&mut self.rng);
+        names.into_iter().take(count).cloned().collect()
     }
 
-    /// As after a long time together: nothing is left to be passed on.
+    /// Drops pending updates and changes, as if they had been passed on long ago.
     pub fn discard_pending(&mut self) {
-        self.rumours.clear();
+        self.pending_updates.clear();
         self.changes.clear();
     }
 
-    /// What this instance holds against a member, so that it can answer: unsigned.
+    /// This instance's accusation of a suspected or dead member, unsigned. It is sent to the member so that it can
+    /// refute it.
     pub fn suspicion_about(&self, name: &str) -> Option<Suspicion> {
         let peer = self.peers.get(name)?;
-        let bad = matches!(peer.status, PeerStatus::Suspect { .. } | PeerStatus::Dead { .. });
-        bad.then(|| Suspicion {
-            accuser: self.me.clone(),
+        let accused = matches!(peer.status, PeerStatus::Suspect { .. } | PeerStatus::Dead { .. });
+        accused.then(|| Suspicion {
+            accuser: self.own_name.clone(),
             name: name.to_owned(),
             incarnation: peer.record.incarnation,
             signature: Vec::new(),
@@ -680,7 +750,7 @@
 }
 
 impl Peer {
-    /// Alive as far as is known; a suspect is until its time is over.
+    /// Whether it counts as alive: a suspect does until its suspicion times out.
     pub fn is_live(&self) -> bool {
         matches!(self.status, PeerStatus::Alive | PeerStatus::Suspect { .. })
     }
