--- a/crates/lemontide-cli/src/measure/gossip.rs
+++ b/crates/lemontide-cli/src/measure/gossip.rs
@@ -5,7 +5,7 @@
 use lemontide_standin::day::{Day, DayGossip, What};
 use lemontide_standin::judge::{judge, Verdict};
 use lemontide_standin::run::{self, How};
-use lemontide_standin::town::{name, Plan, Town};
+use lemontide_standin::simulated_network::{instance_name, NetworkConfig, SimulatedNetwork};
 use lemontide_wire::tap::{self, Line};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -101,21 +101,21 @@
 fn town(size: usize, seconds: f64, budget: usize) -> Value {
     // As much work for a large town as for a small one: so many instance-seconds.
     let lasts = (seconds * 20.0 / size as f64).clamp(40.0, seconds);
-    let plan = Plan { bytes_per_s: budget, acquainted: true, ..Plan::of(size) };
-    let mut quiet = Town::new(plan.clone());
-    quiet.pass(lasts);
-    let mean = quiet.mean_bytes(lasts);
-    let mut most = quiet.most_bytes();
+    let plan = NetworkConfig { bytes_per_s: budget, preloaded: true, ..NetworkConfig::of(size) };
+    let mut quiet = SimulatedNetwork::new(plan.clone());
+    quiet.advance(lasts);
+    let mean = quiet.mean_bytes_per_second(lasts);
+    let mut most = quiet.max_bytes_in_a_second();
     for i in 0..3 {
-        (0..3).for_each(|_| quiet.with(i, |node, now| node.record_outcome(now, "s", false)));
+        (0..3).for_each(|_| quiet.with_node(i, |node, now| node.record_outcome(now, "s", false)));
     }
     let mut heard = vec![f64::NAN; size];
     let mut passed = 0.0;
     while passed < 30.0 && heard.iter().any(|at| at.is_nan()) {
-        quiet.pass(0.1);
+        quiet.advance(0.1);
         passed += 0.1;
         for (i, at) in heard.iter_mut().enumerate().filter(|(_, at)| at.is_nan()) {
-            if quiet.with(i, |node, now| node.failure_scores(now).contains_key("s")) {
+            if quiet.with_node(i, |node, now| node.failure_scores(now).contains_key("s")) {
                 *at = passed;
             }
         }
@@ -123,24 +123,24 @@
     let reached = heard.iter().filter(|at| !at.is_nan()).count() as f64 / size as f64;
     let mut spread: Vec<f64> = heard.into_iter().filter(|at| !at.is_nan()).collect();
     spread.sort_by(f64::total_cmp);
-    most = most.max(quiet.most_bytes());
+    most = most.max(quiet.max_bytes_in_a_second());
     let deaths = |loss: f64| {
-        let mut town = Town::new(Plan { loss, seed: 5, ..plan.clone() });
+        let mut town = SimulatedNetwork::new(NetworkConfig { loss, seed: 5, ..plan.clone() });
         let (mut dead, mut passed) = (0usize, 0.0);
         while passed < lasts {
-            town.pass(1.0);
+            town.advance(1.0);
             passed += 1.0;
             for i in 0..size {
-                let changes = town.with(i, |node, _| node.take_changes());
+                let changes = town.with_node(i, |node, _| node.take_changes());
                 dead += changes
                     .iter()
                     .filter(|c| matches!(c, lemontide_gossip::membership::MembershipChange::Died(_)))
                     .count();
             }
         }
-        let most = town.most_bytes();
+        let most = town.max_bytes_in_a_second();
         // Of one instance by another, for each hour of one instance's life.
-        (dead as f64 / (size as f64 * lasts / 3600.0), most, town.acquaintance())
+        (dead as f64 / (size as f64 * lasts / 3600.0), most, town.known_pair_ratio())
     };
     let ((five, most5, knows5), (twenty, most20, knows20)) = (deaths(0.05), deaths(0.2));
     json!({
@@ -244,8 +244,8 @@
     }
     println!(
         "the town's members are named {} to {}",
-        name(0),
-        name(args.towns.last().copied().unwrap_or(1) - 1)
+        instance_name(0),
+        instance_name(args.towns.last().copied().unwrap_or(1) - 1)
     );
     figures["towns"] = json!(towns);
     figures["holds"] = json!(fine);
--- a/crates/lemontide-standin/src/lib.rs
+++ b/crates/lemontide-standin/src/lib.rs
@@ -3,16 +3,16 @@
 
 pub mod crowd;
 pub mod day;
+pub mod gossip_setup;
 pub mod import;
 pub mod judge;
-pub mod liar;
 pub mod load;
 pub mod model;
 pub mod platform;
 pub mod player;
 pub mod relay;
 pub mod run;
+pub mod simulated_network;
 pub mod soak;
 pub mod streamer;
 pub mod swarm;
-pub mod town;
--- a/crates/lemontide-standin/src/run.rs
+++ b/crates/lemontide-standin/src/run.rs
@@ -2,7 +2,7 @@
 //! troubles by the clock. Every end writes a tap into the day's folder.
 
 use crate::day::{Day, Trouble, What};
-use crate::liar::{self, Gossips};
+use crate::gossip_setup::{self, GossipSetup};
 use crate::player::{draw, Audience};
 use crate::relay::Relay;
 use crate::streamer::{Fault, Fleet};
@@ -149,7 +149,7 @@
     list: List,
     audience: Arc<Audience>,
     controllers: Vec<Option<Child>>,
-    gossips: Option<Gossips>,
+    gossips: Option<GossipSetup>,
     relay: Relay,
     /// Where each controller finds each streamer, where something stands between.
     ways: Vec<Vec<SocketAddr>>,
@@ -171,11 +171,11 @@
     let controllers = day.controllers.iter().map(|_| None).collect();
     let relay = Relay::new(day.seed);
     let mut gossips = match &day.gossip {
-        Some(terms) => Some(Gossips::prepare(day.controllers.len(), terms, &how.folder)?),
+        Some(terms) => Some(GossipSetup::prepare(day.controllers.len(), terms, &how.folder)?),
         None => None,
     };
     if let Some(gossips) = &mut gossips {
-        gossips.through(&relay).await?;
+        gossips.route_through(&relay).await?;
     }
     let mut ways = Vec::new();
     if day.harms_links() {
@@ -206,7 +206,7 @@
     }
     if let (Some(gossips), Some(true)) = (&hand.gossips, day.gossip.as_ref().map(|terms| terms.liar)) {
         let names = day.streamers.iter().map(|streamer| streamer.name.clone()).collect();
-        tokio::spawn(liar::lies(gossips.liar(clock).await?, names, clock));
+        tokio::spawn(gossip_setup::run_lying_member(gossips.lying_member(clock).await?, names, clock));
     }
     let viewers = draw(&day);
     let count = viewers.len();
--- a/crates/lemontide-standin/src/swarm.rs
+++ b/crates/lemontide-standin/src/swarm.rs
@@ -3,7 +3,7 @@
 
 use crate::day::Day;
 use crate::model::{Conn, Model, Out, Stand};
-use crate::town::{Plan as Words, Town};
+use crate::simulated_network::{NetworkConfig, SimulatedNetwork};
 use lemontide::clock::{Point, Span};
 use lemontide_front::core::{Driver, Effect, Shared};
 use lemontide_wire::cmcd::Cmcd;
@@ -89,7 +89,7 @@
     plan: Plan,
     day: Day,
     model: Model,
-    town: Option<Town>,
+    town: Option<SimulatedNetwork>,
     instances: Vec<Option<Instance>>,
     by_conn: BTreeMap<Conn, (usize, usize)>,
     list: List,
@@ -147,8 +147,13 @@
         let weights = (0..plan.controllers)
             .map(|_| (plan.uneven * (chance.random::<f64>() + chance.random::<f64>() - 1.0) * 2.0).exp())
             .collect();
-        let town = (plan.views == Views::Gossip)
-            .then(|| Town::new(Words { acquainted: true, seed: plan.seed, ..Words::of(plan.controllers) }));
+        let town = (plan.views == Views::Gossip).then(|| {
+            SimulatedNetwork::new(NetworkConfig {
+                preloaded: true,
+                seed: plan.seed,
+                ..NetworkConfig::of(plan.controllers)
+            })
+        });
         let mut swarm = Swarm {
             model: Model::new(&day, BEGIN),
             list: day.first_list(&nowhere),
@@ -207,7 +212,7 @@
             self.model.disconnected(at, conn);
         }
         if let Some(town) = &mut self.town {
-            town.up[me] = false;
+            town.running[me] = false;
         }
     }
 
@@ -414,7 +419,7 @@
         let Some(town) = &mut self.town else { return 1.0 };
         let (mut right, mut all) = (0, 0);
         for me in (0..up.len()).filter(|me| up[*me]) {
-            let numbers = town.with(me, |node, _| node.gone_since_by_number());
+            let numbers = town.with_node(me, |node, _| node.gone_since_by_number());
             let lives = |other: usize| matches!(numbers.get(&(other as u32)), Some(None));
             for other in (0..up.len()).filter(|other| *other != me) {
                 all += 1;
@@ -507,10 +512,10 @@
 
     fn hand_over(&mut self) {
         if let Some(mut town) = self.town.take() {
-            town.pass(HAND_OVER);
+            town.advance(HAND_OVER);
             for me in 0..self.instances.len() {
                 if self.instances[me].is_some() {
-                    let numbers = town.with(me, |node, _| node.gone_since_by_number());
+                    let numbers = town.with_node(me, |node, _| node.gone_since_by_number());
                     self.with(me, |driver, now| driver.fleet(now, &numbers));
                 }
             }
