--- a/crates/lemontide-front/src/gossip.rs
+++ b/crates/lemontide-front/src/gossip.rs
@@ -4,10 +4,10 @@
 use crate::events::Happened;
 use crate::settings::{read_json, Gossip};
 use lemontide::clock::{Point, Span};
-use lemontide_gossip::keys::{Networks, Own, Ring};
-use lemontide_gossip::membership::Pace;
-use lemontide_gossip::message::LARGEST;
-use lemontide_gossip::node::{Node, Terms, View};
+use lemontide_gossip::authentication::{AllowedNetworks, Keyring, OwnKey};
+use lemontide_gossip::membership::Timing;
+use lemontide_gossip::message::MAX_DATAGRAM_BYTES;
+use lemontide_gossip::node::{GossipView, Node, NodeConfig};
 use lemontide_wire::clock::Clock;
 use lemontide_wire::tap::{Tap, What};
 use std::collections::{BTreeMap, BTreeSet};
@@ -34,7 +34,7 @@
     pub good: bool,
 }
 
-type Questions = mpsc::Sender<oneshot::Sender<View>>;
+type Questions = mpsc::Sender<oneshot::Sender<GossipView>>;
 
 /// Reads a key of 64 hex digits.
 pub fn key(text: &str) -> Option<[u8; 32]> {
@@ -50,12 +50,12 @@
 }
 
 /// Reads the secret and the ring. Errors name the file and the remedy.
-fn keys(terms: &Gossip) -> io::Result<(Own, Ring)> {
+fn keys(terms: &Gossip) -> io::Result<(OwnKey, Keyring)> {
     let wrong = |file: &Path, what: &str| io::Error::other(format!("{}: {what}", file.display()));
     let secret = std::fs::read_to_string(&terms.secret).map_err(|e| wrong(&terms.secret, &e.to_string()))?;
     let secret = key(&secret).ok_or_else(|| wrong(&terms.secret, "a secret key is 64 hex digits"))?;
     let listed: BTreeMap<String, Vec<String>> = read_json(&terms.keys).map_err(io::Error::other)?;
-    let mut ring = Ring::default();
+    let mut ring = Keyring::default();
     for (name, publics) in &listed {
         for (i, public) in publics.iter().enumerate() {
             let at = format!("at {name}[{i}]: ");
@@ -64,10 +64,10 @@
             ring.add(name, &public).map_err(|what| wrong(&terms.keys, &(at + what)))?;
         }
     }
-    if !ring.knows(&terms.name) {
+    if !ring.contains(&terms.name) {
         return Err(wrong(&terms.keys, &format!("it has no key of {}; list this instance, too", terms.name)));
     }
-    Ok((Own::new(&secret), ring))
+    Ok((OwnKey::new(&secret), ring))
 }
 
 /// Starts to gossip. What was seen goes in by the first sender; the second takes questions of operators.
@@ -84,24 +84,24 @@
     let socket = UdpSocket::bind(terms.listen).await?;
     let node = Node::new(
         Point::at(clock.now()),
-        Terms {
+        NodeConfig {
             name: terms.name.clone(),
             address: terms.advertise.map_or_else(|| socket.local_addr(), Ok)?,
             number,
-            own,
-            ring,
-            networks: Networks::new(&terms.networks),
+            own_key: own,
+            keyring: ring,
+            allowed_networks: AllowedNetworks::new(&terms.networks),
             seeds: terms.seeds.clone(),
-            pace: Pace {
-                period: Span::of(terms.period_s),
-                timeout: Span::of(terms.period_s * TIMEOUT_PART),
-                heal: Span::of(terms.period_s * HEAL_PERIODS),
-                ..Pace::default()
+            timing: Timing {
+                probe_period: Span::of(terms.period_s),
+                probe_timeout: Span::of(terms.period_s * TIMEOUT_PART),
+                sync_interval: Span::of(terms.period_s * HEAL_PERIODS),
+                ..Timing::default()
             },
             bytes_per_s: terms.bytes_per_s,
             // Unlike that of any earlier process of this instance, whatever its clock says.
-            boot: rand::random(),
-            seed,
+            boot_id: rand::random(),
+            rng_seed: seed,
         },
     );
     let (heard, hears) = mpsc::channel(EVIDENCE_MOST);
@@ -118,19 +118,19 @@
     clock: Clock,
     tap: Tap,
     mut hears: mpsc::Receiver<Heard>,
-    mut asked: mpsc::Receiver<oneshot::Sender<View>>,
+    mut asked: mpsc::Receiver<oneshot::Sender<GossipView>>,
     mut stopped: watch::Receiver<bool>,
     reports: mpsc::Sender<Happened>,
 ) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else { return };
-    let mut bytes = [0u8; LARGEST + 1];
+    let mut bytes = [0u8; MAX_DATAGRAM_BYTES + 1];
     let mut handed: BTreeSet<String> = BTreeSet::new();
-    let shares = node.members.record.number.is_some();
+    let shares = node.membership.own_record.number.is_some();
     let mut hand_over = Instant::now();
     let (mut second, mut sent) = (clock.now().floor(), 0);
     loop {
         let now = || Point::at(clock.now());
-        let next = clock.instant(crate::core::seconds(node.next()));
+        let next = clock.instant(crate::core::seconds(node.next_tick_at()));
         // A tick that could not do all it wanted must not become a busy loop.
         let next = Instant::from_std(next).max(Instant::now() + Duration::from_millis(5)).min(hand_over);
         let _ = timeout_at(next, async {
@@ -140,7 +140,7 @@
                         node.receive(now(), from, &bytes[..length]);
                     }
                 }
-                Some(seen) = hears.recv() => node.saw(now(), &seen.streamer, seen.good),
+                Some(seen) = hears.recv() => node.record_outcome(now(), &seen.streamer, seen.good),
                 Some(reply) = asked.recv() => { let _ = reply.send(node.view(now())); }
                 // Who leaves in order says so: nobody waits for a suspicion to last out.
                 Ok(()) = stopped.changed(), if !*stopped.borrow() => node.leave(now()),
@@ -162,12 +162,12 @@
             // A datagram that can't leave is a lost one, and the protocol lives with those.
             let _ = socket.try_send_to(&datagram, to);
         }
-        for change in node.changes() {
+        for change in node.take_changes() {
             tracing::info!(target: "gossip", ?change);
         }
         if Instant::now() >= hand_over {
             hand_over = Instant::now() + HAND_OVER;
-            let weights = node.weights(now());
+            let weights = node.failure_scores(now());
             // Who is not suspected any more is told as such, once.
             let gone =
                 handed.iter().filter(|name| !weights.contains_key(*name)).map(|name| (name.clone(), 0.0));
@@ -180,7 +180,7 @@
             }
             handed = weights.into_keys().collect();
             if shares {
-                let _ = reports.try_send(Happened::Fleet(node.numbers()));
+                let _ = reports.try_send(Happened::Fleet(node.gone_since_by_number()));
             }
         }
     }
