--- a/crates/lemontide-drill/src/wire.rs
+++ b/crates/lemontide-drill/src/wire.rs
@@ -2,7 +2,7 @@
 
 use lemontide::clock::{Point, Span};
 use lemontide::control::{Controller, Handle};
-use lemontide::interface::{Ending, Line, Load, Results, Stage, Wish};
+use lemontide::interface::{Actions, AttemptOutcome, Load, Request, StreamerEntry, StreamerState};
 use serde::Deserialize;
 use serde_json::{json, Value as Json};
 use std::collections::{BTreeMap, HashMap};
@@ -113,7 +113,7 @@
 #[derive(Default)]
 pub struct Hosts {
     hosts: BTreeMap<i64, Host>,
-    pages: HashMap<i64, Vec<Line>>,
+    pages: HashMap<i64, Vec<StreamerEntry>>,
 }
 
 fn decode<T: serde::de::DeserializeOwned>(name: &str, body: Json) -> Result<T, String> {
@@ -201,17 +201,17 @@
             "Request" | "Inherited" => {
                 let news: News = decode(name, body)?;
                 let (tenant, title) = (words(&news.owner), words(&news.title));
-                let wish = Wish {
+                let wish = Request {
                     id: news.op_id,
-                    lane: &news.priority,
+                    class: &news.priority,
                     tenant: &tenant,
                     title: &title,
-                    cut_off: news.give_up_at.map_or(now, Point::at),
-                    home: news.base,
-                    copies: news.span,
-                    top: news.top,
-                    returned: news.returned,
-                    length: news.weight_hint.map(Span::of),
+                    deadline: news.give_up_at.map_or(now, Point::at),
+                    first_cell: news.base,
+                    replicas: news.span,
+                    max_rung: news.top,
+                    is_retry: news.returned,
+                    expected_duration: news.weight_hint.map(Span::of),
                 };
                 let handle = match name {
                     "Request" => controller.take(now, &wish),
@@ -236,16 +236,15 @@
                     }
                     (_, 1) => handle.short(controller, now, news.level),
                     (_, 2) => handle.at_rung(controller, now, news.level.max(0.0) as usize),
-                    (_, 3) => handle.load(controller, now, Load::link(news.level)),
-                    (_, 4) => handle.load(controller, now, Load::rack(news.level)),
+                    (_, 3) => handle.load(controller, now, Load::of_link(news.level)),
+                    (_, 4) => handle.load(controller, now, Load::of_uplink(news.level)),
                     _ => {}
                 }
             }
             _ => {}
         }
         encode(now, &controller.results, output);
-        for id in controller.results.turned_back.iter().map(|(id, _)| id).chain(&controller.results.scrapped)
-        {
+        for id in controller.results.rejected.iter().map(|(id, _)| id).chain(&controller.results.failed) {
             handles.remove(id);
         }
         controller.results.clear();
@@ -254,34 +253,34 @@
 }
 
 impl Entry {
-    fn line(self) -> Line {
-        Line {
+    fn line(self) -> StreamerEntry {
+        StreamerEntry {
             streamer: self.streamer,
             zone: self.site,
             kind: self.sku,
             cell: self.slot_no,
-            stage: match self.stage_state.as_str() {
-                "IN" => Stage::Ready,
-                "LAME" => Stage::Draining,
-                _ => Stage::Gone,
+            state: match self.stage_state.as_str() {
+                "IN" => StreamerState::Ready,
+                "LAME" => StreamerState::Draining,
+                _ => StreamerState::Gone,
             },
             weight: self.capacity_hint.unwrap_or(1.0),
-            started: self.came_up.filter(|t| *t != 0.0).map(Point::at),
+            started_at: self.came_up.filter(|t| *t != 0.0).map(Point::at),
         }
     }
 }
 
-fn ending(verdict: i64) -> Ending {
+fn ending(verdict: i64) -> AttemptOutcome {
     match verdict {
-        200 => Ending::Served,
-        502 => Ending::Errored,
-        429 => Ending::SentBack,
-        408 => Ending::TimedOut,
-        521 => Ending::NoConnection,
-        520 => Ending::Broken,
-        444 => Ending::Cancelled,
-        409 => Ending::NotSent,
-        _ => Ending::Unknown,
+        200 => AttemptOutcome::Served,
+        502 => AttemptOutcome::Errored,
+        429 => AttemptOutcome::Refused,
+        408 => AttemptOutcome::TimedOut,
+        521 => AttemptOutcome::NoConnection,
+        520 => AttemptOutcome::ConnectionLost,
+        444 => AttemptOutcome::Cancelled,
+        409 => AttemptOutcome::NotSent,
+        _ => AttemptOutcome::Unknown,
     }
 }
 
@@ -294,33 +293,35 @@
     load
 }
 
-fn encode(now: Point, results: &Results, output: &mut Vec<Json>) {
-    for (id, rung) in &results.rungs {
+fn encode(now: Point, results: &Actions, output: &mut Vec<Json>) {
+    for (id, rung) in &results.rung_changes {
         output.push(json!({"Grade": {"op_id": id, "level": rung}}));
     }
-    for shot in &results.shots {
+    for shot in &results.attempts {
         // A span that would round to nothing must not read as "no time-out".
-        let within = shot.within.seconds();
+        let within = shot.timeout.seconds();
         let within = if within == 0.0 { -1.0 } else { within };
-        output.push(json!({"Assign": {"op_id": shot.id, "allow_for": within, "streamer": &*shot.streamer}}));
+        output.push(
+            json!({"Assign": {"op_id": shot.session, "allow_for": within, "streamer": &*shot.streamer}}),
+        );
     }
-    for (id, after) in &results.turned_back {
+    for (id, after) in &results.rejected {
         let after = after.map(Span::seconds);
         output.push(json!({"SayNo": {"op_id": id, "retry_in": after}}));
     }
-    for id in &results.scrapped {
+    for id in &results.failed {
         output.push(json!({"RespondError": {"op_id": id}}));
     }
     for id in &results.moved {
         output.push(json!({"Migrate": {"op_id": id}}));
     }
-    for streamer in &results.looks {
+    for streamer in &results.probes {
         output.push(json!({"Inspect": {"streamer": &**streamer}}));
     }
-    if results.follow {
+    if results.request_list {
         output.push(json!({"Track": {"want": true}}));
     }
-    if let Some(wake) = results.wake {
+    if let Some(wake) = results.next_tick {
         let span = (wake - now).seconds().max(0.0);
         output.push(json!({"Schedule": {"span": span, "nonce": 1}}));
     }
--- a/crates/lemontide-front/src/core/attempt.rs
+++ b/crates/lemontide-front/src/core/attempt.rs
@@ -2,7 +2,7 @@
 //! another one must hold a `Proof` for the last. That an end was written to a socket, or that this end closed a
 //! connection, proves nothing: the streamer may not have read so far, and order holds within one connection only.
 
-use lemontide::interface::Ending;
+use lemontide::interface::AttemptOutcome;
 
 /// One connection to a streamer: the number of its link and that of the dial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -66,7 +66,7 @@
     /// this one.
     pub is_first: bool,
     /// How it is told to the decision module.
-    pub ending: Ending,
+    pub ending: AttemptOutcome,
     /// Number of the test that was sent behind its end, where one could be sent.
     pub test: Option<u64>,
 }
--- a/crates/lemontide-front/src/core/driver.rs
+++ b/crates/lemontide-front/src/core/driver.rs
@@ -8,7 +8,9 @@
 use super::{seconds, Connection, Evidence, GivenUp, InFleet, Shared, Together, Viewers};
 use lemontide::clock::{Point, Span};
 use lemontide::control::{Controller, Handle};
-use lemontide::interface::{Ending, Line, Load, Sheet, Shot, Stage};
+use lemontide::interface::{
+    AttemptOutcome, ControllerSettings, Load, NewAttempt, StreamerEntry, StreamerState,
+};
 use lemontide_shed::flight::Flight;
 use lemontide_wire::cmcd::Cmcd;
 use lemontide_wire::cmsd::Dynamic;
@@ -125,7 +127,7 @@
     out: Option<Out>,
     pub playing: bool,
     left: bool,
-    last: Option<Ending>,
+    last: Option<AttemptOutcome>,
 }
 
 struct Known {
@@ -160,7 +162,7 @@
 }
 
 impl Driver {
-    pub fn start(now: Point, seed: u64, sheet: &Sheet, terms: Terms) -> Driver {
+    pub fn start(now: Point, seed: u64, sheet: &ControllerSettings, terms: Terms) -> Driver {
         Driver {
             module: Controller::start(now, seed, sheet),
             together: terms.together.as_ref().and_then(|shared| Together::new(now, shared)),
@@ -240,7 +242,7 @@
                 self.tell(self.known[at].entry.clone());
             }
         }
-        let lines: Vec<Line> = self.known.iter().map(Known::line).collect();
+        let lines: Vec<StreamerEntry> = self.known.iter().map(Known::line).collect();
         self.module.learn(now, &lines, true);
         self.carry_out(now);
         for at in 0..self.known.len() {
@@ -248,7 +250,7 @@
             self.known[at].link.wanted = stage != list::Stage::Gone;
             if stage != list::Stage::Ready {
                 let shots = self.known[at].link.withdraw_set_ups();
-                self.end_shots(now, at, shots, Ending::NotSent);
+                self.end_shots(now, at, shots, AttemptOutcome::NotSent);
             }
         }
         self.look_after_links(now, Span::ZERO);
@@ -281,17 +283,17 @@
         let lasts = wish.give_up_in_s.filter(|s| s.is_finite()).map_or(Span::of(1e6), Span::of);
         let gone_at = asked + lasts.min(self.terms.lanes[lane].1);
         let known = cmcd.session.as_ref().is_some_and(|session| self.viewers.returns(now, session));
-        let wish_here = lemontide::interface::Wish {
+        let wish_here = lemontide::interface::Request {
             id,
-            lane: &wish.lane,
+            class: &wish.lane,
             tenant: &wish.tenant,
             title: &wish.title,
-            cut_off: gone_at - ANSWER_MARGIN,
-            home,
-            copies,
-            top: self.top(lane, wish, cmcd),
-            returned: wish.returned || known,
-            length: wish.length_s.filter(|s| s.is_finite()).map(Span::of),
+            deadline: gone_at - ANSWER_MARGIN,
+            first_cell: home,
+            replicas: copies,
+            max_rung: self.top(lane, wish, cmcd),
+            is_retry: wish.returned || known,
+            expected_duration: wish.length_s.filter(|s| s.is_finite()).map(Span::of),
         };
         let lane_name = wish.lane.clone();
         self.effects.push(Effect::Tap(What::Asked {
@@ -310,7 +312,7 @@
             ask: wish.ask.clone(),
             title: wish.title.clone(),
             lane,
-            cut_off: wish_here.cut_off,
+            cut_off: wish_here.deadline,
             at: usize::MAX,
             rung: 0,
             shots: 0,
@@ -353,7 +355,7 @@
         if held.playing {
             let shot = held.shots - 1;
             self.order(now, at, Order::Cancel(Cancel { id, shot, why: why.into() }));
-            handle.ended(&mut self.module, now, Ending::Cancelled, true, Load::default());
+            handle.ended(&mut self.module, now, AttemptOutcome::Cancelled, true, Load::default());
             self.held.remove(&id);
             self.effects.push(Effect::News { id, news: News::Over { why: over } });
             self.carry_out(now);
@@ -368,7 +370,7 @@
             Some(out) if out.handed.is_none() => {
                 let shot = (id, out.number);
                 self.known[at].link.withdraw(shot);
-                self.end_shots(now, at, vec![shot], Ending::NotSent);
+                self.end_shots(now, at, vec![shot], AttemptOutcome::NotSent);
             }
             Some(out) => {
                 let shot = out.number;
@@ -464,11 +466,17 @@
     }
 
     /// Tells of what was seen of a streamer, if it says anything of its health.
-    fn saw(&mut self, at: usize, ending: Ending) {
+    fn saw(&mut self, at: usize, ending: AttemptOutcome) {
         let good = match ending {
-            Ending::Served => true,
-            Ending::Errored | Ending::TimedOut | Ending::NoConnection | Ending::Broken => false,
-            Ending::SentBack | Ending::Cancelled | Ending::NotSent | Ending::Unknown => return,
+            AttemptOutcome::Served => true,
+            AttemptOutcome::Errored
+            | AttemptOutcome::TimedOut
+            | AttemptOutcome::NoConnection
+            | AttemptOutcome::ConnectionLost => false,
+            AttemptOutcome::Refused
+            | AttemptOutcome::Cancelled
+            | AttemptOutcome::NotSent
+            | AttemptOutcome::Unknown => return,
         };
         if let Some(known) = self.known.get(at) {
             self.effects.push(Effect::Saw { streamer: known.entry.streamer.clone(), good });
@@ -521,18 +529,18 @@
             let is_out =
                 |held: &Held| held.out.as_ref().is_some_and(|o| o.handed.is_some() && o.given_up.is_none());
             let on_it = |held: &Held| held.at == at && (held.playing || is_out(held));
-            self.saw(at, Ending::Broken);
+            self.saw(at, AttemptOutcome::ConnectionLost);
             let broken: Vec<_> =
                 self.held.iter().filter(|(_, h)| on_it(h)).map(|(id, h)| (*id, h.playing)).collect();
             for (id, playing) in broken {
                 if playing {
-                    self.ended(now, id, Ending::Broken, Load::default());
+                    self.ended(now, id, AttemptOutcome::ConnectionLost, Load::default());
                 } else {
-                    self.in_doubt(now, id, Ending::Broken, None);
+                    self.in_doubt(now, id, AttemptOutcome::ConnectionLost, None);
                 }
             }
         }
-        self.end_shots(now, at, waiting, Ending::NoConnection);
+        self.end_shots(now, at, waiting, AttemptOutcome::NoConnection);
     }
 
     /// The orders of the last batch are written, but for these set-ups, whose time was over: they never ran.
@@ -541,7 +549,7 @@
             return;
         }
         self.known[at].link.wrote();
-        self.end_shots(now, at, unsent, Ending::NotSent);
+        self.end_shots(now, at, unsent, AttemptOutcome::NotSent);
         self.carry_out(now);
         self.pump(now, at);
     }
@@ -566,16 +574,16 @@
                     how: tap::How::Served,
                 }));
                 handle.plays(&mut self.module, now);
-                self.saw(at, Ending::Served);
-                self.landed(now, at, handed, Ending::Served);
-                if load.link.is_some() || load.rack.is_some() {
+                self.saw(at, AttemptOutcome::Served);
+                self.landed(now, at, handed, AttemptOutcome::Served);
+                if load.link_utilization.is_some() || load.uplink_utilization.is_some() {
                     handle.load(&mut self.module, now, load);
                 }
                 if self.held.get(&plays.id).is_some_and(|held| held.left) {
                     // It played before the cancel came: it is ended like one that plays.
                     let cancel = Cancel { id: plays.id, shot: plays.shot, why: Why::Left.into() };
                     self.order(now, at, Order::Cancel(cancel));
-                    self.ended(now, plays.id, Ending::Cancelled, Load::default());
+                    self.ended(now, plays.id, AttemptOutcome::Cancelled, Load::default());
                 } else {
                     let entry = &self.known[at].entry;
                     let answer = Answer::Plays {
@@ -591,12 +599,12 @@
             }
             Told::Ended(ended) => {
                 let (how, ending) = match ended.how() {
-                    How::Served => (tap::How::Served, Ending::Served),
-                    How::SentBack => (tap::How::SentBack, Ending::SentBack),
-                    How::Cancelled => (tap::How::Cancelled, Ending::Cancelled),
-                    How::Errored => (tap::How::Errored, Ending::Errored),
+                    How::Served => (tap::How::Served, AttemptOutcome::Served),
+                    How::SentBack => (tap::How::SentBack, AttemptOutcome::Refused),
+                    How::Cancelled => (tap::How::Cancelled, AttemptOutcome::Cancelled),
+                    How::Errored => (tap::How::Errored, AttemptOutcome::Errored),
                     // A newer streamer's word: it may have run.
-                    How::Unspecified => (tap::How::Errored, Ending::Unknown),
+                    How::Unspecified => (tap::How::Errored, AttemptOutcome::Unknown),
                 };
                 let Some(held) = self.held.get(&ended.id).filter(|held| held.at == at) else { return };
                 let out = held.out.as_ref().map(|out| out.number);
@@ -754,22 +762,22 @@
     fn carry_out(&mut self, now: Point) {
         loop {
             let mut results = std::mem::take(&mut self.module.results);
-            self.wake = results.wake.or(self.wake);
+            self.wake = results.next_tick.or(self.wake);
             let nothing = results == Default::default();
-            for (id, rung) in results.rungs.drain(..) {
+            for (id, rung) in results.rung_changes.drain(..) {
                 self.set_rung(now, id, rung);
             }
-            for shot in results.shots.drain(..) {
+            for shot in results.attempts.drain(..) {
                 self.shoot(now, &shot);
             }
-            for (id, after) in results.turned_back.drain(..) {
+            for (id, after) in results.rejected.drain(..) {
                 let Some(held) = self.held.remove(&id) else { continue };
                 self.explain(now, "turned back", &held);
                 let retry_after_s = after.map(Span::seconds);
                 let answer = Answer::TurnedBack { ask: held.ask, retry_after_s };
                 self.answer(id, answer, held.lane, held.shots);
             }
-            for id in results.scrapped.drain(..) {
+            for id in results.failed.drain(..) {
                 let Some(held) = self.held.remove(&id) else { continue };
                 self.explain(now, "scrapped", &held);
                 self.answer(id, Answer::Scrapped { ask: held.ask }, held.lane, held.shots);
@@ -777,7 +785,7 @@
             for id in results.moved.drain(..) {
                 self.end(now, id, Why::Moved, Over::Moved);
             }
-            for streamer in results.looks.drain(..) {
+            for streamer in results.probes.drain(..) {
                 self.look_at(now, &streamer);
             }
             if nothing {
@@ -856,20 +864,20 @@
 }
 
 impl Known {
-    fn line(&self) -> Line {
+    fn line(&self) -> StreamerEntry {
         let started = self.entry.started.unwrap_or(0.0).max(self.welcomed.unwrap_or(0.0));
-        Line {
+        StreamerEntry {
             streamer: self.entry.streamer.clone(),
             zone: self.entry.zone.clone(),
             kind: self.entry.kind.clone(),
             cell: self.entry.cell,
-            stage: match self.entry.stage {
-                list::Stage::Ready => Stage::Ready,
-                list::Stage::Draining => Stage::Draining,
-                list::Stage::Gone => Stage::Gone,
+            state: match self.entry.stage {
+                list::Stage::Ready => StreamerState::Ready,
+                list::Stage::Draining => StreamerState::Draining,
+                list::Stage::Gone => StreamerState::Gone,
             },
             weight: self.entry.weight,
-            started: (started > 0.0).then(|| Point::at(started)),
+            started_at: (started > 0.0).then(|| Point::at(started)),
         }
     }
 }
@@ -878,5 +886,9 @@
 fn load(cmsd_dynamic: &str) -> Load {
     let Some(dynamic) = Dynamic::read(cmsd_dynamic) else { return Load::default() };
     let sane = |value: Option<f64>| value.filter(|v| v.is_finite() && *v >= 0.0);
-    Load { streams: sane(dynamic.streams), link: sane(dynamic.link), rack: sane(dynamic.rack) }
+    Load {
+        streams: sane(dynamic.streams),
+        link_utilization: sane(dynamic.link),
+        uplink_utilization: sane(dynamic.rack),
+    }
 }
--- a/crates/lemontide-front/src/core/driver/attempts.rs
+++ b/crates/lemontide-front/src/core/driver/attempts.rs
@@ -4,12 +4,12 @@
 use super::*;
 
 impl Driver {
-    pub(super) fn shoot(&mut self, now: Point, shot: &Shot) {
-        let id = shot.id;
+    pub(super) fn shoot(&mut self, now: Point, shot: &NewAttempt) {
+        let id = shot.session;
         let Some(at) = self.by_name.get(&*shot.streamer).copied() else { return };
         let Some(held) = self.held.get_mut(&id) else { return };
         let (number, lane, rung) = (held.shots, held.lane, held.rung);
-        let deadline = now + shot.within;
+        let deadline = now + shot.timeout;
         // A decision is of its moment: a set-up that can't leave soon goes back to the module.
         let not_after = deadline.min(now + self.terms.dial_timeout);
         held.shots += 1;
@@ -23,23 +23,23 @@
             lane: self.terms.lanes[lane].0.clone(),
             rung: rung as u32,
             rate_kb: self.rate_kb(lane, rung).round() as u32,
-            within_ms: (shot.within.seconds() * 1e3).max(0.0) as u32,
+            within_ms: (shot.timeout.seconds() * 1e3).max(0.0) as u32,
         });
         if let Some(held) = self.held.get(&id) {
             self.explain(now, "shot", held);
         }
-        if shot.within <= Span::ZERO || self.known[at].entry.stage != list::Stage::Ready {
-            return self.end_shots(now, at, vec![(id, number)], Ending::NotSent);
+        if shot.timeout <= Span::ZERO || self.known[at].entry.stage != list::Stage::Ready {
+            return self.end_shots(now, at, vec![(id, number)], AttemptOutcome::NotSent);
         }
         if self.known[at].link.may_dial(now) {
             self.dial(now, at);
         }
         let link = &mut self.known[at].link;
         if !link.is_up() && !link.is_dialling() {
-            return self.end_shots(now, at, vec![(id, number)], Ending::NoConnection);
+            return self.end_shots(now, at, vec![(id, number)], AttemptOutcome::NoConnection);
         }
         if !link.push(Queued { order, shot: Some((id, number)), not_after: Some(not_after) }) {
-            return self.end_shots(now, at, vec![(id, number)], Ending::NotSent);
+            return self.end_shots(now, at, vec![(id, number)], AttemptOutcome::NotSent);
         }
         self.due.push(Reverse((not_after, id, number)));
         self.pump(now, at);
@@ -57,27 +57,27 @@
         } else if out.handed.is_none() {
             if now >= out.not_after {
                 self.known[at].link.withdraw((id, shot));
-                self.end_shots(now, at, vec![(id, shot)], Ending::NoConnection);
+                self.end_shots(now, at, vec![(id, shot)], AttemptOutcome::NoConnection);
             }
         } else if now >= out.deadline {
             let left = held.left;
             self.effects.push(Effect::Tap(What::GaveUp { ask, shot }));
             if left {
-                return self.ended(now, id, Ending::TimedOut, Load::default());
+                return self.ended(now, id, AttemptOutcome::TimedOut, Load::default());
             }
             let dial = self.known[at].link.dial;
             self.order(now, at, Order::Cancel(Cancel { id, shot, why: Why::TimedOut.into() }));
             let test = self.is_current(at, dial).then(|| self.ping(now, at));
             let waits = |held: &Held| held.out.as_ref().is_some_and(|out| out.given_up.is_none());
             if self.held.get(&id).is_some_and(waits) {
-                self.in_doubt(now, id, Ending::TimedOut, test);
+                self.in_doubt(now, id, AttemptOutcome::TimedOut, test);
             }
         }
     }
 
     /// An attempt that has begun is given up. The module may place the wish anew once the attempt is proven over;
     /// where it would not do so anyway, the wish is decided at once.
-    pub(super) fn in_doubt(&mut self, now: Point, id: u32, ending: Ending, test: Option<u64>) {
+    pub(super) fn in_doubt(&mut self, now: Point, id: u32, ending: AttemptOutcome, test: Option<u64>) {
         let Some(held) = self.held.get_mut(&id) else { return };
         let (handle, at, cut_off) = (held.handle, held.at, held.cut_off);
         let Some(out) = held.out.as_mut() else { return };
@@ -114,7 +114,13 @@
     }
 
     /// These shots never left: they are ended as such, where they are still waited for.
-    pub(super) fn end_shots(&mut self, now: Point, at: usize, shots: Vec<(u32, u32)>, ending: Ending) {
+    pub(super) fn end_shots(
+        &mut self,
+        now: Point,
+        at: usize,
+        shots: Vec<(u32, u32)>,
+        ending: AttemptOutcome,
+    ) {
         for (id, number) in shots {
             let held = self.held.get(&id).filter(|held| held.at == at);
             let out = held.and_then(|held| held.out.as_ref());
@@ -126,7 +132,7 @@
 
     /// A shot, or the stream that came of it, ended: the module is told, and what plays is over. A shot that was
     /// handed to a socket must be proven over, unless it was the last.
-    pub(super) fn ended(&mut self, now: Point, id: u32, ending: Ending, load: Load) {
+    pub(super) fn ended(&mut self, now: Point, id: u32, ending: AttemptOutcome, load: Load) {
         let Some(held) = self.held.get_mut(&id) else { return };
         let out = held.out.take();
         held.last = Some(ending);
@@ -140,7 +146,7 @@
             self.held.remove(&id);
         }
         if playing && !left {
-            let why = if ending == Ending::Served { Over::Served } else { Over::Broken };
+            let why = if ending == AttemptOutcome::Served { Over::Served } else { Over::Broken };
             self.effects.push(Effect::News { id, news: News::Over { why } });
         }
     }
@@ -151,12 +157,17 @@
         now: Point,
         at: usize,
         handed: Option<Point>,
-        ending: Ending,
+        ending: AttemptOutcome,
         playing: bool,
     ) {
         self.landed(now, at, handed, ending);
-        let against =
-            !matches!(ending, Ending::Served | Ending::Cancelled | Ending::NotSent | Ending::Unknown);
+        let against = !matches!(
+            ending,
+            AttemptOutcome::Served
+                | AttemptOutcome::Cancelled
+                | AttemptOutcome::NotSent
+                | AttemptOutcome::Unknown
+        );
         if let Some(together) = self.together.as_mut().filter(|_| against) {
             together.spend(now, at);
         }
@@ -167,15 +178,15 @@
     }
 
     /// A set-up that was handed to a link is no longer under way.
-    pub(super) fn landed(&mut self, now: Point, at: usize, handed: Option<Point>, ending: Ending) {
+    pub(super) fn landed(&mut self, now: Point, at: usize, handed: Option<Point>, ending: AttemptOutcome) {
         let Some(handed) = handed else { return };
         let Some(flight) = self.known.get_mut(at).and_then(|known| known.link.flight.as_mut()) else {
             return;
         };
         match ending {
-            Ending::Served => flight.back(now, Some(now - handed)),
+            AttemptOutcome::Served => flight.back(now, Some(now - handed)),
             // Too many at once: it said so, or said nothing.
-            Ending::SentBack | Ending::TimedOut => flight.back(now, None),
+            AttemptOutcome::Refused | AttemptOutcome::TimedOut => flight.back(now, None),
             // This tells of its health, which is the module's to judge, and nothing of its room.
             _ => flight.gone(),
         }
--- a/crates/lemontide-front/src/settings.rs
+++ b/crates/lemontide-front/src/settings.rs
@@ -3,7 +3,7 @@
 
 use crate::core::{Shared, Terms};
 use lemontide::clock::Span;
-use lemontide::interface::{Sheet, Value};
+use lemontide::interface::{ControllerSettings, SettingValue};
 use lemontide_fleet::view::COUNT_MOST;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -550,9 +550,9 @@
     }
 
     /// The settings as the module takes them.
-    pub fn sheet(&self) -> Sheet {
-        let mut sheet = Sheet::new();
-        let mut number = |name: String, value: f64| sheet.insert(name, Value::Number(value));
+    pub fn sheet(&self) -> ControllerSettings {
+        let mut sheet = ControllerSettings::new();
+        let mut number = |name: String, value: f64| sheet.insert(name, SettingValue::Number(value));
         for (name, value) in [
             ("me", self.me as f64),
             ("controllers", self.controllers as f64),
@@ -602,21 +602,21 @@
         for (i, tenant) in self.tenants.iter().enumerate() {
             number(format!("tenants.{i}.quota_per_s"), tenant.quota_per_s);
         }
-        let mut put = |name: String, value: Value| sheet.insert(name, value);
-        put("zone".to_owned(), Value::Text(self.zone.clone()));
-        put("retry_after.allowed".to_owned(), Value::Flag(self.retry_after.allowed));
-        put("looks.allowed".to_owned(), Value::Flag(self.looks.allowed));
+        let mut put = |name: String, value: SettingValue| sheet.insert(name, value);
+        put("zone".to_owned(), SettingValue::Text(self.zone.clone()));
+        put("retry_after.allowed".to_owned(), SettingValue::Flag(self.retry_after.allowed));
+        put("looks.allowed".to_owned(), SettingValue::Flag(self.looks.allowed));
         for (i, lane) in self.lanes.iter().enumerate() {
             let repeat = if lane.repeat == Repeat::Paid { "paid" } else { "free" };
-            put(format!("lanes.{i}.name"), Value::Text(lane.name.clone()));
-            put(format!("lanes.{i}.repeat"), Value::Text(repeat.to_owned()));
-            put(format!("lane_live.{i}"), Value::Flag(lane.live));
+            put(format!("lanes.{i}.name"), SettingValue::Text(lane.name.clone()));
+            put(format!("lanes.{i}.repeat"), SettingValue::Text(repeat.to_owned()));
+            put(format!("lane_live.{i}"), SettingValue::Flag(lane.live));
         }
         for (i, kind) in self.fleet.kinds.iter().enumerate() {
-            put(format!("kinds.{i}"), Value::Text(kind.name.clone()));
+            put(format!("kinds.{i}"), SettingValue::Text(kind.name.clone()));
         }
         for (i, tenant) in self.tenants.iter().enumerate() {
-            put(format!("tenants.{i}.name"), Value::Text(tenant.name.clone()));
+            put(format!("tenants.{i}.name"), SettingValue::Text(tenant.name.clone()));
         }
         sheet
     }
--- a/crates/lemontide-platform/src/codec.rs
+++ b/crates/lemontide-platform/src/codec.rs
@@ -418,7 +418,7 @@
 }
 
 fn put_load(put: &mut impl FnMut(u8, &[u8]), load: &Load) {
-    let named = [("busy_reqs", load.streams), ("x0", load.link), ("x1", load.rack)];
+    let named = [("busy_reqs", load.streams), ("x0", load.link_utilization), ("x1", load.uplink_utilization)];
     let told = named.iter().filter_map(|(name, value)| Some(format!("{name}:{}", (*value)?)));
     let text = told.collect::<Vec<_>>().join(";");
     if !text.is_empty() {
--- a/crates/lemontide-platform/src/config.rs
+++ b/crates/lemontide-platform/src/config.rs
@@ -1,7 +1,7 @@
 //! What the platform tells a controller: the environment, the configuration file, and the list's events in it.
 
 use lemontide::clock::Point;
-use lemontide::interface::{Line, Stage};
+use lemontide::interface::{StreamerEntry, StreamerState};
 use serde::Deserialize;
 use serde_json::Value as Json;
 use std::net::SocketAddr;
@@ -29,11 +29,11 @@
 }
 
 impl Entry {
-    pub fn stage(&self) -> Stage {
+    pub fn stage(&self) -> StreamerState {
         match self.state.as_str() {
-            "in_service" => Stage::Ready,
-            "terminating" => Stage::Draining,
-            _ => Stage::Gone,
+            "in_service" => StreamerState::Ready,
+            "terminating" => StreamerState::Draining,
+            _ => StreamerState::Gone,
         }
     }
 
@@ -42,15 +42,15 @@
         late.then(|| Point::at(self.started_ms / 1e3))
     }
 
-    pub fn line(&self) -> Line {
-        Line {
+    pub fn line(&self) -> StreamerEntry {
+        StreamerEntry {
             streamer: self.id.clone(),
             zone: self.zone.clone(),
             kind: self.kind.clone(),
             cell: self.cell,
-            stage: self.stage(),
+            state: self.stage(),
             weight: self.weight.filter(|w| w.is_finite()).unwrap_or(1.0),
-            started: self.started(),
+            started_at: self.started(),
         }
     }
 }
--- a/crates/lemontide-platform/src/dispatcher.rs
+++ b/crates/lemontide-platform/src/dispatcher.rs
@@ -22,7 +22,9 @@
 use ended::EndedSessions;
 use lemontide::clock::{Point, Span};
 use lemontide::control::{Controller, Handle};
-use lemontide::interface::{Ending, Line, Load, Sheet, Shot, Stage, Value, Wish};
+use lemontide::interface::{
+    AttemptOutcome, ControllerSettings, Load, NewAttempt, Request, SettingValue, StreamerEntry, StreamerState,
+};
 use lemontide_front::core::{Connection, Evidence, GivenUp, Link, Proof, Queued, Verdict};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -358,10 +360,10 @@
 }
 
 impl Dispatcher {
-    pub fn start(now: Point, seed: u64, sheet: &Sheet, terms: Terms) -> Dispatcher {
+    pub fn start(now: Point, seed: u64, sheet: &ControllerSettings, terms: Terms) -> Dispatcher {
         // No message here brings what a look would. Guards against wishes that wait for looks that never come back.
         let mut sheet = sheet.clone();
-        sheet.insert("looks.allowed".to_owned(), Value::Flag(false));
+        sheet.insert("looks.allowed".to_owned(), SettingValue::Flag(false));
         Dispatcher {
             module: Controller::start(now, seed, &sheet),
             terms,
--- a/crates/lemontide-platform/src/dispatcher/attempts.rs
+++ b/crates/lemontide-platform/src/dispatcher/attempts.rs
@@ -21,7 +21,7 @@
     }
 
     /// Gives up an attempt that has begun; what is known of its end. Nothing is written yet.
-    fn give_up(&mut self, attempt: &mut Attempt, ending: Ending) -> GivenUp {
+    fn give_up(&mut self, attempt: &mut Attempt, ending: AttemptOutcome) -> GivenUp {
         let (on, is_first) = (attempt.on, attempt.is_first);
         if let Some(wire) = self.wires.get_mut(&on.link).filter(|_| attempt.given_up.is_none()) {
             wire.open = wire.open.saturating_sub(1);
@@ -57,18 +57,24 @@
     }
 
     /// Ends what is out of a request whose viewer is gone; how it is told to the module.
-    pub(super) fn abandon(&mut self, now: Point, id: u32, held: &Held, mut attempt: Attempt) -> Ending {
+    pub(super) fn abandon(
+        &mut self,
+        now: Point,
+        id: u32,
+        held: &Held,
+        mut attempt: Attempt,
+    ) -> AttemptOutcome {
         let session = held.session;
         if self.withdraw(id, &attempt) {
-            return Ending::NotSent;
+            return AttemptOutcome::NotSent;
         }
         let is_new = attempt.given_up.is_none();
-        let mut attempt = self.give_up(&mut attempt, Ending::Cancelled);
+        let mut attempt = self.give_up(&mut attempt, AttemptOutcome::Cancelled);
         if is_new {
             attempt.test = self.write_end(now, session, attempt.on);
         }
         self.remember_unproven(now, held.at.clone(), session, attempt);
-        Ending::Cancelled
+        AttemptOutcome::Cancelled
     }
 
     pub(super) fn remove(&mut self, now: Point, id: u32) -> Option<Held> {
@@ -100,7 +106,7 @@
         let (handle, conn, session, reply) = (held.handle, held.conn, held.session, held.reply.take());
         tracing::debug!(target: "decision", session = format!("{session:016x}"), streamer = &*held.at, answered = true);
         handle.plays(&mut self.module, now);
-        if load.link.is_some() || load.rack.is_some() {
+        if load.link_utilization.is_some() || load.uplink_utilization.is_some() {
             handle.load(&mut self.module, now, load);
         }
         if let Some(reply) = reply {
@@ -129,9 +135,9 @@
                 self.out_of_time(now, id);
             }
         } else if !has_begun && now >= attempt.not_after {
-            self.never_began(now, vec![(id, number)], Ending::NoConnection);
+            self.never_began(now, vec![(id, number)], AttemptOutcome::NoConnection);
         } else if has_begun && now >= attempt.deadline {
-            self.give_up_in_hand(id, Ending::TimedOut);
+            self.give_up_in_hand(id, AttemptOutcome::TimedOut);
             let test = self.write_end(now, session, on);
             self.suspect(now, on);
             let attempt = self.held.get_mut(&id).and_then(|held| held.attempt.as_mut());
@@ -153,7 +159,7 @@
     }
 
     /// Gives up the attempt of a request in hand; nothing is written yet.
-    pub(super) fn give_up_in_hand(&mut self, id: u32, ending: Ending) {
+    pub(super) fn give_up_in_hand(&mut self, id: u32, ending: AttemptOutcome) {
         let Some(mut attempt) = self.held.get_mut(&id).and_then(|held| held.attempt.take()) else { return };
         self.give_up(&mut attempt, ending);
         if let Some(held) = self.held.get_mut(&id) {
@@ -231,7 +237,7 @@
         let waiting: Vec<_> = self.held.iter().filter_map(|(id, held)| Some((*id, waits(held)?))).collect();
         for (id, (session, at)) in waiting {
             let stage = self.known.get(&at).map(|known| known.entry.stage());
-            if stage.is_none_or(|stage| stage == Stage::Gone) {
+            if stage.is_none_or(|stage| stage == StreamerState::Gone) {
                 // It closed its connections, and the list says that it is no more.
                 let attempt = self.held.get(&id).and_then(|held| held.attempt.as_ref());
                 let Some(given_up) = attempt.and_then(|attempt| attempt.given_up) else { continue };
@@ -264,7 +270,7 @@
     }
 
     /// These attempts never began, and never will: they are ended as such, where they are still waited for.
-    pub(super) fn never_began(&mut self, now: Point, attempts: Vec<(u32, u32)>, ending: Ending) {
+    pub(super) fn never_began(&mut self, now: Point, attempts: Vec<(u32, u32)>, ending: AttemptOutcome) {
         for (id, number) in attempts {
             let attempt = self.held.get(&id).and_then(|held| held.attempt.as_ref());
             let Some(attempt) =
@@ -280,7 +286,14 @@
     }
 
     /// An attempt is proven over: the module is told, and may place the request anew.
-    pub(super) fn attempt_over(&mut self, now: Point, id: u32, ending: Ending, load: Load, proof: Proof) {
+    pub(super) fn attempt_over(
+        &mut self,
+        now: Point,
+        id: u32,
+        ending: AttemptOutcome,
+        load: Load,
+        proof: Proof,
+    ) {
         let Some(held) = self.held.get_mut(&id) else { return };
         let Some(attempt) = held.attempt.take() else { return };
         if proof.allows_a_later_release() && held.is_first_at(&held.at) {
@@ -298,19 +311,19 @@
     }
 
     /// What plays is over: the module is told, and so is its viewer, where it is owed a release.
-    pub(super) fn stream_over(&mut self, now: Point, id: u32, ending: Ending, load: Load) {
+    pub(super) fn stream_over(&mut self, now: Point, id: u32, ending: AttemptOutcome, load: Load) {
         self.tell_ended(now, id, ending, load);
         let Some(held) = self.remove(now, id) else { return };
         match ending {
-            Ending::Served => self.release(now, held.conn, held.session, cause::NORMAL),
+            AttemptOutcome::Served => self.release(now, held.conn, held.session, cause::NORMAL),
             // Its viewer ended it and is owed nothing.
-            Ending::Cancelled => {}
+            AttemptOutcome::Cancelled => {}
             _ => self.release(now, held.conn, held.session, cause::BROKEN),
         }
     }
 
     /// Tells the module how an attempt, or what plays, ended.
-    pub(super) fn tell_ended(&mut self, now: Point, id: u32, ending: Ending, load: Load) {
+    pub(super) fn tell_ended(&mut self, now: Point, id: u32, ending: AttemptOutcome, load: Load) {
         let Some(held) = self.held.get(&id) else { return };
         let (handle, plays) = (held.handle, held.playing.is_some());
         tracing::debug!(
@@ -324,24 +337,24 @@
     pub(super) fn carry_out(&mut self, now: Point) {
         loop {
             let mut results = std::mem::take(&mut self.module.results);
-            self.wake = results.wake.or(self.wake);
+            self.wake = results.next_tick.or(self.wake);
             let nothing = results == Default::default();
-            for (id, rung) in results.rungs.drain(..) {
+            for (id, rung) in results.rung_changes.drain(..) {
                 self.set_rung(now, id, rung);
             }
-            for shot in results.shots.drain(..) {
+            for shot in results.attempts.drain(..) {
                 self.shoot(now, &shot);
             }
-            for (id, after) in results.turned_back.drain(..) {
+            for (id, after) in results.rejected.drain(..) {
                 self.finish(now, id, viewers::turned_back(after), Outcome::Rejected);
             }
-            for id in results.scrapped.drain(..) {
+            for id in results.failed.drain(..) {
                 self.finish(now, id, Body::release(cause::BROKEN), Outcome::Failed);
             }
             for id in results.moved.drain(..) {
                 let Some(held) = self.remove(now, id) else { continue };
                 self.end_at(now, &held.at, held.session);
-                held.handle.ended(&mut self.module, now, Ending::Cancelled, true, Load::default());
+                held.handle.ended(&mut self.module, now, AttemptOutcome::Cancelled, true, Load::default());
                 self.say(held.conn, held.session, Body::Move);
             }
             if nothing {
@@ -381,16 +394,16 @@
         }
     }
 
-    pub(super) fn shoot(&mut self, now: Point, shot: &Shot) {
-        let id = shot.id;
+    pub(super) fn shoot(&mut self, now: Point, shot: &NewAttempt) {
+        let id = shot.session;
         let Some((at, known)) = self.known.get_key_value(&*shot.streamer) else {
             // Guards against a request that waits for ever for an attempt at somebody who is not there.
-            return self.tell_ended(now, id, Ending::NotSent, Load::default());
+            return self.tell_ended(now, id, AttemptOutcome::NotSent, Load::default());
         };
-        let (at, ready) = (at.clone(), known.entry.stage() == Stage::Ready);
+        let (at, ready) = (at.clone(), known.entry.stage() == StreamerState::Ready);
         let link = self.best_link(&at);
         let Some(held) = self.held.get_mut(&id) else { return };
-        let deadline = now + shot.within;
+        let deadline = now + shot.timeout;
         // A decision is of its moment: a set-up that can't leave soon goes back to the module.
         let not_after = deadline.min(now + self.terms.dial_timeout);
         let number = held.shots;
@@ -398,7 +411,7 @@
         held.decided = held.decided.or(Some(now));
         held.at = at.clone();
         let set_up = SetUp {
-            wait_ms: (shot.within.seconds() * 1e3).max(0.0) as u64,
+            wait_ms: (shot.timeout.seconds() * 1e3).max(0.0) as u64,
             rung: Some(held.rung),
             figures: None,
             tenant: String::new(),
@@ -411,24 +424,25 @@
         tracing::debug!(
             target: "decision",
             session = format!("{:016x}", held.session), lane = held.set_up.lane, shot = number,
-            streamer = &*at, rung = held.rung, within_s = shot.within.seconds()
+            streamer = &*at, rung = held.rung, within_s = shot.timeout.seconds()
         );
         // No link has this number: it is not on one yet.
         let on = Connection { link: 0, dial: 0 };
         let is_first = held.is_first_at(&at);
         held.attempt = Some(Attempt { number, on, deadline, not_after, permit, is_first, given_up: None });
-        if shot.within <= Span::ZERO || !ready {
-            return self.never_began(now, vec![(id, number)], Ending::NotSent);
+        if shot.timeout <= Span::ZERO || !ready {
+            return self.never_began(now, vec![(id, number)], AttemptOutcome::NotSent);
         }
         let Some(link) = link.or_else(|| self.redial(now, &at)) else {
             // Where this process has no descriptor left, that tells nothing of the streamer.
-            let why = if self.has_room_to_dial() { Ending::NoConnection } else { Ending::NotSent };
+            let why =
+                if self.has_room_to_dial() { AttemptOutcome::NoConnection } else { AttemptOutcome::NotSent };
             return self.never_began(now, vec![(id, number)], why);
         };
         let Some(wire) = self.wires.get_mut(&link) else { return };
         let queued = Queued { order, shot: Some((id, number)), not_after: Some(not_after) };
         if wire.open >= self.terms.set_ups_a_link || !wire.link.push(queued) {
-            return self.never_began(now, vec![(id, number)], Ending::NotSent);
+            return self.never_began(now, vec![(id, number)], AttemptOutcome::NotSent);
         }
         wire.open += 1;
         let (busy, dial) = (wire.open > 1, wire.link.dial);
--- a/crates/lemontide-platform/src/dispatcher/connections.rs
+++ b/crates/lemontide-platform/src/dispatcher/connections.rs
@@ -147,7 +147,7 @@
         };
         let begun: Vec<u32> = self.held.iter().filter(|(_, held)| begun(held)).map(|(id, _)| *id).collect();
         for id in &begun {
-            self.give_up_in_hand(*id, Ending::Broken);
+            self.give_up_in_hand(*id, AttemptOutcome::ConnectionLost);
         }
         let others = |known: &Known, wires: &BTreeMap<u64, Wire>| {
             known.links.iter().any(|l| *l != link && wires.get(l).is_some_and(|wire| wire.link.is_up()))
@@ -159,12 +159,12 @@
         }
         let kept = known.links.contains(&link);
         let dark = alone.then(|| *known.dark.get_or_insert(now));
-        let gone = known.entry.stage() == Stage::Gone;
+        let gone = known.entry.stage() == StreamerState::Gone;
         let at_once = |wire: &Wire| wire.link.idle.is_none() && wire.link.may_dial(now);
         for id in begun {
             self.in_doubt(now, id);
         }
-        self.never_began(now, waiting, Ending::NoConnection);
+        self.never_began(now, waiting, AttemptOutcome::NoConnection);
         if !kept {
             self.wires.remove(&link);
         }
@@ -189,7 +189,7 @@
         if let Some(wire) = self.wires.get_mut(&on.link) {
             wire.link.wrote();
         }
-        self.never_began(now, unsent, Ending::NotSent);
+        self.never_began(now, unsent, AttemptOutcome::NotSent);
         self.carry_out(now);
         self.pump(now, on.link);
     }
@@ -254,12 +254,12 @@
             Body::Release { cause, .. } if waits && !is_first && !cause::ends_a_set_up(cause) => {}
             Body::Release { cause, load, .. } if waits => {
                 let ending = match cause {
-                    cause::FULL => Ending::SentBack,
-                    cause::ERROR => Ending::Errored,
-                    cause::MOOT => Ending::NotSent,
-                    cause::BROKEN => Ending::Broken,
+                    cause::FULL => AttemptOutcome::Refused,
+                    cause::ERROR => AttemptOutcome::Errored,
+                    cause::MOOT => AttemptOutcome::NotSent,
+                    cause::BROKEN => AttemptOutcome::ConnectionLost,
                     // It may have run, and the process that says so is well: nothing is told of its health.
-                    _ => Ending::Unknown,
+                    _ => AttemptOutcome::Unknown,
                 };
                 let is_refusal = cause::ends_a_set_up(cause);
                 let proof = if is_refusal { Proof::SetUpRefused } else { Proof::Released };
@@ -267,9 +267,9 @@
             }
             Body::Release { cause, load, .. } if plays => {
                 let ending = match cause {
-                    cause::NORMAL => Ending::Served,
-                    cause::CANCELLED => Ending::Cancelled,
-                    _ => Ending::Broken,
+                    cause::NORMAL => AttemptOutcome::Served,
+                    cause::CANCELLED => AttemptOutcome::Cancelled,
+                    _ => AttemptOutcome::ConnectionLost,
                 };
                 if !is_first {
                     // It may be about what an earlier attempt had set up there, and what plays must not stand on.
@@ -280,8 +280,8 @@
             Body::Note(note) if plays => match note {
                 Note::Share(share) => handle.short(&mut self.module, now, share.clamp(0.0, 1.0)),
                 Note::Rung(rung) => handle.at_rung(&mut self.module, now, rung),
-                Note::Link(full) => handle.load(&mut self.module, now, Load::link(full)),
-                Note::Rack(full) => handle.load(&mut self.module, now, Load::rack(full)),
+                Note::Link(full) => handle.load(&mut self.module, now, Load::of_link(full)),
+                Note::Rack(full) => handle.load(&mut self.module, now, Load::of_uplink(full)),
             },
             _ => {}
         }
--- a/crates/lemontide-platform/src/dispatcher/list.rs
+++ b/crates/lemontide-platform/src/dispatcher/list.rs
@@ -5,7 +5,7 @@
 impl Dispatcher {
     /// Takes news of the list. What waits for a streamer that drains or is gone is taken back at once.
     pub fn learn(&mut self, now: Point, hosts: &Hosts) {
-        let mut lines: Vec<Line> = hosts.servers.iter().map(Entry::line).collect();
+        let mut lines: Vec<StreamerEntry> = hosts.servers.iter().map(Entry::line).collect();
         for entry in &hosts.servers {
             self.learn_of(now, entry);
         }
@@ -31,7 +31,7 @@
 
     pub(super) fn learn_of(&mut self, now: Point, entry: &Entry) {
         let Some(known) = self.known.get_mut(&*entry.id) else {
-            if entry.stage() != Stage::Gone {
+            if entry.stage() != StreamerState::Gone {
                 let known = Known { entry: entry.clone(), links: Vec::new(), dark: None };
                 self.known.insert(entry.id.as_str().into(), known);
             }
@@ -56,17 +56,18 @@
         let stage = known.entry.stage();
         for link in known.links.clone() {
             let Some(wire) = self.wires.get_mut(&link) else { continue };
-            wire.link.wanted = stage != Stage::Gone;
-            if stage != Stage::Ready {
+            wire.link.wanted = stage != StreamerState::Gone;
+            if stage != StreamerState::Ready {
                 let shots = self.withdraw_waiting(link);
-                self.never_began(now, shots, Ending::NotSent);
+                self.never_began(now, shots, AttemptOutcome::NotSent);
             }
         }
     }
 
     /// Lets go of a streamer that is gone, once nothing is left of it.
     pub(super) fn forget(&mut self, now: Point, at: &str) {
-        let Some(known) = self.known.get(at).filter(|known| known.entry.stage() == Stage::Gone) else {
+        let Some(known) = self.known.get(at).filter(|known| known.entry.stage() == StreamerState::Gone)
+        else {
             return;
         };
         let up = |link: &u64| self.wires.get(link).is_some_and(|wire| wire.link.is_up());
@@ -94,7 +95,7 @@
         let there = |held: &Held| &*held.at == at && held.playing.is_some_and(&when);
         let ids: Vec<u32> = self.held.iter().filter(|(_, held)| there(held)).map(|(id, _)| *id).collect();
         for id in ids {
-            self.stream_over(now, id, Ending::Broken, Load::default());
+            self.stream_over(now, id, AttemptOutcome::ConnectionLost, Load::default());
         }
     }
 }
--- a/crates/lemontide-platform/src/dispatcher/viewers.rs
+++ b/crates/lemontide-platform/src/dispatcher/viewers.rs
@@ -242,22 +242,22 @@
 
     /// What the module is asked for with a set-up. `read` is when it was read, with how long it may have waited unread:
     /// its time runs from then.
-    fn wish<'a>(&self, id: u32, set_up: &'a SetUp, read: (Point, Span)) -> Wish<'a> {
+    fn wish<'a>(&self, id: u32, set_up: &'a SetUp, read: (Point, Span)) -> Request<'a> {
         let figures = set_up.figures.clone().unwrap_or_default();
         let lane = self.terms.lanes.iter().find(|(name, _)| *name == set_up.lane);
         // The viewer's word counts up to the lane's cut-off: a time far ahead would be kept for ever.
         let wait = Span::of((set_up.wait_ms as f64 / 1e3).min(lane.map_or(0.0, |lane| lane.1.seconds())));
-        Wish {
+        Request {
             id,
-            lane: &set_up.lane,
+            class: &set_up.lane,
             tenant: &set_up.tenant,
             title: &set_up.title,
-            cut_off: (read.0 + wait) - ANSWER_MARGIN - read.1,
-            home: figures.home,
-            copies: figures.copies,
-            top: figures.top,
-            returned: figures.again,
-            length: None,
+            deadline: (read.0 + wait) - ANSWER_MARGIN - read.1,
+            first_cell: figures.home,
+            replicas: figures.copies,
+            max_rung: figures.top,
+            is_retry: figures.again,
+            expected_duration: None,
         }
     }
 
@@ -301,7 +301,7 @@
         let at = at.clone();
         let id = self.next_id();
         let wish = self.wish(id, &set_up, read);
-        let until = wish.cut_off;
+        let until = wish.deadline;
         let handle = self.module.inherit(now, &wish, &at);
         set_up.description = Bytes::new();
         let held = Held::new((conn, session), handle, None, set_up, (read.0, until));
@@ -336,7 +336,7 @@
         }
         let id = self.next_id();
         let wish = self.wish(id, &set_up, read);
-        let until = wish.cut_off;
+        let until = wish.deadline;
         reply.set_due(until + ANSWER_GRACE);
         let handle = self.module.take(now, &wish);
         let held = Held::new((conn, session), handle, Some(reply), set_up, (read.0, until));
@@ -367,7 +367,7 @@
     pub(super) fn viewer_ends(&mut self, now: Point, id: u32) {
         let Some(held) = self.remove(now, id) else { return };
         self.end_at(now, &held.at, held.session);
-        held.handle.ended(&mut self.module, now, Ending::Cancelled, true, Load::default());
+        held.handle.ended(&mut self.module, now, AttemptOutcome::Cancelled, true, Load::default());
         self.carry_out(now);
     }
 
--- a/crates/lemontide-platform/src/serve.rs
+++ b/crates/lemontide-platform/src/serve.rs
@@ -9,7 +9,7 @@
 use crate::{journal, streamers, viewers};
 use futures::FutureExt;
 use lemontide::clock::{Point, Span};
-use lemontide::interface::{number, text, Sheet};
+use lemontide::interface::{get_number, get_text, ControllerSettings};
 use lemontide_front::core::{Connection, Queued};
 use lemontide_wire::clock::Clock;
 use std::collections::HashMap;
@@ -57,11 +57,15 @@
 const READ_AGAIN_MOST: u32 = 10;
 
 /// What the dispatcher itself needs to know of the settings; an error names the one that can't be used.
-pub fn terms(sheet: &Sheet, settings: &serde_json::Value, sockets: usize) -> Result<Terms, String> {
+pub fn terms(
+    sheet: &ControllerSettings,
+    settings: &serde_json::Value,
+    sockets: usize,
+) -> Result<Terms, String> {
     let named = |list: &'static str| {
-        (0..).map_while(move |i| Some((i, text(sheet, &format!("{list}.{i}.name"))?.to_owned())))
+        (0..).map_while(move |i| Some((i, get_text(sheet, &format!("{list}.{i}.name"))?.to_owned())))
     };
-    let cut_off = |i| Span::of(number(sheet, &format!("lanes.{i}.cut_off")).unwrap_or_default());
+    let cut_off = |i| Span::of(get_number(sheet, &format!("lanes.{i}.cut_off")).unwrap_or_default());
     let limit = |name: &str| {
         let value = settings.pointer(&format!("/policy_limits/{name}")).and_then(|v| v.as_f64());
         let above = value.filter(|value| *value > 0.0);
@@ -70,8 +74,8 @@
     Ok(Terms {
         lanes: named("lanes").map(|(i, name)| (name, cut_off(i))).collect(),
         tenants: named("tenants").map(|(_, name)| name).collect(),
-        cells: number(sheet, "cells").unwrap_or(1.0).max(1.0) as usize,
-        rungs: lemontide::interface::row(sheet, "ladder.kb").len().max(1),
+        cells: get_number(sheet, "cells").unwrap_or(1.0).max(1.0) as usize,
+        rungs: lemontide::interface::get_numbers(sheet, "ladder.kb").len().max(1),
         dial_timeout: Span::of(limit("dial_timeout")?),
         set_ups_a_link: limit("streams_per_conn")?.max(1.0) as usize,
         // Viewers hold a third of the descriptors at most; as many again are for the streamers.
--- a/crates/lemontide-platform/tests/codec.rs
+++ b/crates/lemontide-platform/tests/codec.rs
@@ -90,7 +90,7 @@
         panic!("a release")
     };
     assert_eq!((cause, stay_away_ms), (cause::FULL, None));
-    assert_eq!(load, Load { streams: Some(12.0), link: Some(0.4), rack: None });
+    assert_eq!(load, Load { streams: Some(12.0), link_utilization: Some(0.4), uplink_utilization: None });
     for (name, note) in [("quality", Note::Share(0.5)), ("nic", Note::Link(0.5)), ("tor", Note::Rack(0.5))] {
         assert_eq!(read(raw(44, 7, &[(78, name.as_bytes()), (88, b"0.5")])), Body::Note(note));
     }
@@ -125,7 +125,11 @@
     let bytes = || proptest::collection::vec(any::<u8>(), 0..200).prop_map(Bytes::from);
     let load = || {
         let part = || proptest::option::of((0u32..5000).prop_map(|n| f64::from(n) / 1000.0));
-        (part(), part(), part()).prop_map(|(streams, link, rack)| Load { streams, link, rack })
+        (part(), part(), part()).prop_map(|(streams, link, rack)| Load {
+            streams,
+            link_utilization: link,
+            uplink_utilization: rack,
+        })
     };
     let figures = (0..99usize, 0..99usize, 0..9usize, any::<bool>(), proptest::option::of("s-[0-9a-f]{8}"))
         .prop_map(|(home, copies, top, again, at)| Figures { home, copies, top, again, at });
--- a/crates/lemontide-platform/tests/told.rs
+++ b/crates/lemontide-platform/tests/told.rs
@@ -1,6 +1,6 @@
 //! What the platform tells a controller: the configuration file and the journal service's lines.
 
-use lemontide::interface::Stage;
+use lemontide::interface::StreamerState;
 use lemontide_platform::config::Config;
 use lemontide_platform::journal::{read, Heard};
 
@@ -11,7 +11,7 @@
 fn an_event_is_taken_once_and_a_gap_is_asked_about() {
     let Heard::Next(event) = read(EVENT, 3, false) else { panic!("it is the next") };
     let entry = &event.hosts.servers[0];
-    assert_eq!((entry.stage(), entry.cell), (Stage::Draining, 2));
+    assert_eq!((entry.stage(), entry.cell), (StreamerState::Draining, 2));
     assert_eq!(entry.started(), Some(lemontide::clock::Point::at(1.5)));
     assert_eq!(read(EVENT, 4, false), Heard::Nothing, "written twice");
     for first in [false, true] {
--- a/crates/lemontide-sheet/src/lib.rs
+++ b/crates/lemontide-sheet/src/lib.rs
@@ -1,7 +1,7 @@
 //! Turns the wire's nested settings into the module's plain map, and named figures of load into the module's
 //! `Load`; wire names become ours. Used by every adapter that is handed these settings.
 
-use lemontide::interface::{Load, Sheet, Value};
+use lemontide::interface::{ControllerSettings, Load, SettingValue};
 use serde_json::Value as Json;
 
 /// What a setting has to be; a list is spelled out, with its index behind the name.
@@ -93,8 +93,8 @@
 ];
 
 /// Turns the settings into the module's map. An error names the setting and what to give there.
-pub fn sheet(config: &Json) -> Result<Sheet, String> {
-    let mut sheet = Sheet::new();
+pub fn sheet(config: &Json) -> Result<ControllerSettings, String> {
+    let mut sheet = ControllerSettings::new();
     let classes = rows(config, "classes")?;
     for (wire, ours, form, need) in NAMES {
         let value = find(config, wire);
@@ -134,7 +134,7 @@
                 return Err(format!("classes.{i}.effect: not known; give {known}"));
             }
         };
-        sheet.insert(format!("lanes.{i}.repeat"), Value::Text(repeat.to_owned()));
+        sheet.insert(format!("lanes.{i}.repeat"), SettingValue::Text(repeat.to_owned()));
     }
     for (wire, known) in CHOICES {
         let word = find(config, wire).map(|value| value.as_str().unwrap_or_default());
@@ -150,8 +150,8 @@
         Some("probe") if link => "looks",
         _ => "never",
     };
-    sheet.insert("links.told".to_owned(), Value::Text(told.to_owned()));
-    let is = |wire, word| Value::Flag(find(config, wire).and_then(Json::as_str) == Some(word));
+    sheet.insert("links.told".to_owned(), SettingValue::Text(told.to_owned()));
+    let is = |wire, word| SettingValue::Flag(find(config, wire).and_then(Json::as_str) == Some(word));
     sheet.insert("list.on_request".to_owned(), is("membership_mode", "on_request"));
     sheet.insert("link.weight_is_live".to_owned(), is("weight_source", "live"));
     Ok(sheet)
@@ -241,13 +241,19 @@
     }
 }
 
-fn put(sheet: &mut Sheet, place: &str, name: String, value: &Json, form: Form) -> Result<(), String> {
+fn put(
+    sheet: &mut ControllerSettings,
+    place: &str,
+    name: String,
+    value: &Json,
+    form: Form,
+) -> Result<(), String> {
     let value = match (form, value) {
         (Figure | Figures, Json::Number(n)) => {
-            n.as_f64().filter(|n| (0.0..=MOST).contains(n)).map(Value::Number)
+            n.as_f64().filter(|n| (0.0..=MOST).contains(n)).map(SettingValue::Number)
         }
-        (Word | Words, Json::String(s)) => Some(Value::Text(s.clone())),
-        (Switch | Switches, Json::Bool(b)) => Some(Value::Flag(*b)),
+        (Word | Words, Json::String(s)) => Some(SettingValue::Text(s.clone())),
+        (Switch | Switches, Json::Bool(b)) => Some(SettingValue::Flag(*b)),
         _ => None,
     };
     let one = match form {
@@ -265,9 +271,9 @@
 pub fn figure(load: &mut Load, name: &str, value: Option<f64>) {
     match name {
         "busy_reqs" => load.streams = value,
-        "x0" => load.link = value,
-        "cpu_share" => load.link = load.link.or(value),
-        "x1" => load.rack = value,
+        "x0" => load.link_utilization = value,
+        "cpu_share" => load.link_utilization = load.link_utilization.or(value),
+        "x1" => load.uplink_utilization = value,
         _ => {}
     }
 }
--- a/crates/lemontide-sheet/tests/settings.rs
+++ b/crates/lemontide-sheet/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings become the module's map, or an error that names the place and the remedy.
 
-use lemontide::interface::{flag, number, text};
+use lemontide::interface::{get_flag, get_number, get_text};
 use lemontide_sheet::sheet;
 use serde_json::{json, Value as Json};
 
@@ -30,10 +30,19 @@
 #[test]
 fn usable_settings_are_spelled_out_and_unknown_ones_skipped() {
     let sheet = sheet(&settings()).expect("usable");
-    assert_eq!((number(&sheet, "lane_seats.1"), number(&sheet, "lane_scale.1")), (Some(2.0), Some(1.5)));
-    assert_eq!((number(&sheet, "ladder.join"), text(&sheet, "lanes.1.repeat")), (Some(0.2), Some("paid")));
-    assert!(flag(&sheet, "lane_live.0") && !flag(&sheet, "lane_live.1"));
-    assert!(!flag(&sheet, "looks.allowed") && !flag(&sheet, "list.on_request"), "an absent yes is a no");
+    assert_eq!(
+        (get_number(&sheet, "lane_seats.1"), get_number(&sheet, "lane_scale.1")),
+        (Some(2.0), Some(1.5))
+    );
+    assert_eq!(
+        (get_number(&sheet, "ladder.join"), get_text(&sheet, "lanes.1.repeat")),
+        (Some(0.2), Some("paid"))
+    );
+    assert!(get_flag(&sheet, "lane_live.0") && !get_flag(&sheet, "lane_live.1"));
+    assert!(
+        !get_flag(&sheet, "looks.allowed") && !get_flag(&sheet, "list.on_request"),
+        "an absent yes is a no"
+    );
 }
 
 #[test]
@@ -45,7 +54,7 @@
         ("none", json!([]), "never"),
     ] {
         let sheet = sheet(&with("/report", json!({"how": how, "names": names}))).expect("usable");
-        assert_eq!(text(&sheet, "links.told"), Some(told), "{how}");
+        assert_eq!(get_text(&sheet, "links.told"), Some(told), "{how}");
     }
 }
 
--- a/src/books.rs
+++ b/src/books.rs
@@ -1,7 +1,7 @@
 //! The records that a controller keeps: plain bookkeeping, every judgement of it is in `control`.
 
 use crate::clock::{Point, Span};
-use crate::interface::{number, span, text, Sheet};
+use crate::interface::{get_number, get_span, get_text, ControllerSettings};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -53,7 +53,7 @@
 
 /// What the operators state and allow; each rule is read where it is needed.
 pub struct HouseRules {
-    pub sheet: Sheet,
+    pub sheet: ControllerSettings,
     pub born: Point,
     pub turns: Turns,
 }
@@ -68,19 +68,19 @@
 }
 
 impl HouseRules {
-    pub fn number(&self, name: &str, fallback: f64) -> f64 {
-        number(&self.sheet, name).unwrap_or(fallback)
+    pub fn number_or(&self, name: &str, fallback: f64) -> f64 {
+        get_number(&self.sheet, name).unwrap_or(fallback)
     }
 
     pub fn controllers(&self) -> f64 {
-        self.number("controllers", 1.0).max(1.0)
+        self.number_or("controllers", 1.0).max(1.0)
     }
 
     /// Streams that a kind of machine runs at most.
     pub fn places(&self, kind: &str) -> f64 {
-        let of = (0..).map_while(|i| Some((i, text(&self.sheet, &format!("kinds.{i}"))?)));
+        let of = (0..).map_while(|i| Some((i, get_text(&self.sheet, &format!("kinds.{i}"))?)));
         let of = of.filter(|(_, name)| *name == kind).last();
-        of.map_or(f64::INFINITY, |(i, _)| self.number(&format!("kind_streams.{i}"), f64::INFINITY))
+        of.map_or(f64::INFINITY, |(i, _)| self.number_or(&format!("kind_streams.{i}"), f64::INFINITY))
     }
 }
 
@@ -145,8 +145,8 @@
 impl Streamer {
     pub fn is_cold(&self, rules: &HouseRules, now: Point) -> bool {
         // By a clock that is ahead it is warm too early.
-        let apart = span(&rules.sheet, "clocks.apart");
-        self.started.is_some_and(|s| now - s < span(&rules.sheet, "cold.span") + apart)
+        let apart = get_span(&rules.sheet, "clocks.apart");
+        self.started.is_some_and(|s| now - s < get_span(&rules.sheet, "cold.span") + apart)
     }
 }
 
--- a/src/control.rs
+++ b/src/control.rs
@@ -18,7 +18,8 @@
 use crate::chance::Chance;
 use crate::clock::{Point, Span};
 use crate::interface::{
-    flag, number, row, span, text, Ending, Line, Load, Results, Sheet, Shot, Stage, Wish,
+    get_flag, get_number, get_numbers, get_span, get_text, Actions, AttemptOutcome, ControllerSettings, Load,
+    NewAttempt, Request, StreamerEntry, StreamerState,
 };
 use slab::Slab;
 use std::collections::{HashMap, VecDeque};
@@ -101,24 +102,25 @@
     wake_at: Point,
     asking: Asking,
     fleet: Fleet,
-    pub results: Results,
+    pub results: Actions,
 }
 
 impl Controller {
-    pub fn start(now: Point, seed: u64, sheet: &Sheet) -> Controller {
-        let read = |name: &str, fallback: f64| number(sheet, name).unwrap_or(fallback);
+    pub fn start(now: Point, seed: u64, sheet: &ControllerSettings) -> Controller {
+        let read = |name: &str, fallback: f64| get_number(sheet, name).unwrap_or(fallback);
         let join = read("ladder.join", 1.0).clamp(0.0, 1.0);
-        let mut ladder = Ladder { kb: row(sheet, "ladder.kb"), gain: row(sheet, "ladder.gain"), join };
+        let mut ladder =
+            Ladder { kb: get_numbers(sheet, "ladder.kb"), gain: get_numbers(sheet, "ladder.gain"), join };
         ladder.kb.resize(ladder.kb.len().max(1), 1.0);
         ladder.gain.resize(ladder.kb.len(), 1.0);
         let highest = ladder.kb.len() - 1;
         let lane = |i: usize| {
             let of = |what: &str, fallback| read(&format!("lanes.{i}.{what}"), fallback);
-            let mut lane = Lane::unnamed(text(sheet, &format!("lanes.{i}.name"))?, highest);
+            let mut lane = Lane::unnamed(get_text(sheet, &format!("lanes.{i}.name"))?, highest);
             lane.gain = of("gain", 1.0);
             lane.goal = Span::of(of("latency_goal", 1.0));
             // A key that holds at every streamer for as long as a viewer waits is as good as free.
-            let word = |what: &str| text(sheet, &format!("lanes.{i}.{what}"));
+            let word = |what: &str| get_text(sheet, &format!("lanes.{i}.{what}"));
             let keyed = (word("repeat"), word("key_holds")) == (Some("keyed"), Some("all"));
             let covers = keyed && of("key_window", 0.0) >= of("cut_off", f64::INFINITY);
             lane.paid = word("repeat") != Some("free") && !covers;
@@ -126,11 +128,11 @@
             lane.top = (read(&format!("lane_top.{i}"), 1e6) as usize).min(highest);
             lane.scale = read(&format!("lane_scale.{i}"), 1.0).max(0.01);
             lane.seats = read(&format!("lane_seats.{i}"), 0.0) as usize;
-            lane.live = flag(sheet, &format!("lane_live.{i}"));
+            lane.live = get_flag(sheet, &format!("lane_live.{i}"));
             Some(lane)
         };
         let tenant = |i: usize| {
-            let name = text(sheet, &format!("tenants.{i}.name"))?.to_owned();
+            let name = get_text(sheet, &format!("tenants.{i}.name"))?.to_owned();
             let quota_per_s = read(&format!("tenants.{i}.quota_per_s"), f64::INFINITY);
             Some(Tenant { name, quota_per_s, count: None, counted: now })
         };
@@ -153,9 +155,9 @@
             wake_at: now,
             asking: Asking::default(),
             fleet: Fleet::default(),
-            results: Results::default(),
+            results: Actions::default(),
         };
-        if flag(sheet, "list.on_request") {
+        if get_flag(sheet, "list.on_request") {
             controller.ask_again(now, 1.0 - 1.0 / controller.rules.controllers());
         }
         controller
@@ -164,7 +166,7 @@
     /// Sets when the list is asked for: well within the time that the rules give, at random, as hundreds
     /// ask one service. Symptom: all ask at once, most calls fail, and old lists send set-ups into drains.
     fn ask_again(&mut self, now: Point, spread: f64) {
-        let within = span(&self.rules.sheet, "list.ask_within") * ASK_PART;
+        let within = get_span(&self.rules.sheet, "list.ask_within") * ASK_PART;
         let doubled = f64::from(1 << self.asking.failures.min(2));
         let wait = within * (doubled * spread * self.chance.between(0.0, 1.0));
         self.asking.due = Some(now + wait);
@@ -178,7 +180,7 @@
     }
 
     /// Takes news of the list: changed lines, or with `whole` all of it, so that who is missing is gone.
-    pub fn learn(&mut self, now: Point, lines: &[Line], whole: bool) {
+    pub fn learn(&mut self, now: Point, lines: &[StreamerEntry], whole: bool) {
         if self.asking.awaited {
             self.asking = Asking::default();
         }
@@ -190,7 +192,7 @@
         for line in lines {
             let at = match self.by_name.get(&line.streamer) {
                 Some(at) => *at,
-                None if line.stage == Stage::Gone => continue,
+                None if line.state == StreamerState::Gone => continue,
                 None => {
                     let new = Streamer { name: line.streamer.as_str().into(), ..Streamer::default() };
                     let at = self.streamers.insert(new);
@@ -201,17 +203,19 @@
             let streamer = &mut self.streamers[at];
             self.listed += u64::from(streamer.cell != line.cell || streamer.link.kb <= 0.0);
             (streamer.cell, streamer.rack) = (line.cell, line.cell % self.racks.len());
-            streamer.ready = line.stage == Stage::Ready;
-            streamer.gone = streamer.gone.or(Some(now)).filter(|_| line.stage == Stage::Gone);
-            let crossing = self.rules.number("charges.cross_zone", 0.0) > 0.0;
-            streamer.near = !crossing || text(&self.rules.sheet, "zone") == Some(&line.zone);
+            streamer.ready = line.state == StreamerState::Ready;
+            streamer.gone = streamer.gone.or(Some(now)).filter(|_| line.state == StreamerState::Gone);
+            let crossing = self.rules.number_or("charges.cross_zone", 0.0) > 0.0;
+            streamer.near = !crossing || get_text(&self.rules.sheet, "zone") == Some(&line.zone);
             // Of weights that fall with load the largest is the size. Symptom: busy links look small.
-            let seen = if flag(&self.rules.sheet, "link.weight_is_live") { streamer.link.kb } else { 0.0 };
-            streamer.link.kb = seen.max(line.weight.max(0.01) * self.rules.number("link.kb_per_weight", 1.0));
+            let seen =
+                if get_flag(&self.rules.sheet, "link.weight_is_live") { streamer.link.kb } else { 0.0 };
+            streamer.link.kb =
+                seen.max(line.weight.max(0.01) * self.rules.number_or("link.kb_per_weight", 1.0));
             streamer.places = self.rules.places(&line.kind);
-            if line.started > streamer.started {
+            if line.started_at > streamer.started {
                 // A new process holds nothing and is under doubt no more than half.
-                streamer.started = line.started;
+                streamer.started = line.started_at;
                 streamer.odds = streamer.odds.min(DOUBTED / 2.0);
                 (streamer.link.told, streamer.streams) = (None, None);
             }
@@ -222,20 +226,20 @@
     fn ask_wake(&mut self, now: Point) {
         if self.wake_at <= now {
             self.wake_at = now + BEAT;
-            self.results.wake = Some(self.wake_at);
+            self.results.next_tick = Some(self.wake_at);
         }
     }
 
     /// Takes a wish and answers it: with a shot, or with a turn-back.
-    pub fn take(&mut self, now: Point, wish: &Wish) -> Handle {
+    pub fn take(&mut self, now: Point, wish: &Request) -> Handle {
         self.taken.push_back(now);
-        let handle = self.enter(now, wish, !wish.returned);
+        let handle = self.enter(now, wish, !wish.is_retry);
         self.place(now, handle.place);
         handle
     }
 
     /// Takes over a subscription that plays already.
-    pub fn inherit(&mut self, now: Point, wish: &Wish, streamer: &str) -> Handle {
+    pub fn inherit(&mut self, now: Point, wish: &Request, streamer: &str) -> Handle {
         let handle = self.enter(now, wish, false);
         let held = &mut self.held[handle.place];
         held.streamer = self.by_name.get(streamer).copied().unwrap_or(usize::MAX);
@@ -246,7 +250,7 @@
         handle
     }
 
-    fn enter(&mut self, now: Point, wish: &Wish, first: bool) -> Handle {
+    fn enter(&mut self, now: Point, wish: &Request, first: bool) -> Handle {
         let title = self.by_title.get(wish.title).copied().unwrap_or_else(|| {
             let at = self.titles.insert(Title::default());
             self.by_title.insert(wish.title.to_owned(), at);
@@ -255,23 +259,23 @@
         let known = &mut self.titles[title];
         known.asked = now;
         // Told anew with each wish. Symptom: a title that moved is asked for where it no longer lies.
-        let of = (self.listed, wish.home, wish.copies);
+        let of = (self.listed, wish.first_cell, wish.replicas);
         if known.of != of {
-            let cells = self.rules.number("cells", 1.0).max(1.0) as usize;
-            let holds = |s: &Streamer| (s.cell + cells - wish.home % cells) % cells < wish.copies;
+            let cells = self.rules.number_or("cells", 1.0).max(1.0) as usize;
+            let holds = |s: &Streamer| (s.cell + cells - wish.first_cell % cells) % cells < wish.replicas;
             let all = self.streamers.iter().filter(|(_, s)| holds(s));
             known.holders = all.map(|(at, _)| at).collect();
             known.of = of;
         }
-        let lane = self.lanes.iter().position(|l| l.name == wish.lane).unwrap_or_else(|| {
+        let lane = self.lanes.iter().position(|l| l.name == wish.class).unwrap_or_else(|| {
             // A lane that the settings never named is served on the strictest terms.
-            self.lanes.push(Lane::unnamed(wish.lane, self.ladder.kb.len() - 1));
+            self.lanes.push(Lane::unnamed(wish.class, self.ladder.kb.len() - 1));
             self.lanes.len() - 1
         });
         // Traffic past a tenant's share earns little. Symptom: one tenant's crowd takes everybody's links.
         let tenant = self.tenants.iter_mut().find(|t| t.name == wish.tenant);
         let within = tenant.map_or(1.0, |t| t.within(now, first, self.rules.controllers()));
-        let past = (1.0 - within) * self.rules.number("over_share_gain", 1.0);
+        let past = (1.0 - within) * self.rules.number_or("over_share_gain", 1.0);
         let terms = &self.lanes[lane];
         self.serial += 1;
         let place = self.held.insert(Subscription {
@@ -281,8 +285,8 @@
             title,
             gain: terms.gain * (within + past),
             floor: terms.floor,
-            top: wish.top.min(terms.top),
-            cut_off: wish.cut_off,
+            top: wish.max_rung.min(terms.top),
+            cut_off: wish.deadline,
             state: State::Waiting,
             rung: terms.floor,
             streamer: usize::MAX,
@@ -338,7 +342,7 @@
         if unheard && early && self.rules.looks_tell() {
             held.looks += 1;
             (held.streamer, held.changed) = (at, now);
-            return self.results.looks.push(self.streamers[at].name.clone());
+            return self.results.probes.push(self.streamers[at].name.clone());
         }
         self.titles[self.held[place].title].kept = Some((at, now));
         let (kb, count) = self.takes(place, at, rung);
@@ -357,8 +361,12 @@
         if !self.lanes[lane].paid && held.shots < self.rules.shots_most() {
             within = within.min(self.lanes[lane].goal * SHOT_PART);
         }
-        self.results.rungs.push((held.id, rung));
-        self.results.shots.push(Shot { id: held.id, streamer: streamer.name.clone(), within });
+        self.results.rung_changes.push((held.id, rung));
+        self.results.attempts.push(NewAttempt {
+            session: held.id,
+            streamer: streamer.name.clone(),
+            timeout: within,
+        });
     }
 
     /// The kept holder of the title while it stands, else the one of smallest phi with room at this rung.
@@ -454,12 +462,12 @@
         let trust = told / (told + 1.0);
         // What was told is of a moment past: since then the others are taken to have grown like this one, as
         // far as it holds many. Symptom: a burst overfills the links, and after it half of them stay unused.
-        let age = span(&self.rules.sheet, "notes.age") + span(&self.rules.sheet, "notes.every") * 0.5;
+        let age = get_span(&self.rules.sheet, "notes.age") + get_span(&self.rules.sheet, "notes.every") * 0.5;
         self.fleet.past += (own - self.fleet.past) * (BEAT.seconds() / age.seconds().max(1e-9)).min(1.0);
         let (many, others) = (self.held.len() as f64, 1.0 - 1.0 / self.rules.controllers());
         // A young one catches up: below most of its even part growth is its own. Symptom: all seems to grow.
         let even = trust * asked / weight * links / self.rules.controllers() * CAUGHT_UP;
-        let young = now - self.rules.born < span(&self.rules.sheet, "cold.span");
+        let young = now - self.rules.born < get_span(&self.rules.sheet, "cold.span");
         let past = if young { self.fleet.past.max(own.min(even)) } else { self.fleet.past };
         let grown = (own / past.max(1e-9)).clamp(0.5, 2.0).powf(others * many / (many + PROOF));
         self.fleet.growth = (grown - 1.0).max(0.0);
@@ -489,11 +497,11 @@
 
     /// Further shots stay within the ration in every window that ends now.
     fn within_ration(&self, now: Point, shots: u32) -> bool {
-        let (Some(share), true) = (number(&self.rules.sheet, "ration.share"), shots > 0) else {
+        let (Some(share), true) = (get_number(&self.rules.sheet, "ration.share"), shots > 0) else {
             return true;
         };
-        let floor = self.rules.number("ration.floor", 0.0);
-        let window = span(&self.rules.sheet, "ration.window");
+        let floor = self.rules.number_or("ration.floor", 0.0);
+        let window = get_span(&self.rules.sheet, "ration.window");
         let made = self.further.iter().filter(|t| now - **t <= window).count() as f64;
         let taken = self.taken.iter().filter(|t| now - **t < window).count() as f64;
         made + 1.0 <= floor + share * taken
@@ -508,26 +516,26 @@
     fn give_up(&mut self, place: usize) {
         let held = self.held.remove(place);
         if held.may_have_run && self.lanes[held.lane].paid {
-            self.results.scrapped.push(held.id);
+            self.results.failed.push(held.id);
         } else {
-            self.results.turned_back.push((held.id, self.come_again()));
+            self.results.rejected.push((held.id, self.come_again()));
         }
     }
 
     /// When a viewer who is turned back should come again, also one whom the caller turns back by itself.
     pub fn come_again(&self) -> Option<Span> {
-        let longest = span(&self.rules.sheet, "retry_after.longest");
-        (flag(&self.rules.sheet, "retry_after.allowed") && longest > Span::ZERO).then_some(longest)
+        let longest = get_span(&self.rules.sheet, "retry_after.longest");
+        (get_flag(&self.rules.sheet, "retry_after.allowed") && longest > Span::ZERO).then_some(longest)
     }
 
     /// A streamer's news of its load.
     fn hear(&mut self, now: Point, at: usize, load: Load, age: Span, part: f64) {
         let Some(streamer) = self.streamers.get_mut(at) else { return };
         let of = now - age;
-        if let Some(full) = load.link {
+        if let Some(full) = load.link_utilization {
             streamer.link.tell(of, full, part);
         }
-        if let Some(full) = load.rack {
+        if let Some(full) = load.uplink_utilization {
             self.racks[streamer.rack].tell(of, full, 1.0);
         }
         if let Some(streams) = load.streams {
@@ -578,7 +586,7 @@
         let held = &mut self.held[place];
         held.climb_at = now + Span::of(if rung > before { QUIET.1 } else { quiet });
         (held.rung, held.changed) = (rung, now);
-        self.results.rungs.push((held.id, rung));
+        self.results.rung_changes.push((held.id, rung));
         self.book(now, at, more.0 - less.0, more.1 - less.1);
     }
 
@@ -631,12 +639,12 @@
         self.ask_wake(now);
         // An answer that stays out is no reason to wait longer than the rules allow.
         if self.asking.due.is_some_and(|due| due <= now) {
-            self.results.follow = true;
-            let due = Some(now + span(&self.rules.sheet, "list.ask_within") * (1.0 - ASK_PART));
+            self.results.request_list = true;
+            let due = Some(now + get_span(&self.rules.sheet, "list.ask_within") * (1.0 - ASK_PART));
             self.asking = Asking { due, awaited: true, ..self.asking };
         }
         self.resume(now, |s| now - s.changed >= BEAT);
-        let window = span(&self.rules.sheet, "ration.window");
+        let window = get_span(&self.rules.sheet, "ration.window");
         self.taken.retain(|t| now - *t <= window);
         self.further.retain(|t| now - *t <= window);
         // Handed over more than the fleet gives: step down before the first late notes tell, as far as own
@@ -655,7 +663,7 @@
     /// Lets go of streamers that left the list and of titles that nobody asks for, once no account holds any
     /// of them. Symptom: memory that grows with every name that comes and goes.
     fn forget(&mut self, now: Point) {
-        let after = span(&self.rules.sheet, "cold.span").max(Span::of(2.0 * STALE));
+        let after = get_span(&self.rules.sheet, "cold.span").max(Span::of(2.0 * STALE));
         let held = &self.held;
         let there = |at: usize| held.iter().any(|(_, s)| s.streamer == at || s.blamed == Some(at));
         let named = self.streamers.len();
--- a/src/control/capacity.rs
+++ b/src/control/capacity.rs
@@ -82,7 +82,7 @@
     /// A cold streamer's link is cold too.
     pub(super) fn warmth(&self, now: Point, at: usize) -> f64 {
         let cold = Some(&self.streamers[at]).filter(|streamer| streamer.is_cold(&self.rules, now));
-        cold.map_or(1.0, |_| self.rules.number("cold.from", 1.0))
+        cold.map_or(1.0, |_| self.rules.number_or("cold.from", 1.0))
     }
 
     /// Spare kB a second of a streamer's link and its rack's uplink, under the fill that is aimed at.
--- a/src/control/handle.rs
+++ b/src/control/handle.rs
@@ -37,15 +37,15 @@
         // A link that is told to have room, and yet delivers short, stands behind an uplink told to be full.
         let uplink = on.uplink_fullness(now, at);
         let behind = uplink > FILL && uplink > on.fullness(now, at);
-        let load = if behind { Load::rack(full) } else { Load::link(full) };
-        on.hear(now, at, load, span(&on.rules.sheet, "notes.age"), 1.0);
+        let load = if behind { Load::of_uplink(full) } else { Load::of_link(full) };
+        on.hear(now, at, load, get_span(&on.rules.sheet, "notes.age"), 1.0);
     }
 
     /// The streamer tells how full its link or its rack's uplink is.
     pub fn load(self, on: &mut Controller, now: Point, load: Load) {
         let Some(held) = self.find(on) else { return };
         let (at, set_up) = (held.streamer, now - held.changed < BEAT);
-        let age = if set_up { Span::ZERO } else { span(&on.rules.sheet, "notes.age") };
+        let age = if set_up { Span::ZERO } else { get_span(&on.rules.sheet, "notes.age") };
         on.hear(now, at, load, age, 1.0);
     }
 
@@ -62,16 +62,19 @@
     }
 
     /// A shot or its stream ended; `over` says that the subscription is finished with it.
-    pub fn ended(self, on: &mut Controller, now: Point, ending: Ending, over: bool, load: Load) {
+    pub fn ended(self, on: &mut Controller, now: Point, ending: AttemptOutcome, over: bool, load: Load) {
         let Some(held) = self.find(on) else { return };
         let (at, rung, lane, seated) = (held.streamer, held.rung, held.lane, held.seated());
         let finished = over || matches!(held.state, State::Playing | State::Left);
         let (played, blamed) = (held.state == State::Playing, held.blamed);
         let counted = std::mem::take(&mut held.counted);
-        if ending == Ending::Errored {
+        if ending == AttemptOutcome::Errored {
             held.blamed = Some(if blamed.is_none() { at } else { usize::MAX });
         }
-        held.may_have_run |= !matches!(ending, Ending::SentBack | Ending::NoConnection | Ending::NotSent);
+        held.may_have_run |= !matches!(
+            ending,
+            AttemptOutcome::Refused | AttemptOutcome::NoConnection | AttemptOutcome::NotSent
+        );
         held.state = State::Waiting;
         if seated {
             let (kb, count) = on.takes(self.place, at, rung);
@@ -81,26 +84,29 @@
             match ending {
                 // A broken stream was held by a process that is no more: it restarts cold, if at all. A shot
                 // that broke on its way says nothing of it. Symptom: one reset, and a sound streamer unused.
-                Ending::Broken if played => {
+                AttemptOutcome::ConnectionLost if played => {
                     streamer.weigh(now, BAD);
                     streamer.started = streamer.started.max(Some(now));
                 }
                 // A wish that fails at one streamer after the other is at fault itself: its first error is
                 // taken back. Symptom: some titles that nobody knows, and a third of the fleet condemned.
-                Ending::Errored if blamed.is_some_and(|first| first != at) => {
+                AttemptOutcome::Errored if blamed.is_some_and(|first| first != at) => {
                     let first = blamed.and_then(|first| on.streamers.get_mut(first));
                     first.into_iter().for_each(|streamer| streamer.weigh(now, -BAD));
                 }
                 _ if counted => {}
-                Ending::Errored | Ending::TimedOut | Ending::NoConnection | Ending::Broken => {
+                AttemptOutcome::Errored
+                | AttemptOutcome::TimedOut
+                | AttemptOutcome::NoConnection
+                | AttemptOutcome::ConnectionLost => {
                     streamer.weigh(now, BAD);
                 }
-                Ending::SentBack => streamer.full_until = now + Span::of(1.0),
+                AttemptOutcome::Refused => streamer.full_until = now + Span::of(1.0),
                 _ => {}
             }
         }
         // A streamer that sends a shot back means what it says. Symptom: shot after shot at full streamers.
-        let part = if ending == Ending::SentBack { 1.0 } else { ANSWER_PART };
+        let part = if ending == AttemptOutcome::Refused { 1.0 } else { ANSWER_PART };
         on.hear(now, at, load, ANSWER_AGE, part);
         if finished {
             on.held.remove(self.place);
--- a/src/control/streamer.rs
+++ b/src/control/streamer.rs
@@ -27,22 +27,23 @@
     pub(super) fn my_turn(&self, rules: &HouseRules, now: Point) -> bool {
         // A controller that came back itself has an old list: to it every streamer may be cold for a while.
         let cold = self.is_cold(rules, now);
-        if !cold && now - rules.born >= span(&rules.sheet, "cold.span") * 0.5 {
+        if !cold && now - rules.born >= get_span(&rules.sheet, "cold.span") * 0.5 {
             return true;
         }
-        let pace = self.places / rules.number("cold.span", 0.0).max(1e-3) * rules.number("cold.from", 1.0);
-        let window = span(&rules.sheet, "cold.window");
-        let whole = pace * rules.number("cold.multiple", 1.0) * window.seconds();
+        let pace =
+            self.places / rules.number_or("cold.span", 0.0).max(1e-3) * rules.number_or("cold.from", 1.0);
+        let window = get_span(&rules.sheet, "cold.window");
+        let whole = pace * rules.number_or("cold.multiple", 1.0) * window.seconds();
         let (budget, turn) = (whole * OWN_PART, now.turn(window * 2.0));
         let spent = if self.turn.0 == turn { self.turn.1 } else { 0 };
         // As many numbers share a turn as the budget holds sends. Symptom: the round outlasts the warm-up.
         let sharing = budget.floor().clamp(1.0, rules.controllers());
         let round = (rules.controllers() / sharing).ceil() as i64;
         // Symptom: late sends, clocks ahead, or who came back in its turn and forgot it: two turns in one.
-        let apart = span(&rules.sheet, "clocks.apart") + span(&rules.sheet, "dial.timeout");
+        let apart = get_span(&rules.sheet, "clocks.apart") + get_span(&rules.sheet, "dial.timeout");
         let open = now.into_turn(window * 2.0) < window - apart && rules.born.turn(window * 2.0) < turn;
         let has = |number: f64| open && turn.rem_euclid(round) as f64 == (number / sharing).floor();
-        let (each, mine) = ((budget / sharing).floor(), has(rules.number("me", 0.0)) && !rules.turns.lost);
+        let (each, mine) = ((budget / sharing).floor(), has(rules.number_or("me", 0.0)) && !rules.turns.lost);
         // What own turns leave of the whole budget is dealt out among the turns of who is missing.
         let (spare, cycle) = ((whole - sharing * each).floor(), turn.div_euclid(round) as f64);
         let part = |n: f64| ((spare + (n + cycle).rem_euclid(sharing)) / sharing).floor().max(0.0);
@@ -54,7 +55,7 @@
     }
 
     pub(super) fn count_turn(&mut self, rules: &HouseRules, now: Point) {
-        let turn = now.turn(span(&rules.sheet, "cold.window") * 2.0);
+        let turn = now.turn(get_span(&rules.sheet, "cold.window") * 2.0);
         self.turn = (turn, if self.turn.0 == turn { self.turn.1 + 1 } else { 1 });
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -6,65 +6,65 @@
 
 /// One value of the settings that a controller is handed at its start.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Value {
+pub enum SettingValue {
     Number(f64),
     Text(String),
     Flag(bool),
 }
 
 /// The settings: plain names to values, lists spelled out as `lanes.0.gain`, `lanes.1.gain` and so on.
-pub type Sheet = BTreeMap<String, Value>;
+pub type ControllerSettings = BTreeMap<String, SettingValue>;
 
 /// The number of that name; none where it is missing or no number.
-pub fn number(sheet: &Sheet, name: &str) -> Option<f64> {
+pub fn get_number(sheet: &ControllerSettings, name: &str) -> Option<f64> {
     match sheet.get(name) {
-        Some(Value::Number(n)) if n.is_finite() => Some(*n),
+        Some(SettingValue::Number(n)) if n.is_finite() => Some(*n),
         _ => None,
     }
 }
 
 /// The same as a span of so many seconds; none at all where it is missing.
-pub fn span(sheet: &Sheet, name: &str) -> Span {
-    Span::of(number(sheet, name).unwrap_or(0.0))
+pub fn get_span(sheet: &ControllerSettings, name: &str) -> Span {
+    Span::of(get_number(sheet, name).unwrap_or(0.0))
 }
 
-pub fn text<'a>(sheet: &'a Sheet, name: &str) -> Option<&'a str> {
+pub fn get_text<'a>(sheet: &'a ControllerSettings, name: &str) -> Option<&'a str> {
     match sheet.get(name) {
-        Some(Value::Text(t)) => Some(t),
+        Some(SettingValue::Text(t)) => Some(t),
         _ => None,
     }
 }
 
-pub fn flag(sheet: &Sheet, name: &str) -> bool {
-    sheet.get(name) == Some(&Value::Flag(true))
+pub fn get_flag(sheet: &ControllerSettings, name: &str) -> bool {
+    sheet.get(name) == Some(&SettingValue::Flag(true))
 }
 
 /// All numbers of a list.
-pub fn row(sheet: &Sheet, name: &str) -> Vec<f64> {
-    (0..).map_while(|i| number(sheet, &format!("{name}.{i}"))).collect()
+pub fn get_numbers(sheet: &ControllerSettings, name: &str) -> Vec<f64> {
+    (0..).map_while(|i| get_number(sheet, &format!("{name}.{i}"))).collect()
 }
 
 /// A viewer's wish, as it is taken or handed over.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish<'a> {
+pub struct Request<'a> {
     pub id: u32,
-    pub lane: &'a str,
+    pub class: &'a str,
     pub tenant: &'a str,
     pub title: &'a str,
-    pub cut_off: Point,
+    pub deadline: Point,
     /// First of the cells that hold the title, and how many in a row do.
-    pub home: usize,
-    pub copies: usize,
+    pub first_cell: usize,
+    pub replicas: usize,
     /// Highest rung that the viewer can use.
-    pub top: usize,
+    pub max_rung: usize,
     /// The viewer comes again, so this traffic was counted before.
-    pub returned: bool,
+    pub is_retry: bool,
     /// A guess of how long the viewer stays.
-    pub length: Option<Span>,
+    pub expected_duration: Option<Span>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum StreamerState {
     Ready,
     Draining,
     Gone,
@@ -72,26 +72,26 @@
 
 /// One line of the list of streamers.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct StreamerEntry {
     pub streamer: String,
     pub zone: String,
     pub kind: String,
     pub cell: usize,
-    pub stage: Stage,
+    pub state: StreamerState,
     pub weight: f64,
     /// Its last start; none when that is long ago.
-    pub started: Option<Point>,
+    pub started_at: Option<Point>,
 }
 
 /// How a shot, or the stream that came of it, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     Served,
     Errored,
-    SentBack,
+    Refused,
     TimedOut,
     NoConnection,
-    Broken,
+    ConnectionLost,
     Cancelled,
     NotSent,
     Unknown,
@@ -102,56 +102,56 @@
 pub struct Load {
     pub streams: Option<f64>,
     /// Share of its link that is asked for.
-    pub link: Option<f64>,
+    pub link_utilization: Option<f64>,
     /// The same of its rack's uplink.
-    pub rack: Option<f64>,
+    pub uplink_utilization: Option<f64>,
 }
 
 impl Load {
-    pub fn link(full: f64) -> Load {
-        Load { link: Some(full), ..Load::default() }
+    pub fn of_link(utilization: f64) -> Load {
+        Load { link_utilization: Some(utilization), ..Load::default() }
     }
 
-    pub fn rack(full: f64) -> Load {
-        Load { rack: Some(full), ..Load::default() }
+    pub fn of_uplink(utilization: f64) -> Load {
+        Load { uplink_utilization: Some(utilization), ..Load::default() }
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shot {
-    pub id: u32,
+pub struct NewAttempt {
+    pub session: u32,
     pub streamer: Arc<str>,
-    pub within: Span,
+    pub timeout: Span,
 }
 
 /// What the caller has to do after a call, list by list in this order.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Results {
+pub struct Actions {
     /// Rungs to set, by subscription.
-    pub rungs: Vec<(u32, usize)>,
-    pub shots: Vec<Shot>,
+    pub rung_changes: Vec<(u32, usize)>,
+    pub attempts: Vec<NewAttempt>,
     /// Subscriptions turned back, with the time after which the viewer should come again.
-    pub turned_back: Vec<(u32, Option<Span>)>,
-    pub scrapped: Vec<u32>,
+    pub rejected: Vec<(u32, Option<Span>)>,
+    pub failed: Vec<u32>,
     /// Playing subscriptions to end here; they come back to this controller as new wishes.
     pub moved: Vec<u32>,
     /// Streamers to look at; what comes back goes to `looked`.
-    pub looks: Vec<Arc<str>>,
+    pub probes: Vec<Arc<str>>,
     /// Ask for the list's changes from now on; what comes goes to `learn`, a failure to `list_lost`.
-    pub follow: bool,
+    pub request_list: bool,
     /// The moment at which `wake` wants to be called.
-    pub wake: Option<Point>,
+    pub next_tick: Option<Point>,
 }
 
-impl Results {
+impl Actions {
     pub fn clear(&mut self) {
-        self.rungs.clear();
-        self.shots.clear();
-        self.turned_back.clear();
-        self.scrapped.clear();
+        self.rung_changes.clear();
+        self.attempts.clear();
+        self.rejected.clear();
+        self.failed.clear();
         self.moved.clear();
-        self.looks.clear();
-        self.follow = false;
-        self.wake = None;
+        self.probes.clear();
+        self.request_list = false;
+        self.next_tick = None;
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use lemontide::clock::{Point, Span};
 use lemontide::control::Controller;
-use lemontide::interface::{Line, Sheet, Stage, Value, Wish};
+use lemontide::interface::{ControllerSettings, Request, SettingValue, StreamerEntry, StreamerState};
 
 pub const FREE: &str = "free";
 pub const PAID: &str = "paid";
@@ -12,25 +12,25 @@
 pub const COLD: f64 = 10.0;
 
 /// Two lanes, five rungs, links of 10,000 kB a second; the paid lane has a floor, the free one seats.
-pub fn sheet(me: usize, controllers: usize, more: &[(&str, f64)]) -> Sheet {
-    let mut sheet = Sheet::new();
+pub fn sheet(me: usize, controllers: usize, more: &[(&str, f64)]) -> ControllerSettings {
+    let mut sheet = ControllerSettings::new();
     let mut put = |name: String, value| sheet.insert(name, value);
     for (i, (name, gain)) in [(FREE, 1.0), (PAID, 3.0)].iter().enumerate() {
-        put(format!("lanes.{i}.name"), Value::Text((*name).to_owned()));
-        put(format!("lanes.{i}.repeat"), Value::Text((*name).to_owned()));
-        put(format!("lanes.{i}.gain"), Value::Number(*gain));
-        put(format!("lanes.{i}.latency_goal"), Value::Number(1.0));
-        put(format!("lane_floor.{i}"), Value::Number(i as f64));
+        put(format!("lanes.{i}.name"), SettingValue::Text((*name).to_owned()));
+        put(format!("lanes.{i}.repeat"), SettingValue::Text((*name).to_owned()));
+        put(format!("lanes.{i}.gain"), SettingValue::Number(*gain));
+        put(format!("lanes.{i}.latency_goal"), SettingValue::Number(1.0));
+        put(format!("lane_floor.{i}"), SettingValue::Number(i as f64));
     }
     for (i, (kb, gain)) in
         [(200.0, 0.2), (400.0, 0.45), (800.0, 0.65), (1200.0, 0.8), (2000.0, 1.0)].iter().enumerate()
     {
-        put(format!("ladder.kb.{i}"), Value::Number(*kb));
-        put(format!("ladder.gain.{i}"), Value::Number(*gain));
+        put(format!("ladder.kb.{i}"), SettingValue::Number(*kb));
+        put(format!("ladder.gain.{i}"), SettingValue::Number(*gain));
     }
-    put("zone".to_owned(), Value::Text("here".to_owned()));
-    put("kinds.0".to_owned(), Value::Text("std".to_owned()));
-    put("retry_after.allowed".to_owned(), Value::Flag(true));
+    put("zone".to_owned(), SettingValue::Text("here".to_owned()));
+    put("kinds.0".to_owned(), SettingValue::Text("std".to_owned()));
+    put("retry_after.allowed".to_owned(), SettingValue::Flag(true));
     let figures = [
         ("me", me as f64),
         ("controllers", controllers as f64),
@@ -47,23 +47,34 @@
         ("retry_after.longest", 0.5),
     ];
     for (name, figure) in figures.iter().chain(more) {
-        put((*name).to_owned(), Value::Number(*figure));
+        put((*name).to_owned(), SettingValue::Number(*figure));
     }
     sheet
 }
 
-pub fn line(cell: usize, stage: Stage, started: Option<Point>) -> Line {
+pub fn line(cell: usize, stage: StreamerState, started: Option<Point>) -> StreamerEntry {
     let (streamer, zone, kind) = (format!("s{cell}"), "here".to_owned(), "std".to_owned());
-    Line { streamer, zone, kind, cell, stage, weight: 1.0, started }
+    StreamerEntry { streamer, zone, kind, cell, state: stage, weight: 1.0, started_at: started }
 }
 
-pub fn fleet() -> Vec<Line> {
-    (0..STREAMERS).map(|cell| line(cell, Stage::Ready, None)).collect()
+pub fn fleet() -> Vec<StreamerEntry> {
+    (0..STREAMERS).map(|cell| line(cell, StreamerState::Ready, None)).collect()
 }
 
 /// A wish for a title that lies on streamer `home` and the two after it.
-pub fn wish<'a>(id: u32, lane: &'a str, title: &'a str, home: usize, cut_off: Point) -> Wish<'a> {
-    Wish { id, lane, tenant: "", title, cut_off, home, copies: COPIES, top: 4, returned: false, length: None }
+pub fn wish<'a>(id: u32, lane: &'a str, title: &'a str, home: usize, cut_off: Point) -> Request<'a> {
+    Request {
+        id,
+        class: lane,
+        tenant: "",
+        title,
+        deadline: cut_off,
+        first_cell: home,
+        replicas: COPIES,
+        max_rung: 4,
+        is_retry: false,
+        expected_duration: None,
+    }
 }
 
 pub fn holds(streamer: &str, home: usize) -> bool {
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -6,7 +6,7 @@
 use lemontide::chance::Chance;
 use lemontide::clock::Point;
 use lemontide::control::Controller;
-use lemontide::interface::{Ending, Line, Load, Stage, Value, Wish};
+use lemontide::interface::{AttemptOutcome, Load, Request, SettingValue, StreamerEntry, StreamerState};
 
 #[test]
 fn every_seed_gives_a_running_generator() {
@@ -22,13 +22,13 @@
 fn news_of_a_full_uplink_lapses() {
     let (mut on, now) = lone(&[("rack.kb", 20_000.0), ("rack.count", 1.0)]);
     let playing = on.inherit(now, &wish(1, FREE, "t", 0, now), "s0");
-    playing.load(&mut on, now + seconds(2.0), Load::rack(1.3));
+    playing.load(&mut on, now + seconds(2.0), Load::of_uplink(1.3));
     on.results.clear();
     on.take(now + seconds(2.1), &wish(2, FREE, "t", 0, now + seconds(9.0)));
-    assert_eq!(on.results.turned_back.len(), 1, "a full uplink takes no more");
+    assert_eq!(on.results.rejected.len(), 1, "a full uplink takes no more");
     on.results.clear();
     on.take(now + seconds(20.0), &wish(3, FREE, "t", 0, now + seconds(29.0)));
-    assert_eq!(on.results.shots.len(), 1);
+    assert_eq!(on.results.attempts.len(), 1);
 }
 
 /// A link that was never heard of looked empty and drew every wish.
@@ -40,12 +40,12 @@
     for cell in 1..STREAMERS {
         let id = cell as u32;
         let playing = on.inherit(now, &wish(id, FREE, "other", cell, now), &format!("s{cell}"));
-        playing.load(&mut on, now + seconds(1.5), Load::link(if cell == 1 { 0.2 } else { 0.8 }));
+        playing.load(&mut on, now + seconds(1.5), Load::of_link(if cell == 1 { 0.2 } else { 0.8 }));
     }
     on.wake(now + seconds(1.5));
     on.results.clear();
     on.take(now + seconds(1.6), &wish(9, FREE, "t", 0, now + seconds(9.0)));
-    assert_eq!(&*on.results.shots[0].streamer, "s1");
+    assert_eq!(&*on.results.attempts[0].streamer, "s1");
 }
 
 /// One note just over the brim is noise; and where each of hundreds of controllers took a whole step for a
@@ -59,10 +59,10 @@
         on.learn(now, &fleet(), true);
         let playing = on.inherit(now, &wish(1, FREE, "t", 0, now), "s0");
         playing.at_rung(&mut on, now, 4);
-        playing.load(&mut on, now + seconds(2.0), Load::link(1.03));
-        noise += on.results.rungs.len();
-        playing.load(&mut on, now + seconds(5.0), Load::link(1.25));
-        steps += on.results.rungs.len();
+        playing.load(&mut on, now + seconds(2.0), Load::of_link(1.03));
+        noise += on.results.rung_changes.len();
+        playing.load(&mut on, now + seconds(5.0), Load::of_link(1.25));
+        steps += on.results.rung_changes.len();
     }
     assert_eq!(noise, 0);
     // A fifth of 200 x 2000 kB is missing, and a step frees 800 kB.
@@ -78,7 +78,7 @@
         let mut on = Controller::start(now, 31 * me as u64, &sheet(me, 120, &[]));
         on.learn(now, &fleet(), true);
         on.take(now, &wish(1, FREE, "t", 0, now + seconds(9.0)));
-        sends[on.results.shots[0].streamer[1..].parse::<usize>().expect("a streamer")] += 1;
+        sends[on.results.attempts[0].streamer[1..].parse::<usize>().expect("a streamer")] += 1;
     }
     assert!(sends[..COPIES].iter().all(|n| (25..60).contains(n)), "{sends:?}");
 }
@@ -88,9 +88,9 @@
 fn a_start_without_news_is_one_rung_lower() {
     let (mut on, now) = lone(&[]);
     on.take(now, &wish(1, FREE, "t", 0, now + seconds(9.0)));
-    on.inherit(now, &wish(2, FREE, "u", 3, now), "s3").load(&mut on, now, Load::link(0.0));
-    on.take(now, &Wish { copies: 1, ..wish(3, FREE, "u", 3, now + seconds(9.0)) });
-    assert_eq!(on.results.rungs, [(1, 1), (3, 2)]);
+    on.inherit(now, &wish(2, FREE, "u", 3, now), "s3").load(&mut on, now, Load::of_link(0.0));
+    on.take(now, &Request { replicas: 1, ..wish(3, FREE, "u", 3, now + seconds(9.0)) });
+    assert_eq!(on.results.rung_changes, [(1, 1), (3, 2)]);
 }
 
 /// Streamers with room that few hear of stayed empty, as climbs paid the price of the crowded ones.
@@ -107,9 +107,9 @@
     let mut climbs = 0;
     for beat in 1..60 {
         let at = now + seconds(0.3 * f64::from(beat));
-        roomy.load(&mut on, at, Load::link(0.2));
+        roomy.load(&mut on, at, Load::of_link(0.2));
         on.wake(at);
-        climbs += on.results.rungs.iter().filter(|(id, rung)| *id == 1 && *rung > 2).count();
+        climbs += on.results.rung_changes.iter().filter(|(id, rung)| *id == 1 && *rung > 2).count();
         on.results.clear();
     }
     assert!(climbs > 0);
@@ -133,13 +133,13 @@
                 handle.at_rung(&mut on, now, 1);
                 playing.push(handle);
             }
-            playing.iter().for_each(|handle| handle.load(&mut on, now, Load::link(0.7)));
+            playing.iter().for_each(|handle| handle.load(&mut on, now, Load::of_link(0.7)));
             now = now + seconds(0.25);
             on.wake(now);
         }
         on.results.clear();
-        on.take(now, &Wish { copies: 1, ..wish(99, FREE, "new", 0, now + seconds(9.0)) });
-        on.results.rungs.first().map(|(_, rung)| *rung)
+        on.take(now, &Request { replicas: 1, ..wish(99, FREE, "new", 0, now + seconds(9.0)) });
+        on.results.rung_changes.first().map(|(_, rung)| *rung)
     };
     assert!(room(true) < room(false), "{:?} in a burst, {:?} else", room(true), room(false));
 }
@@ -163,13 +163,13 @@
                 handle.at_rung(&mut on, now, 1);
                 playing.push(handle);
             }
-            playing.iter().for_each(|handle| handle.load(&mut on, now, Load::link(0.8)));
+            playing.iter().for_each(|handle| handle.load(&mut on, now, Load::of_link(0.8)));
             now = now + seconds(0.25);
             on.wake(now);
         }
         on.results.clear();
-        on.take(now, &Wish { copies: 1, ..wish(99, FREE, "new", 0, now + seconds(9.0)) });
-        on.results.rungs.first().map(|(_, rung)| *rung)
+        on.take(now, &Request { replicas: 1, ..wish(99, FREE, "new", 0, now + seconds(9.0)) });
+        on.results.rung_changes.first().map(|(_, rung)| *rung)
     };
     // All are older than a warm-up of 5 s, none than one of 30 s.
     assert!(rung(5.0, 10) < rung(5.0, 20), "{:?} for an old one that grows", rung(5.0, 10));
@@ -180,12 +180,12 @@
 #[test]
 fn a_shot_sent_back_tells_that_the_link_is_full() {
     let (mut on, now) = lone(&[]);
-    let handle = on.take(now, &Wish { copies: 1, ..wish(1, FREE, "t", 0, now + seconds(9.0)) });
-    handle.load(&mut on, now, Load::link(0.2));
-    handle.ended(&mut on, now + seconds(1.0), Ending::SentBack, false, Load::link(1.1));
+    let handle = on.take(now, &Request { replicas: 1, ..wish(1, FREE, "t", 0, now + seconds(9.0)) });
+    handle.load(&mut on, now, Load::of_link(0.2));
+    handle.ended(&mut on, now + seconds(1.0), AttemptOutcome::Refused, false, Load::of_link(1.1));
     on.results.clear();
-    on.take(now + seconds(2.5), &Wish { copies: 1, ..wish(2, FREE, "t", 0, now + seconds(9.0)) });
-    assert_eq!((on.results.shots.len(), on.results.turned_back.len()), (0, 1));
+    on.take(now + seconds(2.5), &Request { replicas: 1, ..wish(2, FREE, "t", 0, now + seconds(9.0)) });
+    assert_eq!((on.results.attempts.len(), on.results.rejected.len()), (0, 1));
 }
 
 /// A controller that viewers lean to took the others to hold as many and stepped down in an empty fleet; where own
@@ -202,7 +202,7 @@
             handle.at_rung(&mut on, now, 2);
         }
         on.wake(now + seconds(0.3));
-        assert_eq!(!on.results.rungs.is_empty(), steps, "{controllers} controllers");
+        assert_eq!(!on.results.rung_changes.is_empty(), steps, "{controllers} controllers");
     }
 }
 
@@ -211,11 +211,11 @@
 fn an_uplink_never_told_of_counts_as_the_mean() {
     let (mut on, now) = lone(&[("rack.kb", 5_000.0), ("rack.count", 2.0)]);
     let playing = on.inherit(now, &wish(1, FREE, "t", 0, now), "s0");
-    playing.load(&mut on, now, Load { rack: Some(0.8), ..Load::link(0.2) });
+    playing.load(&mut on, now, Load { uplink_utilization: Some(0.8), ..Load::of_link(0.2) });
     on.wake(now + seconds(0.3));
     on.results.clear();
-    on.take(now, &Wish { copies: 1, ..wish(2, FREE, "u", 1, now + seconds(9.0)) });
-    assert_eq!(on.results.rungs, [(2, 0)]);
+    on.take(now, &Request { replicas: 1, ..wish(2, FREE, "u", 1, now + seconds(9.0)) });
+    assert_eq!(on.results.rung_changes, [(2, 0)]);
 }
 
 /// Links were full of the cheapest wishes at the lowest rung, and dear ones found none.
@@ -224,12 +224,12 @@
     let (mut on, now) = lone(&[("lanes.0.gain", 0.5)]);
     for id in 0..12 {
         let at = format!("s{}", id % 3);
-        on.inherit(now, &wish(id, PAID, "t", 0, now), &at).load(&mut on, now, Load::link(0.9));
+        on.inherit(now, &wish(id, PAID, "t", 0, now), &at).load(&mut on, now, Load::of_link(0.9));
     }
     on.wake(now + seconds(0.3));
     on.results.clear();
     on.take(now, &wish(20, FREE, "t", 0, now + seconds(9.0)));
-    assert_eq!(on.results.turned_back.len(), 1);
+    assert_eq!(on.results.rejected.len(), 1);
 }
 
 /// A crossing costs points: among equals the own zone goes first, but a full one does not.
@@ -240,12 +240,12 @@
     lines.iter_mut().filter(|l| l.cell < 2).for_each(|l| l.zone = "there".to_owned());
     on.learn(now, &lines, true);
     on.take(now, &wish(1, FREE, "t", 0, now + seconds(9.0)));
-    assert_eq!(&*on.results.shots[0].streamer, "s2");
+    assert_eq!(&*on.results.attempts[0].streamer, "s2");
     let near = on.inherit(now, &wish(2, FREE, "u", 2, now), "s2");
-    near.load(&mut on, now + seconds(1.0), Load::link(0.8));
+    near.load(&mut on, now + seconds(1.0), Load::of_link(0.8));
     on.results.clear();
     on.take(now + seconds(1.0), &wish(3, FREE, "t", 0, now + seconds(9.0)));
-    assert_ne!(&*on.results.shots[0].streamer, "s2");
+    assert_ne!(&*on.results.attempts[0].streamer, "s2");
 }
 
 /// One unlucky note made a controller believe that the whole fleet was full, and turn everybody back.
@@ -255,11 +255,11 @@
     let mut on = Controller::start(now, 7, &sheet(0, 200, &[]));
     on.learn(now, &fleet(), true);
     let playing = on.inherit(now, &wish(1, FREE, "u", 5, now), "s5");
-    playing.load(&mut on, now + seconds(1.5), Load::link(1.6));
+    playing.load(&mut on, now + seconds(1.5), Load::of_link(1.6));
     on.wake(now + seconds(1.5));
     on.results.clear();
     on.take(now + seconds(1.6), &wish(2, FREE, "t", 0, now + seconds(9.0)));
-    assert_eq!(on.results.shots.len(), 1);
+    assert_eq!(on.results.attempts.len(), 1);
 }
 
 /// A controller that hears from few streamers sent most first shots blind: it looks first, never for long.
@@ -267,26 +267,26 @@
 fn a_holder_without_news_is_looked_at_first() {
     let now = Point::at(100.0);
     let mut settings = sheet(0, 1, &[]);
-    settings.insert("looks.allowed".to_owned(), Value::Flag(true));
+    settings.insert("looks.allowed".to_owned(), SettingValue::Flag(true));
     let mut on = Controller::start(now, 7, &settings);
     on.learn(now, &fleet(), true);
     on.take(now, &wish(1, FREE, "t", 0, now + seconds(9.0)));
-    let first = on.results.looks.pop().expect("a look");
-    on.looked(now, &first, true, Load::link(1.2));
-    let second = on.results.looks.pop().expect("a look at another");
+    let first = on.results.probes.pop().expect("a look");
+    on.looked(now, &first, true, Load::of_link(1.2));
+    let second = on.results.probes.pop().expect("a look at another");
     assert_ne!(first, second, "the first is full");
-    on.looked(now, &second, true, Load::link(0.1));
-    while let Some(third) = on.results.looks.pop() {
-        on.looked(now, &third, true, Load::link(0.3));
+    on.looked(now, &second, true, Load::of_link(0.1));
+    while let Some(third) = on.results.probes.pop() {
+        on.looked(now, &third, true, Load::of_link(0.3));
     }
-    assert_eq!(on.results.shots[0].streamer, second);
+    assert_eq!(on.results.attempts[0].streamer, second);
     on.results.clear();
     on.take(now, &wish(2, FREE, "u", 3, now + seconds(9.0)));
     (1..5).for_each(|beat| on.wake(now + seconds(0.3 * f64::from(beat))));
-    assert_eq!(on.results.shots.len(), 1, "looks that never come back hold nobody up");
+    assert_eq!(on.results.attempts.len(), 1, "looks that never come back hold nobody up");
     on.results.clear();
     on.take(now, &wish(3, FREE, "v", 2, now + seconds(0.5)));
-    assert_eq!(on.results.shots.len(), 1, "no time for a look");
+    assert_eq!(on.results.attempts.len(), 1, "no time for a look");
 }
 
 /// Among hundreds of controllers one wish looked like the crowd of a whole tenant.
@@ -294,16 +294,16 @@
 fn few_wishes_prove_no_crowd() {
     let now = Point::at(100.0);
     let mut settings = sheet(0, 200, &[("tenants.0.quota_per_s", 20.0), ("over_share_gain", 0.0)]);
-    settings.insert("tenants.0.name".to_owned(), Value::Text("a".to_owned()));
+    settings.insert("tenants.0.name".to_owned(), SettingValue::Text("a".to_owned()));
     let mut on = Controller::start(now, 7, &settings);
     on.learn(now, &fleet(), true);
     for id in 0..3 {
         let at = now + seconds(f64::from(id));
-        on.inherit(at, &wish(10 + id, FREE, "u", 3, at), "s3").load(&mut on, at, Load::link(0.8));
+        on.inherit(at, &wish(10 + id, FREE, "u", 3, at), "s3").load(&mut on, at, Load::of_link(0.8));
         on.wake(at);
-        on.take(at, &Wish { tenant: "a", ..wish(id, FREE, "t", 0, at + seconds(9.0)) });
+        on.take(at, &Request { tenant: "a", ..wish(id, FREE, "t", 0, at + seconds(9.0)) });
     }
-    assert_eq!(on.results.shots.len(), 3);
+    assert_eq!(on.results.attempts.len(), 3);
 }
 
 /// Viewers handed over at the start counted as wishes of their tenant, so that every gain fell.
@@ -311,7 +311,7 @@
 fn a_tenant_within_its_share_keeps_its_gain() {
     let now = Point::at(100.0);
     let mut settings = sheet(0, 1, &[("tenants.0.quota_per_s", 2.0), ("over_share_gain", 0.0)]);
-    settings.insert("tenants.0.name".to_owned(), Value::Text("a".to_owned()));
+    settings.insert("tenants.0.name".to_owned(), SettingValue::Text("a".to_owned()));
     let mut on = Controller::start(now, 7, &settings);
     on.learn(now, &fleet(), true);
     let mut of_tenant = |id: u32, handed: bool, at: Point| {
@@ -319,12 +319,12 @@
         one.tenant = "a";
         on.results.clear();
         if handed {
-            on.inherit(at, &one, "s0").load(&mut on, at, Load::link(0.85));
+            on.inherit(at, &one, "s0").load(&mut on, at, Load::of_link(0.85));
             on.wake(at + seconds(0.3));
         } else {
             on.take(at, &one);
         }
-        on.results.turned_back.len()
+        on.results.rejected.len()
     };
     (0..40).for_each(|id| assert_eq!(of_tenant(id, true, now), 0));
     assert_eq!(of_tenant(50, false, now + seconds(0.4)), 0, "within its share");
@@ -340,8 +340,8 @@
     let fail = |on: &mut Controller, id: u32, at: Point| {
         on.results.clear();
         let handle = on.take(at, &wish(id, FREE, &format!("t{id}"), 0, at + seconds(9.0)));
-        let streamer = on.results.shots.first()?.streamer.clone();
-        handle.ended(on, at, Ending::Errored, true, Load::default());
+        let streamer = on.results.attempts.first()?.streamer.clone();
+        handle.ended(on, at, AttemptOutcome::Errored, true, Load::default());
         Some(streamer)
     };
     let first = fail(&mut on, 1, now).expect("an untried fleet");
@@ -358,8 +358,8 @@
     let (mut on, now) = lone(&[]);
     on.take(now, &wish(1, PAID, "t", 0, now + seconds(3.0)));
     on.take(now, &wish(2, FREE, "t", 0, now + seconds(3.0)));
-    assert_eq!(on.results.shots[0].within, seconds(3.0));
-    assert!(on.results.shots[1].within < seconds(1.0));
+    assert_eq!(on.results.attempts[0].timeout, seconds(3.0));
+    assert!(on.results.attempts[1].timeout < seconds(1.0));
 }
 
 /// Unnamed lanes, unknown streamers and empty settings are legal, if odd.
@@ -371,14 +371,14 @@
     let mut none = Controller::start(now, 1, &sheet(0, 1, &[]));
     none.learn(now, &[], true);
     none.take(now, &wish(1, FREE, "t", 0, now + seconds(9.0)));
-    assert_eq!(none.results.turned_back.len(), 1, "an empty list has no holder");
+    assert_eq!(none.results.rejected.len(), 1, "an empty list has no holder");
     let handle = on.inherit(now, &wish(1, "no lane", "t", 77, now), "nobody");
     handle.short(&mut on, now, 0.0);
-    handle.load(&mut on, now, Load::rack(f64::MAX));
+    handle.load(&mut on, now, Load::of_uplink(f64::MAX));
     handle.at_rung(&mut on, now, 99);
     on.take(now, &wish(2, "", "t", 0, now + seconds(1.0)));
     on.wake(now + seconds(1.0));
-    handle.ended(&mut on, now, Ending::Unknown, false, Load::default());
+    handle.ended(&mut on, now, AttemptOutcome::Unknown, false, Load::default());
     handle.plays(&mut on, now);
 }
 
@@ -390,13 +390,13 @@
     let mate = on.inherit(now, &wish(2, FREE, "u", 1, now), "s1");
     for handle in [here, mate] {
         handle.at_rung(&mut on, now, 3);
-        handle.load(&mut on, now + seconds(2.0), Load::link(0.3));
+        handle.load(&mut on, now + seconds(2.0), Load::of_link(0.3));
     }
-    here.load(&mut on, now + seconds(2.0), Load::rack(0.6));
+    here.load(&mut on, now + seconds(2.0), Load::of_uplink(0.6));
     here.short(&mut on, now + seconds(2.5), 0.6);
-    assert_eq!(on.results.rungs, [(1, 2)], "the short link steps down");
-    mate.load(&mut on, now + seconds(3.0), Load::link(0.3));
-    assert_eq!(on.results.rungs.len(), 1, "its mate in the rack does not");
+    assert_eq!(on.results.rung_changes, [(1, 2)], "the short link steps down");
+    mate.load(&mut on, now + seconds(3.0), Load::of_link(0.3));
+    assert_eq!(on.results.rung_changes.len(), 1, "its mate in the rack does not");
 }
 
 /// A start was dropped from the rack's account with the next figure of its link.
@@ -404,14 +404,14 @@
 fn an_uplink_keeps_its_own_account() {
     let (mut on, now) = lone(&[("rack.kb", 5_000.0), ("rack.count", 1.0)]);
     let playing = on.inherit(now, &wish(1, FREE, "t", 0, now), "s0");
-    playing.load(&mut on, now + seconds(2.0), Load { rack: Some(0.5), ..Load::link(0.1) });
+    playing.load(&mut on, now + seconds(2.0), Load { uplink_utilization: Some(0.5), ..Load::of_link(0.1) });
     let mut starts = 0;
     for id in 2..40 {
         on.results.clear();
         let handle = on.take(now + seconds(2.0), &wish(id, FREE, "t", 0, now + seconds(9.0)));
-        starts += on.results.shots.len();
+        starts += on.results.attempts.len();
         handle.plays(&mut on, now + seconds(2.0));
-        handle.load(&mut on, now + seconds(2.0), Load::link(0.1));
+        handle.load(&mut on, now + seconds(2.0), Load::of_link(0.1));
     }
     assert!((1..15).contains(&starts), "half of the uplink does not hold {starts} starts");
 }
@@ -426,7 +426,7 @@
         on.take(now, &wish(id, FREE, "t", 0, now + seconds(9.0)));
     }
     for cell in 0..STREAMERS {
-        let sends = on.results.shots.iter().filter(|s| *s.streamer == format!("s{cell}")).count();
+        let sends = on.results.attempts.iter().filter(|s| *s.streamer == format!("s{cell}")).count();
         assert!(sends <= 3, "{sends} at once to s{cell}, which may be cold");
     }
     on.results.clear();
@@ -434,7 +434,7 @@
     for id in 100..120 {
         on.take(later, &wish(id, FREE, "t", 0, later + seconds(9.0)));
     }
-    assert_eq!(on.results.shots.len(), 20, "a controller that knows its streamers");
+    assert_eq!(on.results.attempts.len(), 20, "a controller that knows its streamers");
 }
 
 /// With one number a turn, the round of hundreds outlasted the warm-up; a shared turn still fits the budget.
@@ -447,12 +447,12 @@
     let mut sends = Vec::new();
     for me in 0..controllers {
         let mut on = Controller::start(Point::at(900.0), me as u64, &sheet(me, controllers, &more));
-        on.learn(start, &[line(0, Stage::Ready, Some(start))], true);
+        on.learn(start, &[line(0, StreamerState::Ready, Some(start))], true);
         for tick in 0..90 {
             let now = start + seconds(0.1 * f64::from(tick));
             on.results.clear();
             on.take(now, &wish(tick, FREE, "t", 0, now + seconds(9.0)));
-            sends.extend(on.results.shots.iter().map(|_| now));
+            sends.extend(on.results.attempts.iter().map(|_| now));
         }
     }
     let most = sends
@@ -473,7 +473,7 @@
         on.results.clear();
         let handle =
             on.take(now + seconds(at), &wish(next, FREE, &format!("t{next}"), 0, now + seconds(at + 9.0)));
-        (handle, on.results.shots.first().map(|shot| shot.streamer.to_string()))
+        (handle, on.results.attempts.first().map(|shot| shot.streamer.to_string()))
     };
     on.heard_of(now, "s0", f64::NAN);
     on.heard_of(now, "nobody", 1.0);
@@ -493,7 +493,7 @@
     );
     let (shot, _) = take(&mut on, 1.3);
     ["s0", "s1", "s2"].iter().for_each(|s| on.heard_of(now + seconds(1.3), s, 1.0));
-    shot.ended(&mut on, now + seconds(1.4), Ending::Errored, true, Load::default());
+    shot.ended(&mut on, now + seconds(1.4), AttemptOutcome::Errored, true, Load::default());
     assert!(
         (0..3).all(|i| take(&mut on, 1.5 + f64::from(i) / 10.0).1.as_deref() != Some(&*at)),
         "confirmed here"
@@ -506,17 +506,17 @@
     for (played, fresh) in [(false, false), (true, true)] {
         let now = Point::at(1000.0);
         let mut on = Controller::start(now - seconds(100.0), 7, &sheet(1, 6, &[]));
-        on.learn(now, &[line(0, Stage::Ready, None)], true);
+        on.learn(now, &[line(0, StreamerState::Ready, None)], true);
         let held = on.take(now, &wish(1, FREE, "t", 0, now + seconds(3.0)));
         if played {
             held.plays(&mut on, now);
         }
-        held.ended(&mut on, now, Ending::Broken, true, Load::default());
+        held.ended(&mut on, now, AttemptOutcome::ConnectionLost, true, Load::default());
         on.results.clear();
         // Past the doubt, within the warm-up, and in the turn of other numbers.
         let later = now + seconds(6.0);
         on.take(later, &wish(2, FREE, "t", 0, later + seconds(3.0)));
-        assert_eq!(on.results.shots.is_empty(), fresh, "played: {played}");
+        assert_eq!(on.results.attempts.is_empty(), fresh, "played: {played}");
     }
 }
 
@@ -527,14 +527,14 @@
     let now = start + seconds(COLD);
     for (id, title) in (1..).zip(["a", "b", "c", "d", "e", "f"]) {
         let bad = on.take(now, &wish(id, FREE, title, 0, now + seconds(3.0)));
-        while on.results.turned_back.is_empty() {
+        while on.results.rejected.is_empty() {
             on.results.clear();
-            bad.ended(&mut on, now, Ending::Errored, false, Load::default());
+            bad.ended(&mut on, now, AttemptOutcome::Errored, false, Load::default());
         }
         on.results.clear();
     }
     on.take(now, &wish(9, PAID, "good", 0, now + seconds(3.0)));
-    assert_eq!(on.results.shots.len(), 1, "doubt is gone and nobody is condemned");
+    assert_eq!(on.results.attempts.len(), 1, "doubt is gone and nobody is condemned");
 }
 
 /// Where the list comes only when asked for nobody asked: drains that the rules count as told were not known.
@@ -545,7 +545,7 @@
         let now = Point::at(100.0);
         let mut settings = sheet(me, 60, &[("list.ask_within", 8.0)]);
         let mut pushed = Controller::start(now, me as u64, &settings);
-        settings.insert("list.on_request".to_owned(), Value::Flag(true));
+        settings.insert("list.on_request".to_owned(), SettingValue::Flag(true));
         let mut on = Controller::start(now, 31 * me as u64, &settings);
         on.learn(now, &fleet(), true);
         // The third call is answered, and then the list is followed until it breaks off.
@@ -554,13 +554,13 @@
             let at = now + seconds(0.3 * f64::from(beat));
             pushed.wake(at);
             on.wake(at);
-            assert!(!pushed.results.follow, "it comes by itself");
-            if std::mem::take(&mut on.results.follow) {
+            assert!(!pushed.results.request_list, "it comes by itself");
+            if std::mem::take(&mut on.results.request_list) {
                 (calls, last) = (calls + 1, at);
                 match calls {
                     1 => asked.push(at),
                     2 => on.list_lost(at),
-                    3 => on.learn(at + seconds(0.1), &[line(0, Stage::Draining, None)], false),
+                    3 => on.learn(at + seconds(0.1), &[line(0, StreamerState::Draining, None)], false),
                     _ => {}
                 }
             }
@@ -569,7 +569,7 @@
         assert_eq!(calls, 3, "followed");
         on.list_lost(now + seconds(60.0));
         (0..30).for_each(|beat| on.wake(now + seconds(60.3 + 0.3 * f64::from(beat))));
-        assert!(on.results.follow, "asked for anew when it broke off");
+        assert!(on.results.request_list, "asked for anew when it broke off");
     }
     let first = asked.iter().filter(|at| (**at - Point::at(100.0)).seconds() < 0.5).count();
     assert!(first < 30, "{first} of 60 asked in the same moment");
@@ -579,15 +579,18 @@
 #[test]
 fn a_viewer_that_can_use_no_rung_of_the_lane_is_turned_back_at_once() {
     let (mut on, now) = lone(&[("lane_floor.1", 2.0), ("lane_floor.0", 3.0), ("lane_top.0", 1.0)]);
-    on.take(now, &Wish { top: 1, ..wish(1, PAID, "t", 0, now + seconds(9.0)) });
+    on.take(now, &Request { max_rung: 1, ..wish(1, PAID, "t", 0, now + seconds(9.0)) });
     on.take(now, &wish(2, FREE, "t", 0, now + seconds(9.0)));
-    assert_eq!((on.results.shots.len(), on.results.turned_back.len()), (0, 2));
-    let handed = on.inherit(now, &Wish { top: 1, ..wish(3, PAID, "t", 0, now) }, "s0");
+    assert_eq!((on.results.attempts.len(), on.results.rejected.len()), (0, 2));
+    let handed = on.inherit(now, &Request { max_rung: 1, ..wish(3, PAID, "t", 0, now) }, "s0");
     handed.at_rung(&mut on, now, 4);
     (1..30).for_each(|beat| on.wake(now + seconds(0.3 * f64::from(beat))));
     on.results.clear();
     on.take(now, &wish(4, PAID, "t", 0, now + seconds(9.0)));
-    assert!(on.results.rungs.iter().all(|(id, rung)| *id == 4 && *rung >= 2), "others are not touched");
+    assert!(
+        on.results.rung_changes.iter().all(|(id, rung)| *id == 4 && *rung >= 2),
+        "others are not touched"
+    );
 }
 
 /// Where a title lies was read from its first wish alone, and from where streamers stood then.
@@ -597,11 +600,18 @@
     let now = start + seconds(COLD);
     let at = |on: &mut Controller, id: u32, home: usize| {
         on.results.clear();
-        on.take(now, &Wish { copies: 1, ..wish(id, FREE, "t", home, now + seconds(9.0)) });
-        on.results.shots[0].streamer.to_string()
+        on.take(now, &Request { replicas: 1, ..wish(id, FREE, "t", home, now + seconds(9.0)) });
+        on.results.attempts[0].streamer.to_string()
     };
     assert_eq!((at(&mut on, 1, 0), at(&mut on, 2, 5)), ("s0".to_owned(), "s5".to_owned()));
-    on.learn(now, &[Line { cell: 5, ..line(3, Stage::Ready, None) }, line(5, Stage::Gone, None)], false);
+    on.learn(
+        now,
+        &[
+            StreamerEntry { cell: 5, ..line(3, StreamerState::Ready, None) },
+            line(5, StreamerState::Gone, None),
+        ],
+        false,
+    );
     assert_eq!(at(&mut on, 3, 5), "s3", "it stands in another cell now");
 }
 
@@ -610,19 +620,19 @@
 fn a_number_of_streams_told_once_lapses() {
     let (mut on, start) = lone(&[]);
     let now = start + seconds(COLD);
-    let full = Load { streams: Some(30.0), ..Load::link(0.3) };
-    let one = |id: u32, at: Point| Wish { copies: 1, ..wish(id, FREE, "t", 0, at + seconds(9.0)) };
-    on.take(now, &one(1, now)).ended(&mut on, now, Ending::Served, true, full);
+    let full = Load { streams: Some(30.0), ..Load::of_link(0.3) };
+    let one = |id: u32, at: Point| Request { replicas: 1, ..wish(id, FREE, "t", 0, at + seconds(9.0)) };
+    on.take(now, &one(1, now)).ended(&mut on, now, AttemptOutcome::Served, true, full);
     on.results.clear();
     for (id, wait, shots) in [(2, 2.0, 0), (3, 20.0, 1)] {
         on.take(now + seconds(wait), &one(id, now + seconds(wait)));
-        assert_eq!(on.results.shots.len(), shots, "{wait} s later");
+        assert_eq!(on.results.attempts.len(), shots, "{wait} s later");
     }
-    on.take(now, &one(4, now)).ended(&mut on, now, Ending::Served, true, full);
+    on.take(now, &one(4, now)).ended(&mut on, now, AttemptOutcome::Served, true, full);
     on.results.clear();
-    on.learn(now, &[line(0, Stage::Ready, Some(now - seconds(COLD)))], false);
+    on.learn(now, &[line(0, StreamerState::Ready, Some(now - seconds(COLD)))], false);
     on.take(now, &one(5, now));
-    assert_eq!(on.results.shots.len(), 1, "a new process runs none");
+    assert_eq!(on.results.attempts.len(), 1, "a new process runs none");
 }
 
 /// What was known of streamers and titles that are gone was kept for good.
@@ -631,22 +641,22 @@
     let (mut on, start) = lone(&[]);
     let mut now = start;
     let named = |cell: usize, round: u32| {
-        let mut one = line(cell, Stage::Ready, None);
+        let mut one = line(cell, StreamerState::Ready, None);
         one.streamer = format!("s{cell}-{round}");
         one
     };
     let long = on.take(now, &wish(0, FREE, "long", 0, now + seconds(3.0)));
     long.plays(&mut on, now);
-    let first = on.results.shots[0].streamer.to_string();
+    let first = on.results.attempts[0].streamer.to_string();
     for round in 1..400 {
         now = now + seconds(5.0);
         on.learn(now, &(0..STREAMERS).map(|cell| named(cell, round)).collect::<Vec<_>>(), true);
         on.results.clear();
         let title = format!("t{round}");
         let one = on.take(now, &wish(round, FREE, &title, 0, now + seconds(3.0)));
-        assert_eq!(on.results.shots.len(), 1, "round {round}");
+        assert_eq!(on.results.attempts.len(), 1, "round {round}");
         one.plays(&mut on, now);
-        one.ended(&mut on, now, Ending::Served, true, Load::link(0.3));
+        one.ended(&mut on, now, AttemptOutcome::Served, true, Load::of_link(0.3));
         on.wake(now + seconds(1.0));
         let (streamers, titles) = on.known();
         assert!(streamers <= 17 * STREAMERS && titles <= 17, "{streamers} and {titles}");
@@ -657,7 +667,7 @@
     assert_eq!(on.known(), (STREAMERS + 1, 1), "what still plays is known, and the list");
     on.results.clear();
     long.short(&mut on, now, 0.5);
-    long.ended(&mut on, now + seconds(150.0), Ending::Served, true, Load::default());
+    long.ended(&mut on, now + seconds(150.0), AttemptOutcome::Served, true, Load::default());
     on.wake(now + seconds(151.0));
     assert_eq!(on.known(), (STREAMERS, 0), "{first} is let go");
 }
@@ -666,7 +676,7 @@
 fn live() -> (Controller, Point) {
     let start = Point::at(100.0);
     let mut settings = sheet(0, 1, &[("ladder.join", 0.1)]);
-    settings.insert("lane_live.0".to_owned(), Value::Flag(true));
+    settings.insert("lane_live.0".to_owned(), SettingValue::Flag(true));
     let mut on = Controller::start(start, 7, &settings);
     on.learn(start, &fleet(), true);
     on.results.clear();
@@ -681,26 +691,26 @@
     for id in 0..60 {
         handles.push(on.take(now, &wish(id, FREE, "t", 0, now + seconds(9.0))));
         handles[id as usize].plays(&mut on, now);
-        handles[id as usize].load(&mut on, now, Load::link(0.1));
+        handles[id as usize].load(&mut on, now, Load::of_link(0.1));
     }
-    let at = on.results.shots[0].streamer.clone();
-    assert!(on.results.shots.len() == 60 && on.results.shots.iter().all(|shot| shot.streamer == at));
-    let lowest = on.results.rungs.iter().map(|(_, rung)| *rung).min();
+    let at = on.results.attempts[0].streamer.clone();
+    assert!(on.results.attempts.len() == 60 && on.results.attempts.iter().all(|shot| shot.streamer == at));
+    let lowest = on.results.rung_changes.iter().map(|(_, rung)| *rung).min();
     assert!(lowest >= Some(1), "sixty share what seven streams would take: {lowest:?}");
     on.results.clear();
-    handles[0].load(&mut on, now, Load { streams: Some(30.0), ..Load::link(0.6) });
+    handles[0].load(&mut on, now, Load { streams: Some(30.0), ..Load::of_link(0.6) });
     handles.push(on.take(now, &wish(60, FREE, "t", 0, now + seconds(9.0))));
-    assert_eq!(on.results.shots[0].streamer, at, "it takes no place");
+    assert_eq!(on.results.attempts[0].streamer, at, "it takes no place");
     // What was booked comes back whole, in whatever order they leave.
     for handle in handles.into_iter().skip(1) {
-        handle.ended(&mut on, now, Ending::Served, true, Load::default());
+        handle.ended(&mut on, now, AttemptOutcome::Served, true, Load::default());
     }
     on.results.clear();
     let full = |id: u32| wish(id, PAID, "u", 0, now + seconds(9.0));
     for id in 100..160 {
         on.take(now, &full(id));
     }
-    assert!(on.results.shots.len() >= 40, "{} where one viewer is left", on.results.shots.len());
+    assert!(on.results.attempts.len() >= 40, "{} where one viewer is left", on.results.attempts.len());
 }
 
 /// One of many who share a stream stepped alone, which opened a second one beside the first.
@@ -714,16 +724,19 @@
     }
     on.results.clear();
     playing[0].short(&mut on, now + seconds(2.0), 0.6);
-    assert_eq!(on.results.rungs.len() % 20, 0, "all or none");
-    assert!(!on.results.rungs.is_empty() && on.results.rungs[..20].iter().all(|(_, rung)| *rung == 2));
+    assert_eq!(on.results.rung_changes.len() % 20, 0, "all or none");
+    assert!(
+        !on.results.rung_changes.is_empty()
+            && on.results.rung_changes[..20].iter().all(|(_, rung)| *rung == 2)
+    );
 }
 
 /// A controller in the middle of its day that may look, on a fleet whose links are told of in this way.
 fn told(how: &str, every: f64) -> (Controller, Point) {
     let start = Point::at(100.0);
     let mut settings = sheet(0, 1, &[("notes.every", every)]);
-    settings.insert("looks.allowed".to_owned(), Value::Flag(true));
-    settings.insert("links.told".to_owned(), Value::Text(how.to_owned()));
+    settings.insert("looks.allowed".to_owned(), SettingValue::Flag(true));
+    settings.insert("links.told".to_owned(), SettingValue::Text(how.to_owned()));
     let mut on = Controller::start(start, 7, &settings);
     on.learn(start, &fleet(), true);
     on.results.clear();
@@ -737,31 +750,35 @@
     {
         let (mut on, now) = told(how, every);
         on.take(now, &wish(1, FREE, "t", 0, now + seconds(9.0)));
-        assert_eq!((on.results.looks.len(), on.results.shots.len()), (looks, 1 - looks), "{how}, {every}");
+        assert_eq!(
+            (on.results.probes.len(), on.results.attempts.len()),
+            (looks, 1 - looks),
+            "{how}, {every}"
+        );
     }
     let (mut on, now) = told("looks", 0.0);
-    on.looked(now, "s0", true, Load::link(0.1));
-    on.take(now + seconds(9.0), &Wish { copies: 1, ..wish(1, FREE, "t", 0, now + seconds(19.0)) });
-    assert_eq!(on.results.shots.len(), 1, "no note is overdue where none comes");
+    on.looked(now, "s0", true, Load::of_link(0.1));
+    on.take(now + seconds(9.0), &Request { replicas: 1, ..wish(1, FREE, "t", 0, now + seconds(19.0)) });
+    assert_eq!(on.results.attempts.len(), 1, "no note is overdue where none comes");
 }
 
 /// Where nothing ever tells of a link, starts were a rung lower for good and one short note shut it for good.
 #[test]
 fn without_any_news_of_links_the_own_account_decides() {
     let (mut on, now) = told("never", 0.0);
-    let one = |id: u32, at: Point| Wish { copies: 1, ..wish(id, FREE, "t", 0, at + seconds(9.0)) };
+    let one = |id: u32, at: Point| Request { replicas: 1, ..wish(id, FREE, "t", 0, at + seconds(9.0)) };
     let first = on.take(now, &one(1, now));
     first.plays(&mut on, now);
-    assert_eq!(on.results.rungs, [(1, 2)], "the middle, no rung lower");
+    assert_eq!(on.results.rung_changes, [(1, 2)], "the middle, no rung lower");
     on.results.clear();
     (1..60).for_each(|beat| on.wake(now + seconds(0.3 * f64::from(beat))));
-    assert!(on.results.rungs.len() >= 2, "it climbs in an empty fleet: {:?}", on.results.rungs);
+    assert!(on.results.rung_changes.len() >= 2, "it climbs in an empty fleet: {:?}", on.results.rung_changes);
     let now = now + seconds(20.0);
     first.short(&mut on, now, 0.5);
     on.results.clear();
     for (id, wait, shots) in [(2, 2.0, 0), (3, 17.0, 1)] {
         on.take(now + seconds(wait), &one(id, now + seconds(wait)));
-        assert_eq!(on.results.shots.len(), shots, "{wait} s after the short note");
+        assert_eq!(on.results.attempts.len(), shots, "{wait} s after the short note");
     }
 }
 
@@ -771,14 +788,14 @@
     for (live, shots) in [(true, 1), (false, 0)] {
         let start = Point::at(100.0);
         let mut settings = sheet(0, 1, &[]);
-        settings.insert("link.weight_is_live".to_owned(), Value::Flag(live));
+        settings.insert("link.weight_is_live".to_owned(), SettingValue::Flag(live));
         let mut on = Controller::start(start, 7, &settings);
         let now = start + seconds(COLD);
         for weight in [1.0, 0.02] {
-            on.learn(now, &[Line { weight, ..line(0, Stage::Ready, None) }], false);
+            on.learn(now, &[StreamerEntry { weight, ..line(0, StreamerState::Ready, None) }], false);
         }
-        on.take(now, &Wish { copies: 1, ..wish(1, PAID, "t", 0, now + seconds(9.0)) });
-        assert_eq!(on.results.shots.len(), shots, "live: {live}");
+        on.take(now, &Request { replicas: 1, ..wish(1, PAID, "t", 0, now + seconds(9.0)) });
+        assert_eq!(on.results.attempts.len(), shots, "live: {live}");
     }
 }
 
@@ -788,14 +805,14 @@
     for (holds, window, again) in [("all", 3.0, true), ("all", 2.0, false), ("zone", 5.0, false)] {
         let now = Point::at(100.0);
         let mut settings = sheet(0, 1, &[("lanes.1.key_window", window), ("lanes.1.cut_off", 3.0)]);
-        settings.insert("lanes.1.repeat".to_owned(), Value::Text("keyed".to_owned()));
-        settings.insert("lanes.1.key_holds".to_owned(), Value::Text(holds.to_owned()));
+        settings.insert("lanes.1.repeat".to_owned(), SettingValue::Text("keyed".to_owned()));
+        settings.insert("lanes.1.key_holds".to_owned(), SettingValue::Text(holds.to_owned()));
         let mut on = Controller::start(now, 7, &settings);
         on.learn(now, &fleet(), true);
         let held = on.take(now, &wish(1, PAID, "t", 0, now + seconds(3.0)));
         on.results.clear();
-        held.ended(&mut on, now + seconds(0.4), Ending::TimedOut, false, Load::default());
-        let (shots, scrapped) = (on.results.shots.len(), on.results.scrapped.len());
+        held.ended(&mut on, now + seconds(0.4), AttemptOutcome::TimedOut, false, Load::default());
+        let (shots, scrapped) = (on.results.attempts.len(), on.results.failed.len());
         assert_eq!((shots, scrapped), if again { (1, 0) } else { (0, 1) }, "{holds}, {window} s");
     }
 }
@@ -808,15 +825,15 @@
         for cell in 0..STREAMERS {
             let playing = on.inherit(start, &wish(cell as u32, FREE, "u", cell, start), &format!("s{cell}"));
             let full = if cell == 0 { 0.1 } else { 2.0 };
-            playing.load(&mut on, start + seconds(1.0), Load::link(full));
+            playing.load(&mut on, start + seconds(1.0), Load::of_link(full));
             if cell > 0 {
-                playing.load(&mut on, start + seconds(39.0), Load::link(full));
+                playing.load(&mut on, start + seconds(39.0), Load::of_link(full));
             }
         }
         let now = start + seconds(40.0);
         on.wake(now);
         on.results.clear();
-        on.take(now, &Wish { copies: 1, ..wish(9, PAID, "t", 0, now + seconds(9.0)) });
-        assert_eq!(on.results.shots.len(), shots, "a note every {every} s");
+        on.take(now, &Request { replicas: 1, ..wish(9, PAID, "t", 0, now + seconds(9.0)) });
+        assert_eq!(on.results.attempts.len(), shots, "a note every {every} s");
     }
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -7,7 +7,7 @@
 use lemontide::chance::Chance;
 use lemontide::clock::{Point, Span};
 use lemontide::control::{Controller, Handle};
-use lemontide::interface::{Ending, Load, Stage};
+use lemontide::interface::{AttemptOutcome, Load, StreamerState};
 use proptest::prelude::*;
 
 const STEP: f64 = 0.02;
@@ -70,7 +70,7 @@
     ];
     let mut on = Controller::start(now + skew, day.seed + me as u64, &sheet(me, day.processes, &more));
     let told = me.is_multiple_of(2) || now - since >= Span::of(day.unaware);
-    let news = line(0, Stage::Ready, Some(since));
+    let news = line(0, StreamerState::Ready, Some(since));
     on.learn(now + skew, &if told { vec![news] } else { Vec::new() }, true);
     Process { on, playing: Vec::new(), skew, told }
 }
@@ -100,12 +100,12 @@
             let now = now + process.skew;
             if !process.told && at >= day.unaware {
                 process.told = true;
-                process.on.learn(now, &[line(0, Stage::Ready, Some(since))], false);
+                process.on.learn(now, &[line(0, StreamerState::Ready, Some(since))], false);
             }
             // What plays ends soon: places are never what stops a set-up.
             for (until, handle) in std::mem::take(&mut process.playing) {
                 if until <= now {
-                    handle.ended(&mut process.on, now, Ending::Served, true, Load::default());
+                    handle.ended(&mut process.on, now, AttemptOutcome::Served, true, Load::default());
                 } else {
                     process.playing.push((until, handle));
                 }
@@ -119,7 +119,7 @@
                 due -= 1.0;
                 id += 1;
                 let handle = process.on.take(now, &wish(id, FREE, "t", 0, now + Span::of(3.0)));
-                let sent = !process.on.results.shots.is_empty();
+                let sent = !process.on.results.attempts.is_empty();
                 process.on.results.clear();
                 if sent {
                     sends.push(
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,7 +6,7 @@
 use common::*;
 use lemontide::clock::{Point, Span};
 use lemontide::control::{Controller, Handle};
-use lemontide::interface::{Ending, Load, Sheet, Stage, Value};
+use lemontide::interface::{AttemptOutcome, ControllerSettings, Load, SettingValue, StreamerState};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,10 +18,10 @@
 #[derive(Clone, Debug)]
 enum Step {
     Wish { to: usize, paid: bool, title: usize, patience: f64 },
-    End { pick: usize, ending: Ending },
+    End { pick: usize, ending: AttemptOutcome },
     Play { pick: usize },
     Leave { pick: usize },
-    Stage { cell: usize, stage: Stage, restarted: bool },
+    Stage { cell: usize, stage: StreamerState, restarted: bool },
     Full { pick: usize, full: f64 },
     Look { pick: usize, sound: bool, full: f64 },
     Pass { seconds: f64 },
@@ -29,15 +29,15 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let ending = prop_oneof![
-        Just(Ending::Errored),
-        Just(Ending::SentBack),
-        Just(Ending::NoConnection),
-        Just(Ending::Broken),
-        Just(Ending::Cancelled),
-        Just(Ending::Unknown),
+        Just(AttemptOutcome::Errored),
+        Just(AttemptOutcome::Refused),
+        Just(AttemptOutcome::NoConnection),
+        Just(AttemptOutcome::ConnectionLost),
+        Just(AttemptOutcome::Cancelled),
+        Just(AttemptOutcome::Unknown),
     ];
-    let ready = Just(Stage::Ready);
-    let stage = prop_oneof![3 => ready, 1 => Just(Stage::Draining), 1 => Just(Stage::Gone)];
+    let ready = Just(StreamerState::Ready);
+    let stage = prop_oneof![3 => ready, 1 => Just(StreamerState::Draining), 1 => Just(StreamerState::Gone)];
     prop_oneof![
         6 => (0..2usize, any::<bool>(), 0..4usize, 0.2..4.0)
             .prop_map(|(to, paid, title, patience)| Step::Wish { to, paid, title, patience }),
@@ -56,16 +56,16 @@
 
 /// The first controller may look at streamers, the second may not. On a fleet of another shape the free lane is live,
 /// the list comes on request, no notes come, and looks alone tell of links.
-fn settings(me: usize, other_shape: bool, more: &[(&str, f64)]) -> Sheet {
+fn settings(me: usize, other_shape: bool, more: &[(&str, f64)]) -> ControllerSettings {
     let shape = [("ladder.join", 0.2), ("notes.every", 0.0), ("list.ask_within", 5.0)];
     let shape = if other_shape { &shape[..] } else { &[] };
     let mut sheet = sheet(me, 2, &[more, shape].concat());
-    sheet.insert("looks.allowed".to_owned(), Value::Flag(me == 0));
+    sheet.insert("looks.allowed".to_owned(), SettingValue::Flag(me == 0));
     for name in ["lane_live.0", "list.on_request"] {
-        sheet.insert(name.to_owned(), Value::Flag(other_shape));
+        sheet.insert(name.to_owned(), SettingValue::Flag(other_shape));
     }
     let told = if other_shape { "looks" } else { "answers" };
-    sheet.insert("links.told".to_owned(), Value::Text(told.to_owned()));
+    sheet.insert("links.told".to_owned(), SettingValue::Text(told.to_owned()));
     sheet
 }
 
@@ -156,29 +156,32 @@
     /// Checks and carries out what a controller wants done.
     fn obey(&mut self, to: usize) {
         let results = std::mem::take(&mut self.controllers[to].results);
-        for (id, rung) in &results.rungs {
+        for (id, rung) in &results.rung_changes {
             let case = &self.cases[id];
             assert!(*rung <= 4 && *rung >= usize::from(case.paid), "rung {rung} is off the terms");
         }
-        for shot in &results.shots {
-            assert!(results.rungs.iter().any(|(id, _)| *id == shot.id), "a shot without its rung");
+        for shot in &results.attempts {
+            assert!(
+                results.rung_changes.iter().any(|(id, _)| *id == shot.session),
+                "a shot without its rung"
+            );
             let cell: usize = shot.streamer[1..].parse().expect("a streamer of the fleet");
             assert!(self.ready[cell], "sent to {} after it was told to drain", shot.streamer);
-            assert!(holds(&shot.streamer, self.cases[&shot.id].title), "the title is not there");
-            assert!(self.may_shoot(&self.cases[&shot.id]), "a shot that the rules forbid");
+            assert!(holds(&shot.streamer, self.cases[&shot.session].title), "the title is not there");
+            assert!(self.may_shoot(&self.cases[&shot.session]), "a shot that the rules forbid");
             if self.started[cell].is_some_and(|s| (self.now - s).seconds() < COLD) {
                 self.cold[cell].push(self.now);
             }
             let now = self.now;
-            let case = self.cases.get_mut(&shot.id).expect("known");
-            assert!(shot.within > Span::ZERO && now + shot.within <= case.cut_off, "past the cut-off");
+            let case = self.cases.get_mut(&shot.session).expect("known");
+            assert!(shot.timeout > Span::ZERO && now + shot.timeout <= case.cut_off, "past the cut-off");
             if case.shots > 0 {
                 self.further[to].push(now);
             }
             case.shots += 1;
-            case.out = Some(now + shot.within);
+            case.out = Some(now + shot.timeout);
         }
-        for (id, after) in &results.turned_back {
+        for (id, after) in &results.rejected {
             let case = self.cases.get_mut(id).expect("known");
             assert!(
                 !(case.paid && case.ran) && case.out.is_none() && !case.plays,
@@ -187,13 +190,13 @@
             assert!(after.is_some(), "no word on when to come again");
             case.answered += 1;
         }
-        for id in &results.scrapped {
+        for id in &results.failed {
             let case = self.cases.get_mut(id).expect("known");
             assert!(case.out.is_none() && !case.plays, "scrapped with a shot out");
             assert!(case.paid && case.ran, "scrapped though it could be turned back");
             case.answered += 1;
         }
-        self.looks.extend(results.looks.into_iter().map(|streamer| (to, streamer)));
+        self.looks.extend(results.probes.into_iter().map(|streamer| (to, streamer)));
         // Who waits for a look is answered within some beats; else an answer is owed at once: whoever has no shot out
         // and does not play was answered just now.
         for (id, case) in self.cases.iter().filter(|(_, c)| c.to == to && !c.gone) {
@@ -203,17 +206,20 @@
         }
     }
 
-    fn end(&mut self, id: u32, ending: Ending) {
+    fn end(&mut self, id: u32, ending: AttemptOutcome) {
         let case = self.cases.get_mut(&id).expect("known");
         let (to, over) = (case.to, case.plays || case.gone);
         (case.out, case.plays, case.gone) = (None, false, over);
-        case.ran |= !matches!(ending, Ending::SentBack | Ending::NoConnection | Ending::NotSent);
+        case.ran |= !matches!(
+            ending,
+            AttemptOutcome::Refused | AttemptOutcome::NoConnection | AttemptOutcome::NotSent
+        );
         if let Some(handle) = case.handle {
             handle.ended(&mut self.controllers[to], self.now, ending, over, Load::default());
             self.obey(to);
             // The same news again finds nobody, or a shot that is not out: it must do no harm.
             if self.cases[&id].answered > 0 || over {
-                handle.ended(&mut self.controllers[to], self.now, ending, true, Load::link(0.5));
+                handle.ended(&mut self.controllers[to], self.now, ending, true, Load::of_link(0.5));
                 handle.left(&mut self.controllers[to]);
             }
         }
@@ -227,7 +233,7 @@
                 let due = self.cases.iter().filter_map(|(id, c)| Some((c.out?, *id))).min();
                 let Some((at, id)) = due.filter(|(at, _)| *at <= beat) else { break };
                 self.now = self.now.max(at);
-                self.end(id, Ending::TimedOut);
+                self.end(id, AttemptOutcome::TimedOut);
             }
             self.now = beat;
             for to in 0..2 {
@@ -276,7 +282,7 @@
                 }
             }
             Step::Stage { cell, stage, restarted } => {
-                self.ready[cell] = stage == Stage::Ready;
+                self.ready[cell] = stage == StreamerState::Ready;
                 if restarted {
                     self.started[cell] = Some(self.now);
                     self.cold[cell].clear();
@@ -291,14 +297,14 @@
                 if let Some(id) = self.pick(pick, |c| c.plays) {
                     let to = self.cases[&id].to;
                     let handle = self.cases[&id].handle.expect("taken");
-                    handle.load(&mut self.controllers[to], self.now, Load::link(full));
+                    handle.load(&mut self.controllers[to], self.now, Load::of_link(full));
                     handle.short(&mut self.controllers[to], self.now, 1.0 / full.max(1.0));
                     self.obey(to);
                 }
             }
             Step::Look { pick, sound, full } if !self.looks.is_empty() => {
                 let (to, streamer) = self.looks.swap_remove(pick % self.looks.len());
-                let load = if sound { Load::link(full) } else { Load::default() };
+                let load = if sound { Load::of_link(full) } else { Load::default() };
                 self.controllers[to].looked(self.now, &streamer, sound, load);
                 self.obey(to);
             }
