--- a/crates/lemontide-drill/src/wire.rs
+++ b/crates/lemontide-drill/src/wire.rs
@@ -1,7 +1,7 @@
 //! Decodes the wire's events into calls on the decision module and encodes its results.
 
 use lemontide::clock::{Point, Span};
-use lemontide::control::{Controller, Handle};
+use lemontide::control::{Controller, SessionHandle};
 use lemontide::interface::{Actions, AttemptOutcome, Load, Request, StreamerEntry, StreamerState};
 use serde::Deserialize;
 use serde_json::{json, Value as Json};
@@ -105,7 +105,7 @@
 
 struct Host {
     controller: Controller,
-    handles: HashMap<u32, Handle>,
+    handles: HashMap<u32, SessionHandle>,
     reports: Vec<String>,
 }
 
@@ -159,7 +159,7 @@
                     lemontide_sheet::sheet(&attach.config).map_err(|e| format!("{name}: config.{e}"))?;
                 let reports = attach.config.pointer("/report/names").and_then(Json::as_array);
                 let host = Host {
-                    controller: Controller::start(now, attach.rng_seed, &sheet),
+                    controller: Controller::new(now, attach.rng_seed, &sheet),
                     handles: HashMap::new(),
                     reports: reports.into_iter().flatten().map(words).collect(),
                 };
@@ -185,18 +185,18 @@
             "Registry" => {
                 let registry: Registry = decode(name, body)?;
                 if registry.form == "lost" {
-                    controller.list_lost(now);
+                    controller.list_unavailable(now);
                 } else if let ("incr" | "total" | "warm_copy", Some(lines)) =
                     (registry.form.as_str(), self.pages.get(&registry.page))
                 {
-                    controller.learn(now, lines, registry.form != "incr");
+                    controller.update_list(now, lines, registry.form != "incr");
                 }
             }
-            "Reminder" => controller.wake(now),
+            "Reminder" => controller.tick(now),
             "ProbeResult" => {
                 let look: Look = decode(name, body)?;
                 let load = load(reports, &look.metrics);
-                controller.looked(now, &look.streamer, look.verdict == 200, load);
+                controller.probe_finished(now, &look.streamer, look.verdict == 200, load);
             }
             "Request" | "Inherited" => {
                 let news: News = decode(name, body)?;
@@ -214,8 +214,8 @@
                     expected_duration: news.weight_hint.map(Span::of),
                 };
                 let handle = match name {
-                    "Request" => controller.take(now, &wish),
-                    _ => controller.inherit(now, &wish, &news.streamer),
+                    "Request" => controller.submit(now, &wish),
+                    _ => controller.adopt(now, &wish, &news.streamer),
                 };
                 handles.insert(news.op_id, handle);
             }
@@ -225,29 +225,29 @@
                     return Ok(());
                 };
                 match (name, news.what) {
-                    ("Headers", _) => handle.plays(controller, now),
-                    ("ClientGone", _) => handle.left(controller),
+                    ("Headers", _) => handle.playing(controller, now),
+                    ("ClientGone", _) => handle.viewer_left(controller),
                     ("Completed", _) => {
                         let load = load(reports, &news.metrics);
-                        handle.ended(controller, now, ending(news.verdict), news.terminal, load);
+                        handle.attempt_ended(controller, now, ending(news.verdict), news.terminal, load);
                         if news.terminal {
                             handles.remove(&news.op_id);
                         }
                     }
-                    (_, 1) => handle.short(controller, now, news.level),
-                    (_, 2) => handle.at_rung(controller, now, news.level.max(0.0) as usize),
-                    (_, 3) => handle.load(controller, now, Load::of_link(news.level)),
-                    (_, 4) => handle.load(controller, now, Load::of_uplink(news.level)),
+                    (_, 1) => handle.shortfall_reported(controller, now, news.level),
+                    (_, 2) => handle.rung_reported(controller, now, news.level.max(0.0) as usize),
+                    (_, 3) => handle.load_reported(controller, now, Load::of_link(news.level)),
+                    (_, 4) => handle.load_reported(controller, now, Load::of_uplink(news.level)),
                     _ => {}
                 }
             }
             _ => {}
         }
-        encode(now, &controller.results, output);
-        for id in controller.results.rejected.iter().map(|(id, _)| id).chain(&controller.results.failed) {
+        encode(now, &controller.actions, output);
+        for id in controller.actions.rejected.iter().map(|(id, _)| id).chain(&controller.actions.failed) {
             handles.remove(id);
         }
-        controller.results.clear();
+        controller.actions.clear();
         Ok(())
     }
 }
--- a/crates/lemontide-front/src/core/driver.rs
+++ b/crates/lemontide-front/src/core/driver.rs
@@ -7,7 +7,7 @@
 use super::links::{Link, Queued, Verdict};
 use super::{seconds, Connection, Evidence, GivenUp, InFleet, Shared, Together, Viewers};
 use lemontide::clock::{Point, Span};
-use lemontide::control::{Controller, Handle};
+use lemontide::control::{Controller, SessionHandle};
 use lemontide::interface::{
     AttemptOutcome, ControllerSettings, Load, NewAttempt, StreamerEntry, StreamerState,
 };
@@ -116,7 +116,7 @@
 
 /// A wish or subscription in hand.
 pub struct Held {
-    handle: Handle,
+    handle: SessionHandle,
     pub ask: String,
     title: String,
     lane: usize,
@@ -164,7 +164,7 @@
 impl Driver {
     pub fn start(now: Point, seed: u64, sheet: &ControllerSettings, terms: Terms) -> Driver {
         Driver {
-            module: Controller::start(now, seed, sheet),
+            module: Controller::new(now, seed, sheet),
             together: terms.together.as_ref().and_then(|shared| Together::new(now, shared)),
             terms,
             known: Vec::new(),
@@ -243,7 +243,7 @@
             }
         }
         let lines: Vec<StreamerEntry> = self.known.iter().map(Known::line).collect();
-        self.module.learn(now, &lines, true);
+        self.module.update_list(now, &lines, true);
         self.carry_out(now);
         for at in 0..self.known.len() {
             let stage = self.known[at].entry.stage;
@@ -306,7 +306,7 @@
         if let Some(together) = &mut self.together {
             together.asked(now);
         }
-        let handle = self.module.take(now, &wish_here);
+        let handle = self.module.submit(now, &wish_here);
         let held = Held {
             handle,
             ask: wish.ask.clone(),
@@ -355,14 +355,14 @@
         if held.playing {
             let shot = held.shots - 1;
             self.order(now, at, Order::Cancel(Cancel { id, shot, why: why.into() }));
-            handle.ended(&mut self.module, now, AttemptOutcome::Cancelled, true, Load::default());
+            handle.attempt_ended(&mut self.module, now, AttemptOutcome::Cancelled, true, Load::default());
             self.held.remove(&id);
             self.effects.push(Effect::News { id, news: News::Over { why: over } });
             self.carry_out(now);
             return true;
         }
         held.left = true;
-        handle.left(&mut self.module);
+        handle.viewer_left(&mut self.module);
         match &held.out {
             None => {
                 self.held.remove(&id);
@@ -420,7 +420,7 @@
     /// How far others are believed that each streamer fails, from 0 to 1. The module decides what to make of it.
     pub fn doubts(&mut self, now: Point, weights: &[(String, f64)]) {
         for (streamer, weight) in weights {
-            self.module.heard_of(now, streamer, *weight);
+            self.module.set_peer_suspicion(now, streamer, *weight);
         }
     }
 
@@ -428,7 +428,7 @@
     pub fn fleet(&mut self, now: Point, numbers: &BTreeMap<u32, Option<Point>>) {
         let Some(together) = &mut self.together else { return };
         let (turns, tap) = together.hear(now, numbers);
-        self.module.stands_for(turns.own, &turns.missing, turns.until);
+        self.module.cover_turns(turns.own, &turns.missing, turns.until);
         self.effects.extend(tap);
     }
 
@@ -443,7 +443,7 @@
         let (titles, entries) = (self.terms.titles.values().copied(), self.known.iter().map(|k| &k.entry));
         for (at, first) in together.choose(now, self.listed, titles, self.terms.cells, entries) {
             if let Some(known) = self.known.get(at as usize) {
-                self.module.favour(&known.entry.streamer, first);
+                self.module.set_preferred(&known.entry.streamer, first);
             }
         }
         let mut needed = vec![false; self.known.len()];
@@ -496,7 +496,7 @@
         if started.is_finite() && started > known.welcomed.unwrap_or(0.0) {
             known.welcomed = Some(started);
             let line = known.line();
-            self.module.learn(now, &[line], false);
+            self.module.update_list(now, &[line], false);
             self.carry_out(now);
         }
         self.pump(now, at);
@@ -573,11 +573,11 @@
                     shot: plays.shot,
                     how: tap::How::Served,
                 }));
-                handle.plays(&mut self.module, now);
+                handle.playing(&mut self.module, now);
                 self.saw(at, AttemptOutcome::Served);
                 self.landed(now, at, handed, AttemptOutcome::Served);
                 if load.link_utilization.is_some() || load.uplink_utilization.is_some() {
-                    handle.load(&mut self.module, now, load);
+                    handle.load_reported(&mut self.module, now, load);
                 }
                 if self.held.get(&plays.id).is_some_and(|held| held.left) {
                     // It played before the cancel came: it is ended like one that plays.
@@ -619,17 +619,17 @@
             }
             Told::Rung(rung) => {
                 if let Some(handle) = self.plays_at(at, rung.id) {
-                    handle.at_rung(&mut self.module, now, rung.rung as usize);
+                    handle.rung_reported(&mut self.module, now, rung.rung as usize);
                 }
             }
             Told::Short(short) => {
                 if let Some(handle) = self.plays_at(at, short.id).filter(|_| short.share.is_finite()) {
-                    handle.short(&mut self.module, now, short.share.clamp(0.0, 1.0));
+                    handle.shortfall_reported(&mut self.module, now, short.share.clamp(0.0, 1.0));
                 }
             }
             Told::Fullness(fullness) => {
                 if let Some(handle) = self.plays_at(at, fullness.id) {
-                    handle.load(&mut self.module, now, load(&fullness.cmsd_dynamic));
+                    handle.load_reported(&mut self.module, now, load(&fullness.cmsd_dynamic));
                 }
             }
             Told::Looked(looked) => {
@@ -637,7 +637,7 @@
                 if known.looking.is_some_and(|(nonce, _)| nonce == looked.nonce) {
                     known.looking = None;
                     let name = known.entry.streamer.clone();
-                    self.module.looked(now, &name, true, load(&looked.cmsd_dynamic));
+                    self.module.probe_finished(now, &name, true, load(&looked.cmsd_dynamic));
                 }
             }
             Told::Pong(pong) => {
@@ -663,7 +663,7 @@
         }
         if self.wake.is_some_and(|wake| wake <= now) {
             self.wake = None;
-            self.module.wake(now);
+            self.module.tick(now);
         }
         self.carry_out(now);
     }
@@ -686,7 +686,7 @@
             if late {
                 self.known[at].looking = None;
                 let name = self.known[at].entry.streamer.clone();
-                self.module.looked(now, &name, false, Load::default());
+                self.module.probe_finished(now, &name, false, Load::default());
             }
         }
     }
@@ -708,7 +708,7 @@
         link.is_some_and(|link| link.dial == dial && (link.is_up() || link.is_dialling()))
     }
 
-    fn plays_at(&self, at: usize, id: u32) -> Option<Handle> {
+    fn plays_at(&self, at: usize, id: u32) -> Option<SessionHandle> {
         self.held.get(&id).filter(|held| held.playing && held.at == at).map(|held| held.handle)
     }
 
@@ -761,7 +761,7 @@
     /// Does what the module left to be done, until nothing is left.
     fn carry_out(&mut self, now: Point) {
         loop {
-            let mut results = std::mem::take(&mut self.module.results);
+            let mut results = std::mem::take(&mut self.module.actions);
             self.wake = results.next_tick.or(self.wake);
             let nothing = results == Default::default();
             for (id, rung) in results.rung_changes.drain(..) {
--- a/crates/lemontide-front/src/core/driver/attempts.rs
+++ b/crates/lemontide-front/src/core/driver/attempts.rs
@@ -88,7 +88,7 @@
         tracing::debug!(target: "attempt", ask = held.ask, number, ?on, ?ending, ?test, "given up, not proven over");
         let left = held.left;
         self.count_end(now, at, handed, ending, false);
-        if left || !handle.in_doubt(&mut self.module, now) {
+        if left || !handle.attempt_in_doubt(&mut self.module, now) {
             return self.ended(now, id, ending, Load::default());
         }
         self.due.push(Reverse((cut_off, id, number)));
@@ -141,7 +141,7 @@
         if out.as_ref().is_none_or(|out| out.given_up.is_none()) {
             self.count_end(now, at, out.and_then(|out| out.handed), ending, playing);
         }
-        handle.ended(&mut self.module, now, ending, playing, load);
+        handle.attempt_ended(&mut self.module, now, ending, playing, load);
         if playing || left {
             self.held.remove(&id);
         }
--- a/crates/lemontide-platform/src/dispatcher.rs
+++ b/crates/lemontide-platform/src/dispatcher.rs
@@ -21,7 +21,7 @@
 use bytes::Bytes;
 use ended::EndedSessions;
 use lemontide::clock::{Point, Span};
-use lemontide::control::{Controller, Handle};
+use lemontide::control::{Controller, SessionHandle};
 use lemontide::interface::{
     AttemptOutcome, ControllerSettings, Load, NewAttempt, Request, SettingValue, StreamerEntry, StreamerState,
 };
@@ -171,7 +171,7 @@
 /// A wish or subscription in hand.
 struct Held {
     session: u64,
-    handle: Handle,
+    handle: SessionHandle,
     conn: u64,
     /// Until it is answered.
     reply: Option<PendingReply>,
@@ -199,7 +199,7 @@
     /// A request or session of this connection and number, read then and to be sent on until then.
     fn new(
         (conn, session): (u64, u64),
-        handle: Handle,
+        handle: SessionHandle,
         reply: Option<PendingReply>,
         set_up: SetUp,
         (read, until): (Point, Point),
@@ -365,7 +365,7 @@
         let mut sheet = sheet.clone();
         sheet.insert("looks.allowed".to_owned(), SettingValue::Flag(false));
         Dispatcher {
-            module: Controller::start(now, seed, &sheet),
+            module: Controller::new(now, seed, &sheet),
             terms,
             known: BTreeMap::new(),
             wires: BTreeMap::new(),
@@ -456,7 +456,7 @@
         }
         if self.wake.is_some_and(|wake| wake <= now) {
             self.wake = None;
-            self.module.wake(now);
+            self.module.tick(now);
         }
         self.carry_out(now);
         self.answer_overdue(now);
--- a/crates/lemontide-platform/src/dispatcher/attempts.rs
+++ b/crates/lemontide-platform/src/dispatcher/attempts.rs
@@ -105,9 +105,9 @@
         held.set_up.description = Bytes::new();
         let (handle, conn, session, reply) = (held.handle, held.conn, held.session, held.reply.take());
         tracing::debug!(target: "decision", session = format!("{session:016x}"), streamer = &*held.at, answered = true);
-        handle.plays(&mut self.module, now);
+        handle.playing(&mut self.module, now);
         if load.link_utilization.is_some() || load.uplink_utilization.is_some() {
-            handle.load(&mut self.module, now, load);
+            handle.load_reported(&mut self.module, now, load);
         }
         if let Some(reply) = reply {
             self.answer(reply, Body::Answer { description, load: Load::default() }, steps);
@@ -177,7 +177,7 @@
         tracing::debug!(
             target: "attempt", session = format!("{session:016x}"), number, ?given_up, "given up, not proven over"
         );
-        if !handle.in_doubt(&mut self.module, now) {
+        if !handle.attempt_in_doubt(&mut self.module, now) {
             return self.out_of_time(now, id);
         }
         self.due.push(Reverse((until, id, number)));
@@ -330,13 +330,13 @@
             target: "decision",
             session = format!("{:016x}", held.session), streamer = &*held.at, ?ending, plays, ?load
         );
-        handle.ended(&mut self.module, now, ending, plays, load);
+        handle.attempt_ended(&mut self.module, now, ending, plays, load);
     }
 
     /// Does what the module left to be done, until nothing is left.
     pub(super) fn carry_out(&mut self, now: Point) {
         loop {
-            let mut results = std::mem::take(&mut self.module.results);
+            let mut results = std::mem::take(&mut self.module.actions);
             self.wake = results.next_tick.or(self.wake);
             let nothing = results == Default::default();
             for (id, rung) in results.rung_changes.drain(..) {
@@ -354,7 +354,13 @@
             for id in results.moved.drain(..) {
                 let Some(held) = self.remove(now, id) else { continue };
                 self.end_at(now, &held.at, held.session);
-                held.handle.ended(&mut self.module, now, AttemptOutcome::Cancelled, true, Load::default());
+                held.handle.attempt_ended(
+                    &mut self.module,
+                    now,
+                    AttemptOutcome::Cancelled,
+                    true,
+                    Load::default(),
+                );
                 self.say(held.conn, held.session, Body::Move);
             }
             if nothing {
--- a/crates/lemontide-platform/src/dispatcher/connections.rs
+++ b/crates/lemontide-platform/src/dispatcher/connections.rs
@@ -278,10 +278,10 @@
                 self.stream_over(now, id, ending, load);
             }
             Body::Note(note) if plays => match note {
-                Note::Share(share) => handle.short(&mut self.module, now, share.clamp(0.0, 1.0)),
-                Note::Rung(rung) => handle.at_rung(&mut self.module, now, rung),
-                Note::Link(full) => handle.load(&mut self.module, now, Load::of_link(full)),
-                Note::Rack(full) => handle.load(&mut self.module, now, Load::of_uplink(full)),
+                Note::Share(share) => handle.shortfall_reported(&mut self.module, now, share.clamp(0.0, 1.0)),
+                Note::Rung(rung) => handle.rung_reported(&mut self.module, now, rung),
+                Note::Link(full) => handle.load_reported(&mut self.module, now, Load::of_link(full)),
+                Note::Rack(full) => handle.load_reported(&mut self.module, now, Load::of_uplink(full)),
             },
             _ => {}
         }
--- a/crates/lemontide-platform/src/dispatcher/list.rs
+++ b/crates/lemontide-platform/src/dispatcher/list.rs
@@ -18,7 +18,7 @@
             }
             lines.extend(gone.iter().map(Entry::line));
         }
-        self.module.learn(now, &lines, hosts.full);
+        self.module.update_list(now, &lines, hosts.full);
         self.carry_out(now);
         let names: Vec<Arc<str>> = self.known.keys().cloned().collect();
         for at in names {
--- a/crates/lemontide-platform/src/dispatcher/unanswered.rs
+++ b/crates/lemontide-platform/src/dispatcher/unanswered.rs
@@ -22,7 +22,7 @@
         let Some(from) = self.conns.get_mut(&conn) else { return };
         from.is_draining = true;
         for reply in self.take_undecided_on(conn) {
-            let turned_back = viewers::turned_back(self.module.come_again());
+            let turned_back = viewers::turned_back(self.module.retry_after());
             self.answer(reply, turned_back, None);
         }
         for id in self.unanswered_on(conn) {
@@ -59,7 +59,7 @@
 
     fn allow_no_other_attempt(&mut self, now: Point, id: u32) {
         if let Some(held) = self.held.get(&id) {
-            held.handle.conclude(&mut self.module, now);
+            held.handle.stop_retrying(&mut self.module, now);
         }
     }
 
--- a/crates/lemontide-platform/src/dispatcher/viewers.rs
+++ b/crates/lemontide-platform/src/dispatcher/viewers.rs
@@ -302,7 +302,7 @@
         let id = self.next_id();
         let wish = self.wish(id, &set_up, read);
         let until = wish.deadline;
-        let handle = self.module.inherit(now, &wish, &at);
+        let handle = self.module.adopt(now, &wish, &at);
         set_up.description = Bytes::new();
         let held = Held::new((conn, session), handle, None, set_up, (read.0, until));
         self.held.insert(id, Held { at, playing: Some(now), ..held });
@@ -332,13 +332,13 @@
         let late = self.stops.is_some_and(|since| now - since > LAST_CALL);
         if late || crowded || self.held.len() >= self.terms.held_most {
             self.turn_away(conn, session);
-            return self.answer(reply, turned_back(self.module.come_again()), None);
+            return self.answer(reply, turned_back(self.module.retry_after()), None);
         }
         let id = self.next_id();
         let wish = self.wish(id, &set_up, read);
         let until = wish.deadline;
         reply.set_due(until + ANSWER_GRACE);
-        let handle = self.module.take(now, &wish);
+        let handle = self.module.submit(now, &wish);
         let held = Held::new((conn, session), handle, Some(reply), set_up, (read.0, until));
         self.held.insert(id, held);
         self.by_session.insert(session, id);
@@ -355,10 +355,10 @@
         if let Some(steps) = Self::steps(&held, Outcome::ViewerLeft, now) {
             steps.log(None);
         }
-        held.handle.left(&mut self.module);
+        held.handle.viewer_left(&mut self.module);
         if let Some(attempt) = held.attempt.take() {
             let ending = self.abandon(now, id, &held, attempt);
-            held.handle.ended(&mut self.module, now, ending, true, Load::default());
+            held.handle.attempt_ended(&mut self.module, now, ending, true, Load::default());
         }
         self.carry_out(now);
     }
@@ -367,7 +367,7 @@
     pub(super) fn viewer_ends(&mut self, now: Point, id: u32) {
         let Some(held) = self.remove(now, id) else { return };
         self.end_at(now, &held.at, held.session);
-        held.handle.ended(&mut self.module, now, AttemptOutcome::Cancelled, true, Load::default());
+        held.handle.attempt_ended(&mut self.module, now, AttemptOutcome::Cancelled, true, Load::default());
         self.carry_out(now);
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -44,7 +44,7 @@
     (0..).map_while(|i| get_number(sheet, &format!("{name}.{i}"))).collect()
 }
 
-/// A viewer's wish, as it is taken or handed over.
+/// A viewer's request, new or of a session that is taken over.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
     pub id: u32,
@@ -57,9 +57,9 @@
     pub replicas: usize,
     /// Highest rung that the viewer can use.
     pub max_rung: usize,
-    /// The viewer comes again, so this traffic was counted before.
+    /// The viewer requests again, so this traffic was counted before.
     pub is_retry: bool,
-    /// A guess of how long the viewer stays.
+    /// An estimate of how long the viewer stays.
     pub expected_duration: Option<Span>,
 }
 
@@ -70,7 +70,7 @@
     Gone,
 }
 
-/// One line of the list of streamers.
+/// One entry of the list of streamers.
 #[derive(Clone, Debug)]
 pub struct StreamerEntry {
     pub streamer: String,
@@ -83,7 +83,7 @@
     pub started_at: Option<Point>,
 }
 
-/// How a shot, or the stream that came of it, ended.
+/// How an attempt, or the stream that it started, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     Served,
@@ -97,13 +97,13 @@
     Unknown,
 }
 
-/// What a streamer said of its load; a part that it does not report is none.
+/// The load that a streamer reported; `None` for what it does not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     pub streams: Option<f64>,
-    /// Share of its link that is asked for.
+    /// Demand on its link as a share of the link's capacity; above 1 when overloaded.
     pub link_utilization: Option<f64>,
-    /// The same of its rack's uplink.
+    /// The same for its rack's uplink.
     pub uplink_utilization: Option<f64>,
 }
 
@@ -127,19 +127,19 @@
 /// What the caller has to do after a call, list by list in this order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Actions {
-    /// Rungs to set, by subscription.
+    /// Rungs to set, by session.
     pub rung_changes: Vec<(u32, usize)>,
     pub attempts: Vec<NewAttempt>,
-    /// Subscriptions turned back, with the time after which the viewer should come again.
+    /// Rejected sessions, with the time after which the viewer should retry.
     pub rejected: Vec<(u32, Option<Span>)>,
     pub failed: Vec<u32>,
-    /// Playing subscriptions to end here; they come back to this controller as new wishes.
+    /// Playing sessions to end here; they come back to this controller as new requests.
     pub moved: Vec<u32>,
-    /// Streamers to look at; what comes back goes to `looked`.
+    /// Streamers to probe; the result goes to `probe_finished`.
     pub probes: Vec<Arc<str>>,
-    /// Ask for the list's changes from now on; what comes goes to `learn`, a failure to `list_lost`.
+    /// Request the list and its changes from now on; they go to `update_list`, a failure to `list_unavailable`.
     pub request_list: bool,
-    /// The moment at which `wake` wants to be called.
+    /// When to call `tick` next.
     pub next_tick: Option<Point>,
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! lemontide: places video subscriptions on media servers and shapes their quality.
-//! `control` holds every decision; `interface` the types of its calls, `books` the records it keeps;
-//! `clock` and `chance` what it knows of time and luck.
+//! `control` makes every decision; `interface` has the types of its calls, `records` the state it keeps,
+//! `clock` points in time and durations, `random` a pseudo-random generator.
 
-mod books;
-pub mod chance;
 pub mod clock;
 pub mod control;
 pub mod interface;
+pub mod random;
+mod records;
--- a/src/chance.rs
+++ b/src/random.rs
@@ -1,14 +1,14 @@
 //! A multiply-with-carry generator: small, fast and the same on every machine.
 
-pub struct Chance {
+pub struct Random {
     state: u64,
 }
 
-impl Chance {
+impl Random {
     pub fn from_seed(seed: u64) -> Self {
         // Neither zero nor the largest state may start the sequence: both stay where they are.
         let state = (seed ^ (seed >> 32)) & 0x7fff_ffff;
-        let mut chance = Chance { state: (state | 1) << 31 | 0x2545_f491 };
+        let mut chance = Random { state: (state | 1) << 31 | 0x2545_f491 };
         for _ in 0..8 {
             chance.next();
         }
@@ -20,8 +20,8 @@
         self.state as u32
     }
 
-    /// An even draw from `low` up to `high`.
-    pub fn between(&mut self, low: f64, high: f64) -> f64 {
+    /// Draws uniformly from `low` up to `high`.
+    pub fn uniform(&mut self, low: f64, high: f64) -> f64 {
         low + (high - low) * f64::from(self.next()) / f64::from(u32::MAX)
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -85,9 +85,9 @@
 /// A lone controller that knows the whole fleet, at second 100.
 pub fn lone(more: &[(&str, f64)]) -> (Controller, Point) {
     let now = Point::at(100.0);
-    let mut controller = Controller::start(now, 7, &sheet(0, 1, more));
-    controller.learn(now, &fleet(), true);
-    controller.results.clear();
+    let mut controller = Controller::new(now, 7, &sheet(0, 1, more));
+    controller.update_list(now, &fleet(), true);
+    controller.actions.clear();
     (controller, now)
 }
 
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -4,10 +4,10 @@
 mod common;
 
 use common::{line, sheet, wish, FREE};
-use lemontide::chance::Chance;
 use lemontide::clock::{Point, Span};
-use lemontide::control::{Controller, Handle};
+use lemontide::control::{Controller, SessionHandle};
 use lemontide::interface::{AttemptOutcome, Load, StreamerState};
+use lemontide::random::Random;
 use proptest::prelude::*;
 
 const STEP: f64 = 0.02;
@@ -52,7 +52,7 @@
 
 struct Process {
     on: Controller,
-    playing: Vec<(Point, Handle)>,
+    playing: Vec<(Point, SessionHandle)>,
     skew: Span,
     told: bool,
 }
@@ -68,24 +68,24 @@
         ("dial.timeout", day.late),
         ("link.kb_per_weight", 1e7),
     ];
-    let mut on = Controller::start(now + skew, day.seed + me as u64, &sheet(me, day.processes, &more));
+    let mut on = Controller::new(now + skew, day.seed + me as u64, &sheet(me, day.processes, &more));
     let told = me.is_multiple_of(2) || now - since >= Span::of(day.unaware);
     let news = line(0, StreamerState::Ready, Some(since));
-    on.learn(now + skew, &if told { vec![news] } else { Vec::new() }, true);
+    on.update_list(now + skew, &if told { vec![news] } else { Vec::new() }, true);
     Process { on, playing: Vec::new(), skew, told }
 }
 
 /// Plays the warm-up of one streamer that everybody wants; the moments at which it was sent something.
 fn play(site: &Site, day: &Day) -> Vec<f64> {
-    let mut chance = Chance::from_seed(day.seed);
+    let mut chance = Random::from_seed(day.seed);
     let since = Point::at(1000.0);
     let skews: Vec<Span> =
-        (0..day.processes).map(|_| Span::of(chance.between(0.0, day.apart.max(1e-9)))).collect();
+        (0..day.processes).map(|_| Span::of(chance.uniform(0.0, day.apart.max(1e-9)))).collect();
     let born = Point::at(900.0);
     let mut all: Vec<Process> =
         (0..day.processes).map(|me| start(site, day, me, born, skews[me], since)).collect();
     // Traffic is uneven, and all of it together is several times what the streamer may get.
-    let shares: Vec<f64> = (0..day.processes).map(|_| chance.between(0.2, 3.0)).collect();
+    let shares: Vec<f64> = (0..day.processes).map(|_| chance.uniform(0.2, 3.0)).collect();
     let whole: f64 = shares.iter().sum();
     let wanted = 8.0 * site.places / site.span * site.multiple;
     let mut sends = Vec::new();
@@ -100,39 +100,39 @@
             let now = now + process.skew;
             if !process.told && at >= day.unaware {
                 process.told = true;
-                process.on.learn(now, &[line(0, StreamerState::Ready, Some(since))], false);
+                process.on.update_list(now, &[line(0, StreamerState::Ready, Some(since))], false);
             }
             // What plays ends soon: places are never what stops a set-up.
             for (until, handle) in std::mem::take(&mut process.playing) {
                 if until <= now {
-                    handle.ended(&mut process.on, now, AttemptOutcome::Served, true, Load::default());
+                    handle.attempt_ended(&mut process.on, now, AttemptOutcome::Served, true, Load::default());
                 } else {
                     process.playing.push((until, handle));
                 }
             }
-            process.on.wake(now);
+            process.on.tick(now);
             let mut due = wanted * shares[me] / whole * STEP;
             if day.crowd.is_some_and(|(from, _)| at < from) {
                 due = 0.0;
             }
-            while chance.between(0.0, 1.0) < due {
+            while chance.uniform(0.0, 1.0) < due {
                 due -= 1.0;
                 id += 1;
-                let handle = process.on.take(now, &wish(id, FREE, "t", 0, now + Span::of(3.0)));
-                let sent = !process.on.results.attempts.is_empty();
-                process.on.results.clear();
+                let handle = process.on.submit(now, &wish(id, FREE, "t", 0, now + Span::of(3.0)));
+                let sent = !process.on.actions.attempts.is_empty();
+                process.on.actions.clear();
                 if sent {
                     sends.push(
                         at + match day.crowd {
                             Some((_, until)) if at < until => day.late,
                             Some(_) => 0.0,
-                            None => chance.between(0.0, day.late.max(1e-9)),
+                            None => chance.uniform(0.0, day.late.max(1e-9)),
                         },
                     );
-                    handle.plays(&mut process.on, now);
+                    handle.playing(&mut process.on, now);
                     process.playing.push((now + Span::of(0.1), handle));
                 }
-                process.on.results.clear();
+                process.on.actions.clear();
             }
         }
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use lemontide::clock::{Point, Span};
-use lemontide::control::{Controller, Handle};
+use lemontide::control::{Controller, SessionHandle};
 use lemontide::interface::{AttemptOutcome, ControllerSettings, Load, SettingValue, StreamerState};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -73,7 +73,7 @@
 #[derive(Default)]
 struct Case {
     to: usize,
-    handle: Option<Handle>,
+    handle: Option<SessionHandle>,
     paid: bool,
     title: usize,
     cut_off: Point,
@@ -119,9 +119,9 @@
             ("ration.window", RATION.2),
         ];
         let mut controllers: Vec<_> =
-            (0..2).map(|me| Controller::start(now, me as u64, &settings(me, other_shape, &more))).collect();
+            (0..2).map(|me| Controller::new(now, me as u64, &settings(me, other_shape, &more))).collect();
         for controller in &mut controllers {
-            controller.learn(now, &fleet(), true);
+            controller.update_list(now, &fleet(), true);
         }
         Model {
             now,
@@ -155,7 +155,7 @@
 
     /// Checks and carries out what a controller wants done.
     fn obey(&mut self, to: usize) {
-        let results = std::mem::take(&mut self.controllers[to].results);
+        let results = std::mem::take(&mut self.controllers[to].actions);
         for (id, rung) in &results.rung_changes {
             let case = &self.cases[id];
             assert!(*rung <= 4 && *rung >= usize::from(case.paid), "rung {rung} is off the terms");
@@ -215,12 +215,12 @@
             AttemptOutcome::Refused | AttemptOutcome::NoConnection | AttemptOutcome::NotSent
         );
         if let Some(handle) = case.handle {
-            handle.ended(&mut self.controllers[to], self.now, ending, over, Load::default());
+            handle.attempt_ended(&mut self.controllers[to], self.now, ending, over, Load::default());
             self.obey(to);
             // The same news again finds nobody, or a shot that is not out: it must do no harm.
             if self.cases[&id].answered > 0 || over {
-                handle.ended(&mut self.controllers[to], self.now, ending, true, Load::of_link(0.5));
-                handle.left(&mut self.controllers[to]);
+                handle.attempt_ended(&mut self.controllers[to], self.now, ending, true, Load::of_link(0.5));
+                handle.viewer_left(&mut self.controllers[to]);
             }
         }
     }
@@ -237,7 +237,7 @@
             }
             self.now = beat;
             for to in 0..2 {
-                self.controllers[to].wake(self.now);
+                self.controllers[to].tick(self.now);
                 self.obey(to);
             }
         }
@@ -258,7 +258,7 @@
                 self.taken[to].push(self.now);
                 self.cases.insert(id, case);
                 let name = format!("t{title}");
-                let handle = self.controllers[to].take(self.now, &wish(id, lane, &name, title, cut_off));
+                let handle = self.controllers[to].submit(self.now, &wish(id, lane, &name, title, cut_off));
                 self.cases.get_mut(&id).expect("just entered").handle = Some(handle);
                 self.obey(to);
             }
@@ -271,14 +271,14 @@
                 if let Some(id) = self.pick(pick, |c| c.out.is_some() && !c.gone) {
                     let case = self.cases.get_mut(&id).expect("known");
                     (case.out, case.plays) = (None, true);
-                    case.handle.expect("taken").plays(&mut self.controllers[case.to], self.now);
+                    case.handle.expect("taken").playing(&mut self.controllers[case.to], self.now);
                 }
             }
             Step::Leave { pick } => {
                 if let Some(id) = self.pick(pick, |c| c.out.is_some() && !c.gone) {
                     let case = self.cases.get_mut(&id).expect("known");
                     case.gone = true;
-                    case.handle.expect("taken").left(&mut self.controllers[case.to]);
+                    case.handle.expect("taken").viewer_left(&mut self.controllers[case.to]);
                 }
             }
             Step::Stage { cell, stage, restarted } => {
@@ -289,7 +289,7 @@
                 }
                 for to in 0..2 {
                     let lines = [line(cell, stage, self.started[cell])];
-                    self.controllers[to].learn(self.now, &lines, false);
+                    self.controllers[to].update_list(self.now, &lines, false);
                     self.obey(to);
                 }
             }
@@ -297,15 +297,15 @@
                 if let Some(id) = self.pick(pick, |c| c.plays) {
                     let to = self.cases[&id].to;
                     let handle = self.cases[&id].handle.expect("taken");
-                    handle.load(&mut self.controllers[to], self.now, Load::of_link(full));
-                    handle.short(&mut self.controllers[to], self.now, 1.0 / full.max(1.0));
+                    handle.load_reported(&mut self.controllers[to], self.now, Load::of_link(full));
+                    handle.shortfall_reported(&mut self.controllers[to], self.now, 1.0 / full.max(1.0));
                     self.obey(to);
                 }
             }
             Step::Look { pick, sound, full } if !self.looks.is_empty() => {
                 let (to, streamer) = self.looks.swap_remove(pick % self.looks.len());
                 let load = if sound { Load::of_link(full) } else { Load::default() };
-                self.controllers[to].looked(self.now, &streamer, sound, load);
+                self.controllers[to].probe_finished(self.now, &streamer, sound, load);
                 self.obey(to);
             }
             Step::Look { .. } => {}
