--- a/crates/lemontide-cli/src/day.rs
+++ b/crates/lemontide-cli/src/day.rs
@@ -95,7 +95,7 @@
     let mut lines = Vec::new();
     for tap in &ran.taps {
         if tap.exists() {
-            lines.extend(tap::read(tap)?);
+            lines.extend(tap::read_records(tap)?);
         }
     }
     let verdict = judge(&lines).ok_or("the taps state no terms")?;
@@ -116,8 +116,8 @@
     let day = Day::read(&args.day)?;
     let clock = Clock::start();
     let tap = match &args.tap {
-        Some(path) => Tap::to(path, clock, "streamers")?,
-        None => Tap::none(clock),
+        Some(path) => Tap::open(path, clock, "streamers")?,
+        None => Tap::disabled(clock),
     };
     runtime()?.block_on(async {
         let fleet = Fleet::start(&day, clock, tap, None).await?;
--- a/crates/lemontide-cli/src/measure/front.rs
+++ b/crates/lemontide-cli/src/measure/front.rs
@@ -48,7 +48,7 @@
     let day = roomy_day(1, 20)?;
     let list = folder.path().join("list.json");
     let clock = Clock::start();
-    let fleet = runtime.block_on(Fleet::start(&day, clock, Tap::none(clock), None))?;
+    let fleet = runtime.block_on(Fleet::start(&day, clock, Tap::disabled(clock), None))?;
     write_list(&day, &fleet, &list)?;
     let settings = day.settings(0, &list, None, 1);
     let file = folder.path().join("front.json");
--- a/crates/lemontide-cli/src/measure/gossip.rs
+++ b/crates/lemontide-cli/src/measure/gossip.rs
@@ -6,7 +6,7 @@
 use lemontide_standin::judge::{judge, Verdict};
 use lemontide_standin::run::{self, How};
 use lemontide_standin::town::{name, Plan, Town};
-use lemontide_wire::tap::{self, Line};
+use lemontide_wire::tap::{self, TapRecord};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -57,21 +57,21 @@
     let how = How { program: std::env::current_exe()?, folder: folder.to_owned(), fault: None };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     let ran = runtime.block_on(run::run(day, how))?;
-    let mut lines: Vec<Line> = Vec::new();
+    let mut lines: Vec<TapRecord> = Vec::new();
     for path in ran.taps.iter().filter(|path| path.exists()) {
-        lines.extend(tap::read(path)?);
+        lines.extend(tap::read_records(path)?);
     }
     let verdict = judge(&lines).ok_or("the taps state no terms")?;
     let opens = lines
         .iter()
-        .filter(|l| matches!(l.what, tap::What::Ask { .. }))
+        .filter(|l| matches!(l.event, tap::TapEvent::RequestSent { .. }))
         .map(|l| l.at)
         .fold(f64::MAX, f64::min);
     let (mut to_failing, mut to_healthy, mut last) = (0, BTreeMap::new(), 0.0f64);
     let (mut seconds, mut bytes, mut most_bytes) = (0usize, 0usize, 0usize);
     for line in &lines {
-        match &line.what {
-            tap::What::Sent { streamer, .. } => {
+        match &line.event {
+            tap::TapEvent::AttemptSent { streamer, .. } => {
                 let at = line.at - opens;
                 if failing.contains(streamer) && (from..to).contains(&at) {
                     to_failing += 1;
@@ -80,7 +80,7 @@
                     *to_healthy.entry(streamer.clone()).or_default() += 1;
                 }
             }
-            tap::What::Gossip { bytes: sent } => {
+            tap::TapEvent::GossipSent { bytes: sent } => {
                 seconds += 1;
                 bytes += sent;
                 most_bytes = most_bytes.max(*sent);
--- a/crates/lemontide-cli/src/measure/rig.rs
+++ b/crates/lemontide-cli/src/measure/rig.rs
@@ -10,7 +10,7 @@
 use lemontide_standin::run::replace;
 use lemontide_standin::streamer::Fleet;
 use lemontide_wire::clock::Clock;
-use lemontide_wire::play::Answer;
+use lemontide_wire::play::PlayResponse;
 use serde::Deserialize;
 use serde_json::json;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -130,9 +130,9 @@
     runtime.block_on(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
         println!("{}", json!({"listening": listener.local_addr()?}));
-        let said = || Answer::Plays {
-            ask: "a".into(),
-            subscription: 1,
+        let said = || PlayResponse::Plays {
+            request_id: "a".into(),
+            session: 1,
             streamer: "s0".into(),
             address: "127.0.0.1:1".into(),
             rung: 0,
--- a/crates/lemontide-cli/src/measure/shedding.rs
+++ b/crates/lemontide-cli/src/measure/shedding.rs
@@ -10,7 +10,7 @@
 use lemontide_standin::load::{mixed, Lane, Mix, Outcome as Of, Record};
 use lemontide_standin::streamer::Fleet;
 use lemontide_wire::clock::Clock;
-use lemontide_wire::tap::{self, Tap, What};
+use lemontide_wire::tap::{self, Tap, TapEvent};
 use nix::sched::{sched_getaffinity, sched_setaffinity, CpuSet};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -357,10 +357,14 @@
     let (own, players, streamers) =
         (folder.join("own.tap"), folder.join("players.tap"), folder.join("streamers.tap"));
     let clock = Clock::start();
-    let tap = Tap::to(&players, clock, "player")?;
-    tap.write(What::Terms { terms: rig.day.terms() });
-    let fleet =
-        rig.runtime.block_on(Fleet::start(&rig.day, clock, Tap::to(&streamers, clock, "streamer")?, None))?;
+    let tap = Tap::open(&players, clock, "player")?;
+    tap.record(TapEvent::Rules { rules: rig.day.terms() });
+    let fleet = rig.runtime.block_on(Fleet::start(
+        &rig.day,
+        clock,
+        Tap::open(&streamers, clock, "streamer")?,
+        None,
+    ))?;
     write_list(&rig.day, &fleet, &folder.join("list.json"))?;
     let front = rig.start(&rig.settings(Variant::Sheds, Some(own.clone())))?;
     let part = {
@@ -374,7 +378,7 @@
     write_list(&rig.day, &rig.fleet, &folder.join("list.json"))?;
     let mut lines = Vec::new();
     for path in [own, players, streamers] {
-        lines.extend(tap::read(&path)?);
+        lines.extend(tap::read_records(&path)?);
     }
     let verdict = judge(&lines).ok_or("the taps state no terms")?;
     Ok((verdict.is_clean(), verdict.table(), part))
@@ -391,7 +395,7 @@
         (lane.lane.latency_goal_s, lane.lane.cut_off_s) = (GOAL_S, CUT_OFF_S);
     }
     let clock = Clock::start();
-    let fleet = runtime.block_on(Fleet::start(&day, clock, Tap::none(clock), None))?;
+    let fleet = runtime.block_on(Fleet::start(&day, clock, Tap::disabled(clock), None))?;
     let folder = tempfile::tempdir()?;
     write_list(&day, &fleet, &folder.path().join("list.json"))?;
     let lane = |name: &str, gain, part| Lane { name: name.into(), gain, part };
--- a/crates/lemontide-cli/src/tools.rs
+++ b/crates/lemontide-cli/src/tools.rs
@@ -4,7 +4,7 @@
 use lemontide_front::settings::Settings;
 use lemontide_standin::day::Day;
 use lemontide_standin::judge;
-use lemontide_wire::list::List;
+use lemontide_wire::list::StreamerList;
 use lemontide_wire::{play, tap};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -29,7 +29,7 @@
 pub fn judge(taps: &[PathBuf], json: bool) -> Outcome {
     let mut lines = Vec::new();
     for path in taps {
-        lines.extend(tap::read(path).map_err(|e| format!("{}: {e}", path.display()))?);
+        lines.extend(tap::read_records(path).map_err(|e| format!("{}: {e}", path.display()))?);
     }
     let verdict = judge::judge(&lines).ok_or("no tap states the terms; name the day's own tap too")?;
     if json {
@@ -54,9 +54,9 @@
     let schema = match of {
         Schema::Front => schemars::schema_for!(Settings),
         Schema::Day => schemars::schema_for!(Day),
-        Schema::List => schemars::schema_for!(List),
-        Schema::Wish => schemars::schema_for!(play::Wish),
-        Schema::Answer => schemars::schema_for!(play::Answer),
+        Schema::List => schemars::schema_for!(StreamerList),
+        Schema::Wish => schemars::schema_for!(play::PlayRequest),
+        Schema::Answer => schemars::schema_for!(play::PlayResponse),
     };
     Ok(serde_json::to_string_pretty(&schema)? + "\n")
 }
--- a/crates/lemontide-front/src/connections.rs
+++ b/crates/lemontide-front/src/connections.rs
@@ -14,8 +14,8 @@
 use lemontide::clock::{Point, Span};
 use lemontide_shed::door::{Bounds, Counts, Door, Knock};
 use lemontide_wire::clock::Clock;
-use lemontide_wire::hint::Hint;
-use lemontide_wire::play::Answer;
+use lemontide_wire::hint::RequestHint;
+use lemontide_wire::play::PlayResponse;
 use std::collections::HashMap;
 use std::future::Future;
 use std::io;
@@ -89,7 +89,7 @@
 
 /// A hint that a wish was let in by; the wish must agree with it.
 #[derive(Clone, Debug)]
-pub struct LetIn(pub Hint);
+pub struct LetIn(pub RequestHint);
 
 /// Where a connection stands, as both its service and its socket see it.
 const COMES: u8 = 0;
@@ -102,7 +102,7 @@
     id: u64,
     hall: Arc<Hall>,
     state: AtomicU8,
-    let_in: Mutex<Option<Hint>>,
+    let_in: Mutex<Option<RequestHint>>,
     /// The answer that the socket is to take next.
     undelivered: Mutex<Option<Undelivered>>,
 }
@@ -218,7 +218,7 @@
 
 /// An answer as it leaves at the doorway.
 fn answer(error: &str, wait: Option<Span>) -> Vec<u8> {
-    let said = Answer::NotTaken { error: error.to_owned(), retry_after_s: wait.map(Span::seconds) };
+    let said = PlayResponse::NotAccepted { error: error.to_owned(), retry_after_s: wait.map(Span::seconds) };
     let body = serde_json::to_string(&said).unwrap_or_default();
     let retry = wait
         .map_or(String::new(), |wait| format!("retry-after: {}\r\n", wait.seconds().ceil().max(1.0) as u64));
--- a/crates/lemontide-front/src/core/doorway.rs
+++ b/crates/lemontide-front/src/core/doorway.rs
@@ -1,7 +1,7 @@
 //! Where a connection stands between requests, judged by the bytes that come: only a wish that is there whole, with
 //! nothing before or behind it, may be answered at the doorway. Whatever is not clear goes on to the HTTP stack.
 
-use lemontide_wire::hint::{self, Hint};
+use lemontide_wire::hint::{self, RequestHint};
 
 /// Headers of a request that are looked at; one with more is the HTTP stack's.
 const HEADERS_MOST: usize = 48;
@@ -22,7 +22,7 @@
 pub enum Pass<W> {
     Through,
     /// They are one whole wish that was let in by its hint.
-    LetIn(Hint),
+    LetIn(RequestHint),
     /// They are one whole wish that is to be answered here and goes no further.
     TurnBack(W),
 }
@@ -41,7 +41,7 @@
 struct Head {
     bytes: usize,
     body: usize,
-    hint: Option<Hint>,
+    hint: Option<RequestHint>,
 }
 
 /// The head of a request. None where it is not there whole, or its length can't be told from it.
@@ -63,8 +63,8 @@
             || header.name.eq_ignore_ascii_case("connection")
         {
             return None;
-        } else if header.name.eq_ignore_ascii_case(hint::NAME) {
-            hint = Hint::read(header.value);
+        } else if header.name.eq_ignore_ascii_case(hint::HEADER_NAME) {
+            hint = RequestHint::parse(header.value);
         }
     }
     let ours = request.method == Some("POST") && request.path == Some(TARGET) && request.version == Some(1);
@@ -73,7 +73,7 @@
 
 impl Doorway {
     /// Bytes came. `judge` says of a whole wish with a hint whether it is turned back here.
-    pub fn came<W>(&mut self, bytes: &[u8], judge: impl FnOnce(&Hint) -> Option<W>) -> Pass<W> {
+    pub fn came<W>(&mut self, bytes: &[u8], judge: impl FnOnce(&RequestHint) -> Option<W>) -> Pass<W> {
         match self.state {
             State::Between => {}
             State::Within { left } if bytes.len() <= left => {
@@ -125,7 +125,7 @@
         .into_bytes()
     }
 
-    fn all(_: &Hint) -> Option<()> {
+    fn all(_: &RequestHint) -> Option<()> {
         Some(())
     }
 
@@ -136,7 +136,7 @@
             assert_eq!(doorway.came(&wish("free", "{}"), all), Pass::TurnBack(()));
         }
         let let_in = doorway.came(&wish("free", "{}"), |_| None::<()>);
-        assert!(matches!(let_in, Pass::LetIn(hint) if hint.lane == "free"));
+        assert!(matches!(let_in, Pass::LetIn(hint) if hint.class == "free"));
         doorway.answered();
         assert_eq!(doorway.came(&wish("free", "{}"), all), Pass::TurnBack(()));
         // Another request that is no wish goes through, and the next wish is judged again.
@@ -201,7 +201,7 @@
                 while !rest.is_empty() {
                     let (now, later) = rest.split_at((*cuts.next().expect("cycled")).min(rest.len()));
                     rest = later;
-                    match doorway.came(now, |hint| (hint.lane == "free").then_some(())) {
+                    match doorway.came(now, |hint| (hint.class == "free").then_some(())) {
                         Pass::TurnBack(()) => here += 1,
                         Pass::Through | Pass::LetIn(_) => stack.extend_from_slice(now),
                     }
--- a/crates/lemontide-front/src/core/driver.rs
+++ b/crates/lemontide-front/src/core/driver.rs
@@ -13,11 +13,13 @@
 };
 use lemontide_shed::flight::Flight;
 use lemontide_wire::cmcd::Cmcd;
-use lemontide_wire::cmsd::Dynamic;
-use lemontide_wire::link::{Cancel, How, Look, Order, Ping, SetRung, SetUp, Told, Why};
-use lemontide_wire::list::{self, List};
-use lemontide_wire::play::{Answer, News, Over, Wish};
-use lemontide_wire::tap::{self, Kind, What};
+use lemontide_wire::cmsd::CmsdDynamic;
+use lemontide_wire::link::{
+    Cancel, ControllerMessage, How, Look, Ping, SetRung, SetUp, StreamerMessage, Why,
+};
+use lemontide_wire::list::{self, StreamerList};
+use lemontide_wire::play::{EndReason, PlayRequest, PlayResponse, SessionEvent};
+use lemontide_wire::tap::{self, ResponseKind, TapEvent};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -56,7 +58,7 @@
     /// The final answer of a wish, with the highest bitrate suggested in kbit/s and whether it is short there.
     Answer {
         id: u32,
-        answer: Answer,
+        answer: PlayResponse,
         suggested_kbps: Option<u64>,
         duress: bool,
         /// Its lane, and the shots that it took.
@@ -65,7 +67,7 @@
     },
     News {
         id: u32,
-        news: News,
+        news: SessionEvent,
     },
     Dial {
         at: usize,
@@ -88,7 +90,7 @@
         streamer: String,
         good: bool,
     },
-    Tap(What),
+    Tap(TapEvent),
 }
 
 /// Why a wish was not taken at all.
@@ -131,7 +133,7 @@
 }
 
 struct Known {
-    entry: list::Entry,
+    entry: list::ListEntry,
     /// Last start as its own welcome told it.
     welcomed: Option<f64>,
     link: Link,
@@ -209,7 +211,7 @@
 
     /// Takes the list, whole: who is missing is gone. What waits for a streamer that drains or is gone is taken
     /// back at once and placed anew.
-    pub fn learn(&mut self, now: Point, list: &List) {
+    pub fn learn(&mut self, now: Point, list: &StreamerList) {
         self.listed += 1;
         let mut gone: Vec<bool> = vec![true; self.known.len()];
         for entry in &list.streamers {
@@ -228,7 +230,7 @@
             }
             gone[at] = false;
             let before = std::mem::replace(&mut self.known[at].entry, entry.clone());
-            if (before.stage, before.started) != (entry.stage, entry.started) {
+            if (before.state, before.started_at) != (entry.state, entry.started_at) {
                 self.tell(entry.clone());
             }
             if before.address != entry.address {
@@ -237,8 +239,8 @@
             }
         }
         for at in (0..gone.len()).filter(|at| gone[*at]) {
-            if self.known[at].entry.stage != list::Stage::Gone {
-                self.known[at].entry.stage = list::Stage::Gone;
+            if self.known[at].entry.state != list::StreamerState::Gone {
+                self.known[at].entry.state = list::StreamerState::Gone;
                 self.tell(self.known[at].entry.clone());
             }
         }
@@ -246,9 +248,9 @@
         self.module.update_list(now, &lines, true);
         self.carry_out(now);
         for at in 0..self.known.len() {
-            let stage = self.known[at].entry.stage;
-            self.known[at].link.wanted = stage != list::Stage::Gone;
-            if stage != list::Stage::Ready {
+            let stage = self.known[at].entry.state;
+            self.known[at].link.wanted = stage != list::StreamerState::Gone;
+            if stage != list::StreamerState::Ready {
                 let shots = self.known[at].link.withdraw_set_ups();
                 self.end_shots(now, at, shots, AttemptOutcome::NotSent);
             }
@@ -257,8 +259,12 @@
         self.carry_out(now);
     }
 
-    fn tell(&mut self, entry: list::Entry) {
-        let told = What::Told { streamer: entry.streamer, stage: entry.stage, started: entry.started };
+    fn tell(&mut self, entry: list::ListEntry) {
+        let told = TapEvent::ListChangeReceived {
+            streamer: entry.streamer,
+            state: entry.state,
+            started_at: entry.started_at,
+        };
         self.effects.push(Effect::Tap(told));
     }
 
@@ -268,10 +274,10 @@
         now: Point,
         asked: Point,
         id: u32,
-        wish: &Wish,
+        wish: &PlayRequest,
         cmcd: &Cmcd,
     ) -> Result<(), Refusal> {
-        let Some(lane) = self.terms.lanes.iter().position(|lane| lane.0 == wish.lane) else {
+        let Some(lane) = self.terms.lanes.iter().position(|lane| lane.0 == wish.class) else {
             return Err(Refusal::NoSuchLane);
         };
         let Some((home, copies)) = self.terms.titles.get(&wish.title).copied() else {
@@ -282,25 +288,25 @@
         }
         let lasts = wish.give_up_in_s.filter(|s| s.is_finite()).map_or(Span::of(1e6), Span::of);
         let gone_at = asked + lasts.min(self.terms.lanes[lane].1);
-        let known = cmcd.session.as_ref().is_some_and(|session| self.viewers.returns(now, session));
+        let known = cmcd.session_id.as_ref().is_some_and(|session| self.viewers.returns(now, session));
         let wish_here = lemontide::interface::Request {
             id,
-            class: &wish.lane,
+            class: &wish.class,
             tenant: &wish.tenant,
             title: &wish.title,
             deadline: gone_at - ANSWER_MARGIN,
             first_cell: home,
             replicas: copies,
             max_rung: self.top(lane, wish, cmcd),
-            is_retry: wish.returned || known,
-            expected_duration: wish.length_s.filter(|s| s.is_finite()).map(Span::of),
+            is_retry: wish.is_retry || known,
+            expected_duration: wish.expected_duration_s.filter(|s| s.is_finite()).map(Span::of),
         };
-        let lane_name = wish.lane.clone();
-        self.effects.push(Effect::Tap(What::Asked {
-            ask: wish.ask.clone(),
-            lane: lane_name,
+        let lane_name = wish.class.clone();
+        self.effects.push(Effect::Tap(TapEvent::RequestReceived {
+            request_id: wish.request_id.clone(),
+            class: lane_name,
             title: wish.title.clone(),
-            cut_off: seconds(gone_at),
+            deadline: seconds(gone_at),
         }));
         self.taken += 1;
         if let Some(together) = &mut self.together {
@@ -309,7 +315,7 @@
         let handle = self.module.submit(now, &wish_here);
         let held = Held {
             handle,
-            ask: wish.ask.clone(),
+            ask: wish.request_id.clone(),
             title: wish.title.clone(),
             lane,
             cut_off: wish_here.deadline,
@@ -328,14 +334,14 @@
 
     /// The highest rung of use to a viewer: what the wish says, and what the player's hints say of its screen
     /// and its link.
-    fn top(&self, lane: usize, wish: &Wish, cmcd: &Cmcd) -> usize {
+    fn top(&self, lane: usize, wish: &PlayRequest, cmcd: &Cmcd) -> usize {
         let highest = self.terms.ladder_kb.len().saturating_sub(1);
         let hinted = [cmcd.top_kbps, cmcd.throughput_kbps].into_iter().flatten().min();
         let within = |kbps: u64| {
             let fits = |rung: &usize| self.rate_kb(lane, *rung) * 8.0 <= kbps as f64;
             (0..=highest).take_while(fits).last().unwrap_or(0)
         };
-        wish.top.unwrap_or(highest).min(highest).min(hinted.map_or(highest, within))
+        wish.max_rung.unwrap_or(highest).min(highest).min(hinted.map_or(highest, within))
     }
 
     fn rate_kb(&self, lane: usize, rung: usize) -> f64 {
@@ -345,19 +351,19 @@
 
     /// The viewer went away, before the answer or after it.
     pub fn left(&mut self, now: Point, id: u32) {
-        self.end(now, id, Why::Left, Over::Left);
+        self.end(now, id, Why::Left, EndReason::ViewerLeft);
     }
 
     /// Ends what is in hand under this id; whether there was something.
-    fn end(&mut self, now: Point, id: u32, why: Why, over: Over) -> bool {
+    fn end(&mut self, now: Point, id: u32, why: Why, over: EndReason) -> bool {
         let Some(held) = self.held.get_mut(&id).filter(|held| !held.left) else { return false };
         let (at, handle) = (held.at, held.handle);
         if held.playing {
             let shot = held.shots - 1;
-            self.order(now, at, Order::Cancel(Cancel { id, shot, why: why.into() }));
+            self.order(now, at, ControllerMessage::Cancel(Cancel { id, shot, why: why.into() }));
             handle.attempt_ended(&mut self.module, now, AttemptOutcome::Cancelled, true, Load::default());
             self.held.remove(&id);
-            self.effects.push(Effect::News { id, news: News::Over { why: over } });
+            self.effects.push(Effect::News { id, news: SessionEvent::Ended { reason: over } });
             self.carry_out(now);
             return true;
         }
@@ -374,7 +380,7 @@
             }
             Some(out) => {
                 let shot = out.number;
-                self.order(now, at, Order::Cancel(Cancel { id, shot, why: why.into() }));
+                self.order(now, at, ControllerMessage::Cancel(Cancel { id, shot, why: why.into() }));
             }
         }
         self.carry_out(now);
@@ -384,13 +390,13 @@
     /// The player ends a subscription that plays; false where there is none.
     pub fn leave(&mut self, now: Point, id: u32) -> bool {
         let playing = self.held.get(&id).is_some_and(|held| held.playing);
-        playing && self.end(now, id, Why::Left, Over::Left)
+        playing && self.end(now, id, Why::Left, EndReason::ViewerLeft)
     }
 
     /// What a subscription that plays is at now, for a player that starts to listen.
-    pub fn news_of(&self, id: u32) -> Option<News> {
+    pub fn news_of(&self, id: u32) -> Option<SessionEvent> {
         let held = self.held.get(&id).filter(|held| held.playing)?;
-        Some(News::Rung { rung: held.rung, rate_kb: self.rate_kb(held.lane, held.rung) })
+        Some(SessionEvent::RungChanged { rung: held.rung, rate_kb: self.rate_kb(held.lane, held.rung) })
     }
 
     pub fn stopping(&self) -> bool {
@@ -410,10 +416,10 @@
             if let Some(held) = self.held.get(&id).filter(|held| !held.playing && !held.left) {
                 // It may be set up by now or not: nothing is promised of the effect.
                 let (lane, shots) = (held.lane, held.shots);
-                let answer = Answer::Scrapped { ask: held.ask.clone() };
+                let answer = PlayResponse::Failed { request_id: held.ask.clone() };
                 self.answer(id, answer, lane, shots);
             }
-            self.end(now, id, Why::Left, Over::Stopped);
+            self.end(now, id, Why::Left, EndReason::Stopped);
         }
     }
 
@@ -525,7 +531,7 @@
         if was_up {
             let streamer = self.known[at].entry.streamer.clone();
             tracing::info!(target: "link", streamer, waiting = waiting.len(), "lost");
-            self.effects.push(Effect::Tap(What::LinkLost { streamer }));
+            self.effects.push(Effect::Tap(TapEvent::LinkLost { streamer }));
             let is_out =
                 |held: &Held| held.out.as_ref().is_some_and(|o| o.handed.is_some() && o.given_up.is_none());
             let on_it = |held: &Held| held.at == at && (held.playing || is_out(held));
@@ -555,23 +561,23 @@
     }
 
     /// A streamer's word.
-    pub fn told(&mut self, now: Point, at: usize, dial: u64, told: Told) {
+    pub fn told(&mut self, now: Point, at: usize, dial: u64, told: StreamerMessage) {
         if !self.is_current(at, dial) {
             return;
         }
         self.known[at].link.heard(now);
         match told {
-            Told::Plays(plays) => {
+            StreamerMessage::Plays(plays) => {
                 let load = load(&plays.cmsd_dynamic);
                 // An answer to a shot that is no longer waited for: its cancel is under way.
                 let Some(held) = self.waits_for(at, plays.id, plays.shot) else { return };
                 let handed = held.out.take().and_then(|out| out.handed);
                 held.playing = true;
                 let (handle, ask, rung, lane) = (held.handle, held.ask.clone(), held.rung, held.lane);
-                self.effects.push(Effect::Tap(What::Heard {
-                    ask: ask.clone(),
-                    shot: plays.shot,
-                    how: tap::How::Served,
+                self.effects.push(Effect::Tap(TapEvent::OutcomeReceived {
+                    request_id: ask.clone(),
+                    attempt: plays.shot,
+                    outcome: tap::TapOutcome::Served,
                 }));
                 handle.playing(&mut self.module, now);
                 self.saw(at, AttemptOutcome::Served);
@@ -582,13 +588,13 @@
                 if self.held.get(&plays.id).is_some_and(|held| held.left) {
                     // It played before the cancel came: it is ended like one that plays.
                     let cancel = Cancel { id: plays.id, shot: plays.shot, why: Why::Left.into() };
-                    self.order(now, at, Order::Cancel(cancel));
+                    self.order(now, at, ControllerMessage::Cancel(cancel));
                     self.ended(now, plays.id, AttemptOutcome::Cancelled, Load::default());
                 } else {
                     let entry = &self.known[at].entry;
-                    let answer = Answer::Plays {
-                        ask,
-                        subscription: plays.id,
+                    let answer = PlayResponse::Plays {
+                        request_id: ask,
+                        session: plays.id,
                         streamer: entry.streamer.clone(),
                         address: entry.address.clone(),
                         rung,
@@ -597,14 +603,14 @@
                     self.answer(plays.id, answer, lane, plays.shot + 1);
                 }
             }
-            Told::Ended(ended) => {
+            StreamerMessage::Ended(ended) => {
                 let (how, ending) = match ended.how() {
-                    How::Served => (tap::How::Served, AttemptOutcome::Served),
-                    How::SentBack => (tap::How::SentBack, AttemptOutcome::Refused),
-                    How::Cancelled => (tap::How::Cancelled, AttemptOutcome::Cancelled),
-                    How::Errored => (tap::How::Errored, AttemptOutcome::Errored),
+                    How::Served => (tap::TapOutcome::Served, AttemptOutcome::Served),
+                    How::SentBack => (tap::TapOutcome::Refused, AttemptOutcome::Refused),
+                    How::Cancelled => (tap::TapOutcome::Cancelled, AttemptOutcome::Cancelled),
+                    How::Errored => (tap::TapOutcome::Errored, AttemptOutcome::Errored),
                     // A newer streamer's word: it may have run.
-                    How::Unspecified => (tap::How::Errored, AttemptOutcome::Unknown),
+                    How::Unspecified => (tap::TapOutcome::Errored, AttemptOutcome::Unknown),
                 };
                 let Some(held) = self.held.get(&ended.id).filter(|held| held.at == at) else { return };
                 let out = held.out.as_ref().map(|out| out.number);
@@ -614,25 +620,29 @@
                     return;
                 }
                 let ask = held.ask.clone();
-                self.effects.push(Effect::Tap(What::Heard { ask, shot: ended.shot, how }));
+                self.effects.push(Effect::Tap(TapEvent::OutcomeReceived {
+                    request_id: ask,
+                    attempt: ended.shot,
+                    outcome: how,
+                }));
                 self.ended(now, ended.id, ending, load(&ended.cmsd_dynamic));
             }
-            Told::Rung(rung) => {
+            StreamerMessage::Rung(rung) => {
                 if let Some(handle) = self.plays_at(at, rung.id) {
                     handle.rung_reported(&mut self.module, now, rung.rung as usize);
                 }
             }
-            Told::Short(short) => {
+            StreamerMessage::Short(short) => {
                 if let Some(handle) = self.plays_at(at, short.id).filter(|_| short.share.is_finite()) {
                     handle.shortfall_reported(&mut self.module, now, short.share.clamp(0.0, 1.0));
                 }
             }
-            Told::Fullness(fullness) => {
+            StreamerMessage::Fullness(fullness) => {
                 if let Some(handle) = self.plays_at(at, fullness.id) {
                     handle.load_reported(&mut self.module, now, load(&fullness.cmsd_dynamic));
                 }
             }
-            Told::Looked(looked) => {
+            StreamerMessage::Looked(looked) => {
                 let known = &mut self.known[at];
                 if known.looking.is_some_and(|(nonce, _)| nonce == looked.nonce) {
                     known.looking = None;
@@ -640,11 +650,11 @@
                     self.module.probe_finished(now, &name, true, load(&looked.cmsd_dynamic));
                 }
             }
-            Told::Pong(pong) => {
+            StreamerMessage::Pong(pong) => {
                 let on = Connection { link: at as u64, dial };
                 self.learn_evidence(now, on, Evidence::TestPassed { test: pong.nonce });
             }
-            Told::Welcome(_) => {}
+            StreamerMessage::Welcome(_) => {}
         }
         self.carry_out(now);
     }
@@ -693,7 +703,7 @@
 
     fn dial(&mut self, now: Point, at: usize) {
         let dial = self.known[at].link.start_dial(now, self.terms.dial_timeout);
-        let list::Entry { streamer, address, .. } = self.known[at].entry.clone();
+        let list::ListEntry { streamer, address, .. } = self.known[at].entry.clone();
         self.effects.push(Effect::Dial { at, dial, streamer, address });
     }
 
@@ -713,7 +723,7 @@
     }
 
     /// Puts an order that is no set-up on a link; where it can't go, the link's end is the streamer's news.
-    fn order(&mut self, now: Point, at: usize, order: Order) {
+    fn order(&mut self, now: Point, at: usize, order: ControllerMessage) {
         let Some(known) = self.known.get_mut(at).filter(|known| known.link.is_up()) else { return };
         if !known.link.push(Queued { order, shot: None, not_after: None }) {
             // It takes no orders any more: to go on would leave it with streams that it does not know to end.
@@ -774,16 +784,16 @@
                 let Some(held) = self.held.remove(&id) else { continue };
                 self.explain(now, "turned back", &held);
                 let retry_after_s = after.map(Span::seconds);
-                let answer = Answer::TurnedBack { ask: held.ask, retry_after_s };
+                let answer = PlayResponse::Rejected { request_id: held.ask, retry_after_s };
                 self.answer(id, answer, held.lane, held.shots);
             }
             for id in results.failed.drain(..) {
                 let Some(held) = self.held.remove(&id) else { continue };
                 self.explain(now, "scrapped", &held);
-                self.answer(id, Answer::Scrapped { ask: held.ask }, held.lane, held.shots);
+                self.answer(id, PlayResponse::Failed { request_id: held.ask }, held.lane, held.shots);
             }
             for id in results.moved.drain(..) {
-                self.end(now, id, Why::Moved, Over::Moved);
+                self.end(now, id, Why::Moved, EndReason::Moved);
             }
             for streamer in results.probes.drain(..) {
                 self.look_at(now, &streamer);
@@ -809,21 +819,21 @@
         );
     }
 
-    fn answer(&mut self, id: u32, answer: Answer, lane: usize, shots: u32) {
+    fn answer(&mut self, id: u32, answer: PlayResponse, lane: usize, shots: u32) {
         let (kind, place, ask) = match &answer {
-            Answer::Plays { ask, .. } => (Kind::Plays, 0, ask.clone()),
-            Answer::TurnedBack { ask, .. } => (Kind::TurnedBack, 1, ask.clone()),
-            Answer::Scrapped { ask } => (Kind::Scrapped, 2, ask.clone()),
+            PlayResponse::Plays { request_id: ask, .. } => (ResponseKind::Plays, 0, ask.clone()),
+            PlayResponse::Rejected { request_id: ask, .. } => (ResponseKind::Rejected, 1, ask.clone()),
+            PlayResponse::Failed { request_id: ask } => (ResponseKind::Failed, 2, ask.clone()),
             // What was not taken never comes here.
-            Answer::NotTaken { .. } => return,
+            PlayResponse::NotAccepted { .. } => return,
         };
         self.answered[place] += 1;
-        self.effects.push(Effect::Tap(What::Answered { ask, kind }));
+        self.effects.push(Effect::Tap(TapEvent::ResponseSent { request_id: ask, kind }));
         let suggested_kbps = match &answer {
-            Answer::Plays { rate_kb, .. } => Some((rate_kb * 8.0).round() as u64),
+            PlayResponse::Plays { rate_kb, .. } => Some((rate_kb * 8.0).round() as u64),
             _ => None,
         };
-        let duress = kind != Kind::Plays;
+        let duress = kind != ResponseKind::Plays;
         self.effects.push(Effect::Answer { id, answer, suggested_kbps, duress, lane, shots });
     }
 
@@ -835,9 +845,9 @@
         }
         let (at, lane) = (held.at, held.lane);
         let rate_kb = self.rate_kb(lane, rung);
-        self.effects.push(Effect::News { id, news: News::Rung { rung, rate_kb } });
+        self.effects.push(Effect::News { id, news: SessionEvent::RungChanged { rung, rate_kb } });
         let order = SetRung { id, rung: rung as u32, rate_kb: rate_kb.round() as u32 };
-        self.order(now, at, Order::SetRung(order));
+        self.order(now, at, ControllerMessage::SetRung(order));
     }
 
     /// Looks at a streamer, once for all who wait for it.
@@ -852,7 +862,8 @@
         self.nonce += 1;
         let (nonce, until) = (self.nonce, now + self.terms.look_timeout);
         self.known[at].looking = Some((nonce, until));
-        let order = Queued { order: Order::Look(Look { nonce }), shot: None, not_after: Some(until) };
+        let order =
+            Queued { order: ControllerMessage::Look(Look { nonce }), shot: None, not_after: Some(until) };
         let link = &mut self.known[at].link;
         let possible = link.is_up() || link.is_dialling();
         if !possible || !link.push(order) {
@@ -865,16 +876,16 @@
 
 impl Known {
     fn line(&self) -> StreamerEntry {
-        let started = self.entry.started.unwrap_or(0.0).max(self.welcomed.unwrap_or(0.0));
+        let started = self.entry.started_at.unwrap_or(0.0).max(self.welcomed.unwrap_or(0.0));
         StreamerEntry {
             streamer: self.entry.streamer.clone(),
             zone: self.entry.zone.clone(),
             kind: self.entry.kind.clone(),
             cell: self.entry.cell,
-            state: match self.entry.stage {
-                list::Stage::Ready => StreamerState::Ready,
-                list::Stage::Draining => StreamerState::Draining,
-                list::Stage::Gone => StreamerState::Gone,
+            state: match self.entry.state {
+                list::StreamerState::Ready => StreamerState::Ready,
+                list::StreamerState::Draining => StreamerState::Draining,
+                list::StreamerState::Gone => StreamerState::Gone,
             },
             weight: self.entry.weight,
             started_at: (started > 0.0).then(|| Point::at(started)),
@@ -884,11 +895,11 @@
 
 /// The load report in a CMSD-Dynamic value; nothing where there is none or it is not valid.
 fn load(cmsd_dynamic: &str) -> Load {
-    let Some(dynamic) = Dynamic::read(cmsd_dynamic) else { return Load::default() };
+    let Some(dynamic) = CmsdDynamic::parse(cmsd_dynamic) else { return Load::default() };
     let sane = |value: Option<f64>| value.filter(|v| v.is_finite() && *v >= 0.0);
     Load {
         streams: sane(dynamic.streams),
-        link_utilization: sane(dynamic.link),
-        uplink_utilization: sane(dynamic.rack),
+        link_utilization: sane(dynamic.link_utilization),
+        uplink_utilization: sane(dynamic.uplink_utilization),
     }
 }
--- a/crates/lemontide-front/src/core/driver/attempts.rs
+++ b/crates/lemontide-front/src/core/driver/attempts.rs
@@ -15,7 +15,7 @@
         held.shots += 1;
         held.at = at;
         held.out = Some(Out { number, deadline, not_after, handed: None, given_up: None });
-        let order = Order::SetUp(SetUp {
+        let order = ControllerMessage::SetUp(SetUp {
             id,
             shot: number,
             ask: held.ask.clone(),
@@ -28,7 +28,7 @@
         if let Some(held) = self.held.get(&id) {
             self.explain(now, "shot", held);
         }
-        if shot.timeout <= Span::ZERO || self.known[at].entry.stage != list::Stage::Ready {
+        if shot.timeout <= Span::ZERO || self.known[at].entry.state != list::StreamerState::Ready {
             return self.end_shots(now, at, vec![(id, number)], AttemptOutcome::NotSent);
         }
         if self.known[at].link.may_dial(now) {
@@ -61,12 +61,12 @@
             }
         } else if now >= out.deadline {
             let left = held.left;
-            self.effects.push(Effect::Tap(What::GaveUp { ask, shot }));
+            self.effects.push(Effect::Tap(TapEvent::AttemptAbandoned { request_id: ask, attempt: shot }));
             if left {
                 return self.ended(now, id, AttemptOutcome::TimedOut, Load::default());
             }
             let dial = self.known[at].link.dial;
-            self.order(now, at, Order::Cancel(Cancel { id, shot, why: Why::TimedOut.into() }));
+            self.order(now, at, ControllerMessage::Cancel(Cancel { id, shot, why: Why::TimedOut.into() }));
             let test = self.is_current(at, dial).then(|| self.ping(now, at));
             let waits = |held: &Held| held.out.as_ref().is_some_and(|out| out.given_up.is_none());
             if self.held.get(&id).is_some_and(waits) {
@@ -146,8 +146,9 @@
             self.held.remove(&id);
         }
         if playing && !left {
-            let why = if ending == AttemptOutcome::Served { Over::Served } else { Over::Broken };
-            self.effects.push(Effect::News { id, news: News::Over { why } });
+            let why =
+                if ending == AttemptOutcome::Served { EndReason::Served } else { EndReason::ConnectionLost };
+            self.effects.push(Effect::News { id, news: SessionEvent::Ended { reason: why } });
         }
     }
 
@@ -197,7 +198,7 @@
     pub(super) fn ping(&mut self, now: Point, at: usize) -> u64 {
         self.nonce += 1;
         let nonce = self.nonce;
-        self.order(now, at, Order::Ping(Ping { nonce }));
+        self.order(now, at, ControllerMessage::Ping(Ping { nonce }));
         nonce
     }
 }
--- a/crates/lemontide-front/src/core/links.rs
+++ b/crates/lemontide-front/src/core/links.rs
@@ -5,7 +5,7 @@
 
 use lemontide::clock::{Point, Span};
 use lemontide_shed::flight::Flight;
-use lemontide_wire::link::Order;
+use lemontide_wire::link::ControllerMessage;
 use std::collections::VecDeque;
 
 /// Without a word for so long the other end is gone, though the connection looks open.
@@ -26,7 +26,7 @@
 /// An order that waits or is being written. A set-up is named by `shot`, and must not be written any more after
 /// `not_after`: by then it is no longer what the module decided.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Queued<O = Order> {
+pub struct Queued<O = ControllerMessage> {
     pub order: O,
     pub shot: Option<(u32, u32)>,
     pub not_after: Option<Point>,
@@ -60,7 +60,7 @@
     Lost,
 }
 
-pub struct Link<O = Order> {
+pub struct Link<O = ControllerMessage> {
     /// Number of the last dial.
     pub dial: u64,
     state: State,
@@ -250,7 +250,7 @@
     }
 
     fn set_up(id: u32) -> Queued {
-        let order = Order::SetUp(SetUp { id, ..SetUp::default() });
+        let order = ControllerMessage::SetUp(SetUp { id, ..SetUp::default() });
         Queued { order, shot: Some((id, 0)), not_after: None }
     }
 
@@ -290,7 +290,7 @@
     #[test]
     fn the_queue_is_bounded_and_set_ups_can_be_taken_out() {
         let mut link = up();
-        let ping = Queued { order: Order::Ping(Ping { nonce: 1 }), shot: None, not_after: None };
+        let ping = Queued { order: ControllerMessage::Ping(Ping { nonce: 1 }), shot: None, not_after: None };
         assert!(link.push(ping));
         let pushed = (0..2000).take_while(|id| link.push(set_up(*id))).count();
         assert_eq!(pushed, QUEUE_MOST - 1);
@@ -310,7 +310,11 @@
             link.wrote();
         }
         assert_eq!(left, limit, "no more than it may have at once");
-        assert!(link.push(Queued { order: Order::Ping(Ping { nonce: 1 }), shot: None, not_after: None }));
+        assert!(link.push(Queued {
+            order: ControllerMessage::Ping(Ping { nonce: 1 }),
+            shot: None,
+            not_after: None
+        }));
         assert!(matches!(&link.batch(at(0.0))[..], [only] if only.shot.is_none()));
         link.wrote();
         assert!(link.withdraw((limit as u32 + 9, 0)), "what waits provably never ran");
--- a/crates/lemontide-front/src/core/together.rs
+++ b/crates/lemontide-front/src/core/together.rs
@@ -5,8 +5,8 @@
 use fnv::FnvHasher;
 use lemontide::clock::{Point, Span};
 use lemontide_fleet::{Holder, Place, Subset, View};
-use lemontide_wire::list::{Entry, Stage};
-use lemontide_wire::tap::What;
+use lemontide_wire::list::{ListEntry, StreamerState};
+use lemontide_wire::tap::TapEvent;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -113,7 +113,7 @@
             tracing::info!(target: "fleet", present = self.view.present(), stands_for = ?missing);
         }
         self.stood.clone_from(&missing);
-        let told = What::Stands { numbers: missing.clone(), until: super::seconds(until) };
+        let told = TapEvent::TurnsCovered { controllers: missing.clone(), until: super::seconds(until) };
         // Said again with every word of the fleet while it holds, as it lapses by itself.
         let tap = (changed || !missing.is_empty()).then_some(Effect::Tap(told));
         (Turns { own: !self.view.doubled(), missing, until }, tap)
@@ -136,7 +136,7 @@
         listed: u64,
         titles: impl Iterator<Item = Place>,
         cells: usize,
-        entries: impl Iterator<Item = &'a Entry>,
+        entries: impl Iterator<Item = &'a ListEntry>,
     ) -> Vec<(u32, bool)> {
         if !self.terms.subset || self.looked.is_some_and(|at| now - at < CHOOSE_EVERY) {
             return Vec::new();
@@ -150,12 +150,12 @@
         }
         self.chosen = Some(by);
         let mut by_cell: BTreeMap<usize, Vec<(u32, Holder)>> = BTreeMap::new();
-        for (at, entry) in entries.enumerate().filter(|(_, entry)| entry.stage != Stage::Gone) {
+        for (at, entry) in entries.enumerate().filter(|(_, entry)| entry.state != StreamerState::Gone) {
             let holder = Holder {
                 streamer: number(&entry.streamer),
                 weight: entry.weight,
                 near: self.terms.zone.as_ref().is_none_or(|zone| *zone == entry.zone),
-                spent: entry.stage != Stage::Ready || self.spent.contains_key(&(at as u32)),
+                spent: entry.state != StreamerState::Ready || self.spent.contains_key(&(at as u32)),
             };
             by_cell.entry(entry.cell).or_default().push((at as u32, holder));
         }
--- a/crates/lemontide-front/src/events.rs
+++ b/crates/lemontide-front/src/events.rs
@@ -5,9 +5,9 @@
 use lemontide_shed::door::Counts;
 use lemontide_shed::keeper::View;
 use lemontide_wire::cmcd::Cmcd;
-use lemontide_wire::link::Told;
-use lemontide_wire::list::List;
-use lemontide_wire::play::{Answer, News, Wish};
+use lemontide_wire::link::StreamerMessage;
+use lemontide_wire::list::StreamerList;
+use lemontide_wire::play::{PlayRequest, PlayResponse, SessionEvent};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use tokio::sync::{mpsc, oneshot};
@@ -15,7 +15,7 @@
 /// The answer of a wish on its way to the player.
 #[derive(Debug)]
 pub struct Said {
-    pub answer: Answer,
+    pub answer: PlayResponse,
     pub suggested_kbps: Option<u64>,
     pub duress: bool,
 }
@@ -24,7 +24,7 @@
 pub struct Asked {
     pub id: u32,
     pub asked: f64,
-    pub wish: Wish,
+    pub wish: PlayRequest,
     pub cmcd: Cmcd,
     pub reply: oneshot::Sender<Result<Said, Refusal>>,
 }
@@ -50,9 +50,9 @@
     Told {
         at: usize,
         dial: u64,
-        told: Told,
+        told: StreamerMessage,
     },
-    List(List),
+    List(StreamerList),
     /// The player of a wish is gone.
     Left {
         id: u32,
@@ -64,7 +64,7 @@
     },
     Listen {
         id: u32,
-        news: oneshot::Sender<Option<mpsc::Receiver<News>>>,
+        news: oneshot::Sender<Option<mpsc::Receiver<SessionEvent>>>,
     },
     State(oneshot::Sender<State>),
     /// Memory is short: caches go, and with `history` spare room, too.
--- a/crates/lemontide-front/src/front.rs
+++ b/crates/lemontide-front/src/front.rs
@@ -15,8 +15,8 @@
 use lemontide_shed::relief;
 use lemontide_shed::room::{Order, Turn};
 use lemontide_wire::clock::Clock;
-use lemontide_wire::play::News;
-use lemontide_wire::tap::{Tap, What};
+use lemontide_wire::play::SessionEvent;
+use lemontide_wire::tap::{Tap, TapEvent};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -49,10 +49,10 @@
     pub async fn start(settings: Settings) -> io::Result<Front> {
         let clock = Clock::start();
         let tap = match &settings.tap {
-            Some(path) => Tap::to(path, clock, &format!("controller:{}", settings.me))?,
-            None => Tap::none(clock),
+            Some(path) => Tap::open(path, clock, &format!("controller:{}", settings.me))?,
+            None => Tap::disabled(clock),
         };
-        tap.write(What::Up { controller: settings.me });
+        tap.record(TapEvent::ControllerStarted { controller: settings.me });
         let listener = http::listen(settings.listen)?;
         let address = listener.local_addr()?;
         let seed = settings.seed.unwrap_or_else(rand::random);
@@ -144,7 +144,7 @@
     links: Links,
     runtime: Handle,
     replies: HashMap<u32, oneshot::Sender<Result<Said, Refusal>>>,
-    listeners: HashMap<u32, mpsc::Sender<News>>,
+    listeners: HashMap<u32, mpsc::Sender<SessionEvent>>,
     wires: HashMap<usize, (mpsc::Sender<Vec<Queued>>, AbortHandle)>,
     /// Where those who gossip hear what was seen here.
     heard: Option<mpsc::Sender<Heard>>,
@@ -306,7 +306,7 @@
         while !self.driver.effects.is_empty() {
             for effect in std::mem::take(&mut self.driver.effects) {
                 match effect {
-                    Effect::Tap(what) => self.links.tap.write(what),
+                    Effect::Tap(what) => self.links.tap.record(what),
                     Effect::Saw { streamer, good } => {
                         // Evidence that finds the queue full is left out: gossip is a help, never a duty.
                         if let Some(heard) = &self.heard {
@@ -324,7 +324,7 @@
                         }
                     }
                     Effect::News { id, news } => {
-                        let over = matches!(news, News::Over { .. });
+                        let over = matches!(news, SessionEvent::Ended { .. });
                         let slow = self.listeners.get(&id).is_some_and(|tell| tell.try_send(news).is_err());
                         // A listener that does not read loses its news, nothing else.
                         if over || slow {
--- a/crates/lemontide-front/src/gossip.rs
+++ b/crates/lemontide-front/src/gossip.rs
@@ -9,7 +9,7 @@
 use lemontide_gossip::message::LARGEST;
 use lemontide_gossip::node::{Node, Terms, View};
 use lemontide_wire::clock::Clock;
-use lemontide_wire::tap::{Tap, What};
+use lemontide_wire::tap::{Tap, TapEvent};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::path::Path;
@@ -155,7 +155,7 @@
         for (to, datagram) in std::mem::take(&mut node.outbox) {
             let second_now = clock.now().floor();
             if second_now > second {
-                tap.write(What::Gossip { bytes: sent });
+                tap.record(TapEvent::GossipSent { bytes: sent });
                 (second, sent) = (second_now, 0);
             }
             sent += datagram.len();
--- a/crates/lemontide-front/src/guard.rs
+++ b/crates/lemontide-front/src/guard.rs
@@ -10,8 +10,8 @@
 use lemontide_shed::level::What;
 use lemontide_shed::relief::Stage;
 use lemontide_wire::clock::Clock;
-use lemontide_wire::hint::Hint;
-use lemontide_wire::play::Wish;
+use lemontide_wire::hint::RequestHint;
+use lemontide_wire::play::PlayRequest;
 use nix::time::{clock_gettime, ClockId};
 use procfs::process::Process;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -86,15 +86,15 @@
     }
 
     /// A wish by its hint, before it is read: the wait in seconds where it is turned back.
-    pub fn hinted(&self, hint: &Hint) -> Option<Span> {
+    pub fn hinted(&self, hint: &RequestHint) -> Option<Span> {
         // A lane that nobody named is the driver's to refuse.
-        let lane = self.lanes.iter().position(|(name, _)| *name == hint.lane)?;
+        let lane = self.lanes.iter().position(|(name, _)| *name == hint.class)?;
         let now = self.clock.now();
         let asked = Asked {
             lane,
             tenant: &hint.tenant,
-            returning: hint.returned,
-            left: self.left(lane, now, hint.within, now),
+            returning: hint.is_retry,
+            left: self.left(lane, now, hint.give_up_in_s, now),
             held: false,
             at_once: true,
         };
@@ -108,15 +108,15 @@
     }
 
     /// A wish that was read at `asked` seconds; `held` where it is asked about once more.
-    pub fn judge(&self, asked: f64, wish: &Wish, held: bool) -> Word {
-        let Some(lane) = self.lanes.iter().position(|(name, _)| *name == wish.lane) else {
+    pub fn judge(&self, asked: f64, wish: &PlayRequest, held: bool) -> Word {
+        let Some(lane) = self.lanes.iter().position(|(name, _)| *name == wish.class) else {
             return Word::Take;
         };
         let now = self.clock.now();
         let asked = Asked {
             lane,
             tenant: &wish.tenant,
-            returning: wish.returned,
+            returning: wish.is_retry,
             left: self.left(lane, asked, wish.give_up_in_s, now),
             held,
             at_once: false,
--- a/crates/lemontide-front/src/http.rs
+++ b/crates/lemontide-front/src/http.rs
@@ -22,7 +22,7 @@
 use lemontide_wire::clock::Clock;
 use lemontide_wire::cmcd::{self, Cmcd};
 use lemontide_wire::cmsd;
-use lemontide_wire::play::{Answer, Wish};
+use lemontide_wire::play::{PlayRequest, PlayResponse};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -140,7 +140,7 @@
 }
 
 /// Whether the guard takes a wish, now or after a hold; otherwise the wait that its player is told.
-async fn passes(guard: &Guard, asked: f64, wish: &Wish) -> Result<(), Span> {
+async fn passes(guard: &Guard, asked: f64, wish: &PlayRequest) -> Result<(), Span> {
     let held = match guard.judge(asked, wish, false) {
         Word::Take => return Ok(()),
         Word::TurnBack { wait } => return Err(wait),
@@ -166,17 +166,17 @@
         }
         Err(_) => return not_taken(StatusCode::REQUEST_TIMEOUT, "the body took too long", None),
     };
-    let wish: Wish = match serde_json::from_slice(&body) {
+    let wish: PlayRequest = match serde_json::from_slice(&body) {
         Ok(wish) => wish,
         Err(e) => return not_taken(StatusCode::BAD_REQUEST, &format!("the wish is not valid: {e}"), None),
     };
     let cmcd = hints(&head.headers, head.uri.query(), &wish);
-    if cmcd.skipped > 0 {
-        tracing::debug!(target: "http", skipped = cmcd.skipped, "hints not valid");
+    if cmcd.skipped_keys > 0 {
+        tracing::debug!(target: "http", skipped = cmcd.skipped_keys, "hints not valid");
     }
     let near = "the controller is near its limit";
     match head.extensions.get::<LetIn>() {
-        Some(LetIn(hint)) if hint.lane != wish.lane || hint.tenant != wish.tenant => {
+        Some(LetIn(hint)) if hint.class != wish.class || hint.tenant != wish.tenant => {
             let error = "the hint in the head names another lane or tenant than the wish; let them agree";
             return not_taken(StatusCode::BAD_REQUEST, error, None);
         }
@@ -193,7 +193,7 @@
     }
     let id = serving.ids.fetch_add(1, Ordering::Relaxed);
     let (reply, said) = oneshot::channel();
-    let place = serving.lanes.iter().position(|(name, ..)| *name == wish.lane);
+    let place = serving.lanes.iter().position(|(name, ..)| *name == wish.class);
     let live = place.is_some_and(|place| serving.lanes[place].2);
     let cut_off = place.map_or(f64::INFINITY, |place| serving.lanes[place].1);
     // Where nobody guards, a wish that is late is the module's to turn back.
@@ -247,43 +247,46 @@
 }
 
 /// The hints of a request: headers, the query's `CMCD` argument or the wish's JSON, in this order.
-fn hints(headers: &HeaderMap, query: Option<&str>, wish: &Wish) -> Cmcd {
-    let fields: Vec<&[u8]> =
-        cmcd::HEADERS.iter().flat_map(|name| headers.get_all(*name)).map(HeaderValue::as_bytes).collect();
+fn hints(headers: &HeaderMap, query: Option<&str>, wish: &PlayRequest) -> Cmcd {
+    let fields: Vec<&[u8]> = cmcd::HEADER_NAMES
+        .iter()
+        .flat_map(|name| headers.get_all(*name))
+        .map(HeaderValue::as_bytes)
+        .collect();
     if !fields.is_empty() {
-        return Cmcd::of_fields(fields);
+        return Cmcd::from_headers(fields);
     }
-    if let Some(argument) = query.and_then(cmcd::in_query) {
-        return Cmcd::of_fields([&argument[..]]);
+    if let Some(argument) = query.and_then(cmcd::query_value) {
+        return Cmcd::from_headers([&argument[..]]);
     }
-    wish.cmcd.as_ref().map(Cmcd::of_json).unwrap_or_default()
+    wish.cmcd.as_ref().map(Cmcd::from_json).unwrap_or_default()
 }
 
 fn answer(serving: &Serving, said: Said, live: bool) -> Response {
     let (status, wait) = match &said.answer {
-        Answer::Plays { .. } => (StatusCode::CREATED, None),
-        Answer::TurnedBack { retry_after_s, .. } => (StatusCode::SERVICE_UNAVAILABLE, *retry_after_s),
-        Answer::Scrapped { .. } => (StatusCode::BAD_GATEWAY, None),
-        Answer::NotTaken { retry_after_s, .. } => (StatusCode::SERVICE_UNAVAILABLE, *retry_after_s),
+        PlayResponse::Plays { .. } => (StatusCode::CREATED, None),
+        PlayResponse::Rejected { retry_after_s, .. } => (StatusCode::SERVICE_UNAVAILABLE, *retry_after_s),
+        PlayResponse::Failed { .. } => (StatusCode::BAD_GATEWAY, None),
+        PlayResponse::NotAccepted { retry_after_s, .. } => (StatusCode::SERVICE_UNAVAILABLE, *retry_after_s),
     };
     let mut response = (status, Json(&said.answer)).into_response();
-    let dynamic = cmsd::Dynamic {
+    let dynamic = cmsd::CmsdDynamic {
         server: format!("lemontide-{}", serving.me),
         suggested_kbps: said.suggested_kbps,
         duress: said.duress,
-        ..cmsd::Dynamic::default()
+        ..cmsd::CmsdDynamic::default()
     };
     let headers = response.headers_mut();
-    put(headers, cmsd::DYNAMIC, dynamic.write());
+    put(headers, cmsd::DYNAMIC_HEADER, dynamic.to_header_value());
     if let Some(kbps) = said.suggested_kbps {
-        put(headers, cmsd::STATIC, cmsd::fixed(kbps, live));
+        put(headers, cmsd::STATIC_HEADER, cmsd::static_header_value(kbps, live));
     }
     retry_after(headers, wait);
     response
 }
 
 fn not_taken(status: StatusCode, error: &str, wait: Option<f64>) -> Response {
-    let said = Answer::NotTaken { error: error.to_owned(), retry_after_s: wait };
+    let said = PlayResponse::NotAccepted { error: error.to_owned(), retry_after_s: wait };
     let mut response = (status, Json(said)).into_response();
     retry_after(response.headers_mut(), wait);
     response
--- a/crates/lemontide-front/src/link.rs
+++ b/crates/lemontide-front/src/link.rs
@@ -6,8 +6,8 @@
 use futures::{SinkExt, StreamExt};
 use lemontide::clock::Point;
 use lemontide_wire::clock::Clock;
-use lemontide_wire::link::{ControllerEnd, Hello, Order, Told, VERSION};
-use lemontide_wire::tap::{Tap, What};
+use lemontide_wire::link::{ControllerCodec, ControllerMessage, Hello, StreamerMessage, PROTOCOL_VERSION};
+use lemontide_wire::tap::{Tap, TapEvent};
 use std::io::ErrorKind;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -66,12 +66,12 @@
                     unsent.extend(queued.shot);
                     continue;
                 }
-                if let Order::SetUp(set_up) = &queued.order {
-                    links.tap.write(What::Sent {
-                        ask: set_up.ask.clone(),
-                        shot: set_up.shot,
+                if let ControllerMessage::SetUp(set_up) = &queued.order {
+                    links.tap.record(TapEvent::AttemptSent {
+                        request_id: set_up.ask.clone(),
+                        attempt: set_up.shot,
                         streamer: streamer.clone(),
-                        lane: set_up.lane.clone(),
+                        class: set_up.lane.clone(),
                         title: set_up.title.clone(),
                         rung: set_up.rung as usize,
                     });
@@ -110,24 +110,32 @@
     let _ = report(Happened::Lost { at, dial, by_streamer }).await;
 }
 
-type End = Framed<TcpStream, ControllerEnd>;
+type End = Framed<TcpStream, ControllerCodec>;
 
 async fn greet(links: &Links, streamer: &str, address: &str) -> std::io::Result<(End, f64)> {
     let socket = TcpStream::connect(address).await?;
     socket.set_nodelay(true)?;
-    let mut framed = Framed::new(socket, ControllerEnd::default());
-    framed.send(Order::Hello(Hello { version: VERSION, controller: links.me, run: links.run })).await?;
+    let mut framed = Framed::new(socket, ControllerCodec::default());
+    framed
+        .send(ControllerMessage::Hello(Hello {
+            version: PROTOCOL_VERSION,
+            controller: links.me,
+            run: links.run,
+        }))
+        .await?;
     match framed.next().await {
-        Some(Ok(Told::Welcome(welcome))) if welcome.version == VERSION => {
+        Some(Ok(StreamerMessage::Welcome(welcome))) if welcome.version == PROTOCOL_VERSION => {
             // An address may have passed to another process since the list was written.
             if welcome.streamer != streamer {
                 return Err(std::io::Error::other(format!("it is {}, not {streamer}", welcome.streamer)));
             }
             Ok((framed, welcome.started))
         }
-        Some(Ok(Told::Welcome(welcome))) => {
-            let what =
-                format!("it speaks version {} of the link, this controller {VERSION}", welcome.version);
+        Some(Ok(StreamerMessage::Welcome(welcome))) => {
+            let what = format!(
+                "it speaks version {} of the link, this controller {PROTOCOL_VERSION}",
+                welcome.version
+            );
             Err(std::io::Error::other(what))
         }
         Some(Ok(_)) => Err(std::io::Error::other("its first word is no welcome")),
--- a/crates/lemontide-front/src/list.rs
+++ b/crates/lemontide-front/src/list.rs
@@ -1,6 +1,6 @@
 //! Following the list of streamers: a source tells the whole list each time that it changed.
 
-use lemontide_wire::list::List;
+use lemontide_wire::list::StreamerList;
 use std::future::Future;
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime};
@@ -14,7 +14,7 @@
 /// matter, the list then simply does not change.
 pub trait Source: Send + 'static {
     /// The next list that differs from the last one.
-    fn next(&mut self) -> impl Future<Output = List> + Send;
+    fn next(&mut self) -> impl Future<Output = StreamerList> + Send;
 }
 
 /// A JSON file that is replaced or rewritten when the list changes. One that can't be read, half written as it
@@ -22,7 +22,7 @@
 pub struct ListFile {
     path: PathBuf,
     seen: Option<(SystemTime, u64)>,
-    last: Option<List>,
+    last: Option<StreamerList>,
 }
 
 impl ListFile {
@@ -30,14 +30,14 @@
         ListFile { path, seen: None, last: None }
     }
 
-    async fn changed(&mut self) -> Option<List> {
+    async fn changed(&mut self) -> Option<StreamerList> {
         let about = tokio::fs::metadata(&self.path).await.ok()?;
         let mark = (about.modified().ok()?, about.len());
         if self.seen == Some(mark) || mark.1 > LONGEST {
             return None;
         }
         let text = tokio::fs::read(&self.path).await.ok()?;
-        let list: List = match serde_json::from_slice(&text) {
+        let list: StreamerList = match serde_json::from_slice(&text) {
             Ok(list) => list,
             Err(e) => {
                 tracing::warn!(target: "list", file = %self.path.display(), error = %e, "kept the last list");
@@ -55,7 +55,7 @@
 }
 
 impl Source for ListFile {
-    async fn next(&mut self) -> List {
+    async fn next(&mut self) -> StreamerList {
         loop {
             if let Some(list) = self.changed().await {
                 return list;
--- a/crates/lemontide-front/tests/common/mod.rs
+++ b/crates/lemontide-front/tests/common/mod.rs
@@ -4,9 +4,9 @@
 use lemontide_front::core::{Driver, Effect, Queued, Refusal};
 use lemontide_front::settings::Settings;
 use lemontide_wire::cmcd::Cmcd;
-use lemontide_wire::link::{Ended, How, Order, Plays, Pong, SetUp, Told};
-use lemontide_wire::list::{Entry, List, Stage};
-use lemontide_wire::play::{Answer, News, Wish};
+use lemontide_wire::link::{ControllerMessage, Ended, How, Plays, Pong, SetUp, StreamerMessage};
+use lemontide_wire::list::{ListEntry, StreamerList, StreamerState};
+use lemontide_wire::play::{PlayRequest, PlayResponse, SessionEvent};
 use serde_json::json;
 use std::collections::HashMap;
 
@@ -30,23 +30,23 @@
     serde_json::from_value(settings).expect("the settings are valid")
 }
 
-pub fn entry(at: usize, stage: Stage) -> Entry {
-    Entry {
+pub fn entry(at: usize, stage: StreamerState) -> ListEntry {
+    ListEntry {
         streamer: format!("s{at}"),
         address: format!("127.0.0.1:{}", 9000 + at),
         zone: "here".into(),
         kind: "std".into(),
         cell: at,
-        stage,
+        state: stage,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
-pub fn list(version: u64, change: impl Fn(&mut Entry)) -> List {
-    let mut streamers: Vec<Entry> = (0..STREAMERS).map(|at| entry(at, Stage::Ready)).collect();
+pub fn list(version: u64, change: impl Fn(&mut ListEntry)) -> StreamerList {
+    let mut streamers: Vec<ListEntry> = (0..STREAMERS).map(|at| entry(at, StreamerState::Ready)).collect();
     streamers.iter_mut().for_each(change);
-    List { version, streamers }
+    StreamerList { version, streamers }
 }
 
 pub struct World {
@@ -56,8 +56,8 @@
     pub sent: Vec<(usize, SetUp)>,
     pub cancels: Vec<(usize, u32, u32)>,
     pub dials: HashMap<usize, u64>,
-    pub answers: HashMap<u32, Vec<Answer>>,
-    pub news: Vec<(u32, News)>,
+    pub answers: HashMap<u32, Vec<PlayResponse>>,
+    pub news: Vec<(u32, SessionEvent)>,
     pub hung: Vec<usize>,
     /// These can't be reached; batches to these are taken and never written.
     pub away: Vec<usize>,
@@ -98,7 +98,7 @@
         world
     }
 
-    pub fn learn(&mut self, list: &List) {
+    pub fn learn(&mut self, list: &StreamerList) {
         self.driver.learn(self.now, list);
         self.perform();
     }
@@ -111,7 +111,13 @@
         self.next += 1;
         let id = self.next;
         let ask = format!("a{id}");
-        let wish = Wish { title: "t".into(), lane: lane.into(), ask, give_up_in_s, ..Wish::default() };
+        let wish = PlayRequest {
+            title: "t".into(),
+            class: lane.into(),
+            request_id: ask,
+            give_up_in_s,
+            ..PlayRequest::default()
+        };
         self.driver.ask(self.now, self.now, id, &wish, &Cmcd::default())?;
         self.perform();
         Ok(id)
@@ -127,7 +133,7 @@
         self.sent.iter().filter(|(_, s)| s.id == id).count()
     }
 
-    pub fn tell(&mut self, at: usize, told: Told) {
+    pub fn tell(&mut self, at: usize, told: StreamerMessage) {
         let dial = self.dials.get(&at).copied().unwrap_or(0);
         self.driver.told(self.now, at, dial, told);
         self.perform();
@@ -135,13 +141,13 @@
 
     pub fn plays(&mut self, id: u32) {
         let (at, shot) = self.shot(id);
-        self.tell(at, Told::Plays(Plays { id, shot, cmsd_dynamic: String::new() }));
+        self.tell(at, StreamerMessage::Plays(Plays { id, shot, cmsd_dynamic: String::new() }));
     }
 
     pub fn ends(&mut self, id: u32, how: How) {
         let (at, shot) = self.shot(id);
         let how = how.into();
-        self.tell(at, Told::Ended(Ended { id, shot, how, cmsd_dynamic: String::new() }));
+        self.tell(at, StreamerMessage::Ended(Ended { id, shot, how, cmsd_dynamic: String::new() }));
     }
 
     pub fn cut(&mut self, at: usize) {
@@ -165,7 +171,7 @@
         self.now = self.now + Span::of(seconds);
     }
 
-    pub fn answer(&self, id: u32) -> &Answer {
+    pub fn answer(&self, id: u32) -> &PlayResponse {
         let answers = self.answers.get(&id).map_or(&[][..], |answers| answers);
         assert_eq!(answers.len(), 1, "one answer, and no more: {answers:?}");
         &answers[0]
@@ -207,9 +213,9 @@
                 continue;
             }
             match queued.order {
-                Order::SetUp(set_up) => self.sent.push((at, set_up)),
-                Order::Cancel(cancel) => self.cancels.push((at, cancel.id, cancel.shot)),
-                Order::Ping(ping) => pings.push(ping.nonce),
+                ControllerMessage::SetUp(set_up) => self.sent.push((at, set_up)),
+                ControllerMessage::Cancel(cancel) => self.cancels.push((at, cancel.id, cancel.shot)),
+                ControllerMessage::Ping(ping) => pings.push(ping.nonce),
                 _ => {}
             }
         }
@@ -218,7 +224,7 @@
             if self.unread.contains(&at) {
                 self.unread_pings.push((at, nonce));
             } else {
-                self.driver.told(self.now, at, dial, Told::Pong(Pong { nonce }));
+                self.driver.told(self.now, at, dial, StreamerMessage::Pong(Pong { nonce }));
             }
         }
     }
@@ -230,7 +236,7 @@
             std::mem::take(&mut self.unread_pings).into_iter().partition(|ping| ping.0 == at);
         self.unread_pings = unread;
         for (_, nonce) in read {
-            self.tell(at, Told::Pong(Pong { nonce }));
+            self.tell(at, StreamerMessage::Pong(Pong { nonce }));
         }
     }
 }
--- a/crates/lemontide-front/tests/driver.rs
+++ b/crates/lemontide-front/tests/driver.rs
@@ -6,17 +6,17 @@
 use lemontide::clock::Span;
 use lemontide_front::core::Refusal;
 use lemontide_front::settings::{Settings, Source, Together};
-use lemontide_wire::link::{How, Plays, Told};
-use lemontide_wire::list::Stage;
-use lemontide_wire::play::{Answer, News, Over};
+use lemontide_wire::link::{How, Plays, StreamerMessage};
+use lemontide_wire::list::StreamerState;
+use lemontide_wire::play::{EndReason, PlayResponse, SessionEvent};
 use proptest::prelude::*;
 
-fn is_scrapped(answer: &Answer) -> bool {
-    matches!(answer, Answer::Scrapped { .. })
+fn is_scrapped(answer: &PlayResponse) -> bool {
+    matches!(answer, PlayResponse::Failed { .. })
 }
 
-fn is_turned_back(answer: &Answer) -> bool {
-    matches!(answer, Answer::TurnedBack { .. })
+fn is_turned_back(answer: &PlayResponse) -> bool {
+    matches!(answer, PlayResponse::Rejected { .. })
 }
 
 #[test]
@@ -25,9 +25,9 @@
     let id = world.ask("paid");
     assert_eq!(world.shots(id), 1);
     world.plays(id);
-    assert!(matches!(world.answer(id), Answer::Plays { .. }));
+    assert!(matches!(world.answer(id), PlayResponse::Plays { .. }));
     world.ends(id, How::Served);
-    assert_eq!(world.news.last(), Some(&(id, News::Over { why: Over::Served })));
+    assert_eq!(world.news.last(), Some(&(id, SessionEvent::Ended { reason: EndReason::Served })));
     assert_eq!(world.driver.in_hand(), 0);
 }
 
@@ -56,7 +56,7 @@
     let twice = world.ask("free");
     world.plays(twice);
     world.plays(twice);
-    assert!(matches!(world.answer(twice), Answer::Plays { .. }));
+    assert!(matches!(world.answer(twice), PlayResponse::Plays { .. }));
 }
 
 #[test]
@@ -124,7 +124,7 @@
     // The first to each goes into the batch that never gets through; later ones wait behind it.
     let ids: Vec<u32> = (0..20).map(|_| world.ask("paid")).collect();
     let before = world.sent.len();
-    world.learn(&list(2, |entry| entry.stage = Stage::Draining));
+    world.learn(&list(2, |entry| entry.state = StreamerState::Draining));
     let turned = ids.iter().filter(|id| !world.is_open(**id) && is_turned_back(world.answer(**id))).count();
     assert!(turned >= 20 - STREAMERS, "{turned} turned back: they provably never ran");
     world.stuck.clear();
@@ -137,7 +137,7 @@
     let mut world = World::new();
     let mut shorter = list(2, |entry| {
         if entry.cell == 0 {
-            entry.stage = Stage::Draining;
+            entry.state = StreamerState::Draining;
         }
     });
     shorter.streamers.remove(1);
@@ -153,7 +153,7 @@
 fn a_streamer_named_again_with_a_new_start_is_cold() {
     let mut world = World::new();
     let now = lemontide_front::core::seconds(world.now);
-    world.learn(&list(2, |entry| entry.started = Some(now)));
+    world.learn(&list(2, |entry| entry.started_at = Some(now)));
     // Half its places over ten seconds: a budget of 2.5 * 0.5 * 300 a second, far over what is asked here, but
     // only in this controller's turns.
     let mut answered = Vec::new();
@@ -176,7 +176,7 @@
             entry.address = "127.0.0.1:9999".into();
         }
     }));
-    assert_eq!(world.news.last(), Some(&(id, News::Over { why: Over::Broken })));
+    assert_eq!(world.news.last(), Some(&(id, SessionEvent::Ended { reason: EndReason::ConnectionLost })));
     assert_eq!(world.hung, [at]);
 }
 
@@ -193,7 +193,7 @@
     assert!(world.news.is_empty() && world.hung.is_empty(), "the other ends were not silent, this one was");
     let fresh = world.ask("free");
     world.plays(fresh);
-    assert!(matches!(world.answer(fresh), Answer::Plays { .. }));
+    assert!(matches!(world.answer(fresh), PlayResponse::Plays { .. }));
 }
 
 #[test]
@@ -205,7 +205,7 @@
     world.stuck.push(at);
     world.pass(5.0);
     assert!(world.hung.contains(&at));
-    assert_eq!(world.news.last(), Some(&(id, News::Over { why: Over::Broken })));
+    assert_eq!(world.news.last(), Some(&(id, SessionEvent::Ended { reason: EndReason::ConnectionLost })));
 }
 
 #[test]
@@ -227,7 +227,11 @@
     let lost = ids.iter().filter(|id| world.shot(**id).0 == 0).count();
     assert!(lost > 500, "{lost} of them on it");
     world.cut(0);
-    let broken = world.news.iter().filter(|(_, news)| *news == News::Over { why: Over::Broken }).count();
+    let broken = world
+        .news
+        .iter()
+        .filter(|(_, news)| *news == SessionEvent::Ended { reason: EndReason::ConnectionLost })
+        .count();
     assert_eq!(broken, lost);
     assert_eq!(world.driver.playing(), 4000 - lost);
 }
@@ -286,7 +290,7 @@
     fn promises_hold_under_any_order(events in proptest::collection::vec(event(), 1..120)) {
         let mut world = World::new();
         let mut ids: Vec<(u32, bool, bool)> = Vec::new();
-        let mut stages = [Stage::Ready; STREAMERS];
+        let mut stages = [StreamerState::Ready; STREAMERS];
         let mut sent_back = std::collections::HashSet::new();
         for event in events {
             let before = world.sent.len();
@@ -298,7 +302,7 @@
                 Event::Plays(i) if !world.sent.is_empty() => {
                     let (at, set_up) = world.sent[i % world.sent.len()].clone();
                     let (id, shot) = (set_up.id, set_up.shot);
-                    world.tell(at, Told::Plays(Plays { id, shot, cmsd_dynamic: "\"".into() }));
+                    world.tell(at, StreamerMessage::Plays(Plays { id, shot, cmsd_dynamic: "\"".into() }));
                 }
                 Event::Ends(i, how) if !world.sent.is_empty() => {
                     let (_, set_up) = world.sent[i % world.sent.len()].clone();
@@ -327,8 +331,8 @@
                     if on { world.stuck.push(at); }
                 }
                 Event::Stage(at, stage) => {
-                    stages[at] = [Stage::Ready, Stage::Draining, Stage::Gone][usize::from(stage)];
-                    world.learn(&list(2, |entry| entry.stage = stages[entry.cell]));
+                    stages[at] = [StreamerState::Ready, StreamerState::Draining, StreamerState::Gone][usize::from(stage)];
+                    world.learn(&list(2, |entry| entry.state = stages[entry.cell]));
                 }
                 Event::Pass(ms) => world.pass(f64::from(ms) / 1e3),
                 Event::Stall(ms) => {
@@ -339,7 +343,7 @@
                 _ => {}
             }
             for (at, set_up) in &world.sent[before..] {
-                prop_assert_eq!(stages[*at], Stage::Ready, "sent to one that drains or is gone");
+                prop_assert_eq!(stages[*at], StreamerState::Ready, "sent to one that drains or is gone");
                 prop_assert!(set_up.shot < 3);
             }
         }
@@ -384,7 +388,7 @@
     // Crowded out of the first one, it opens others, and closes those when they are idle.
     world.learn(&list(2, |entry| {
         if entry.cell == at {
-            entry.stage = Stage::Draining;
+            entry.state = StreamerState::Draining;
         }
     }));
     let others: Vec<u32> = (0..12).map(|_| world.ask("paid")).collect();
--- a/crates/lemontide-standin/src/day.rs
+++ b/crates/lemontide-standin/src/day.rs
@@ -6,8 +6,8 @@
     read_json, Charges, Cold, Fleet, Ladder, Lane, Limits, Links, Looks, Notes, Place, Ration, Repeat,
     RetryAfter, Settings, Shots, Tenant, Together, Wrong,
 };
-use lemontide_wire::list::{Entry, List, Stage};
-use lemontide_wire::tap::{self, LaneTerms, Terms};
+use lemontide_wire::list::{ListEntry, StreamerList, StreamerState};
+use lemontide_wire::tap::{self, ClassRules, JudgeRules};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -395,24 +395,24 @@
     }
 
     /// A streamer's line in the list, as ready; `address` is where it listens.
-    pub fn entry(&self, at: usize, address: SocketAddr) -> Entry {
+    pub fn entry(&self, at: usize, address: SocketAddr) -> ListEntry {
         let streamer = &self.streamers[at];
-        Entry {
+        ListEntry {
             streamer: streamer.name.clone(),
             address: address.to_string(),
             zone: streamer.zone.clone(),
             kind: self.kind.clone(),
             cell: streamer.cell,
-            stage: Stage::Ready,
+            state: StreamerState::Ready,
             weight: streamer.weight,
-            started: None,
+            started_at: None,
         }
     }
 
     /// The list as it stands before anything has happened: without spares.
-    pub fn first_list(&self, addresses: &[SocketAddr]) -> List {
+    pub fn first_list(&self, addresses: &[SocketAddr]) -> StreamerList {
         let there = (0..self.streamers.len()).filter(|at| !self.streamers[*at].spare);
-        List { version: 1, streamers: there.map(|at| self.entry(at, addresses[at])).collect() }
+        StreamerList { version: 1, streamers: there.map(|at| self.entry(at, addresses[at])).collect() }
     }
 
     /// The settings of one of its controllers.
@@ -461,34 +461,34 @@
     }
 
     /// The rules in figures, as the judge takes them.
-    pub fn terms(&self) -> Terms {
-        Terms {
-            answer_slack: self.rules.answer_slack_s,
-            drain_grace: self.rules.drain_grace_s,
-            cold: tap::Cold {
-                places: self.places,
-                span: self.cold.span_s,
-                from: self.cold.from,
-                multiple: self.cold.multiple,
-                window: self.cold.window_s,
+    pub fn terms(&self) -> JudgeRules {
+        JudgeRules {
+            answer_slack_s: self.rules.answer_slack_s,
+            drain_grace_s: self.rules.drain_grace_s,
+            cold_start: tap::ColdStartRules {
+                max_streams: self.places,
+                warm_up_s: self.cold.span_s,
+                initial_part: self.cold.from,
+                overload_multiple: self.cold.multiple,
+                window_s: self.cold.window_s,
             },
-            ration: self.ration.as_ref().map(|r| tap::Ration {
-                floor: r.floor,
-                share: r.share,
-                window: r.window_s,
+            retry_budget: self.ration.as_ref().map(|r| tap::RetryBudget {
+                min_retries: r.floor,
+                request_share: r.share,
+                window_s: r.window_s,
             }),
-            lanes: self
+            classes: self
                 .lanes
                 .iter()
-                .map(|lane| LaneTerms {
+                .map(|lane| ClassRules {
                     name: lane.lane.name.clone(),
                     gain: lane.lane.gain,
-                    paid: lane.lane.repeat == Repeat::Paid,
-                    floor: lane.lane.floor,
-                    seats: lane.lane.seats,
+                    at_most_once: lane.lane.repeat == Repeat::Paid,
+                    min_rung: lane.lane.floor,
+                    max_sessions_per_title: lane.lane.seats,
                 })
                 .collect(),
-            gain: self.ladder.gain.clone(),
+            gain_by_rung: self.ladder.gain.clone(),
             shortfall_cost: self.shortfall_cost,
         }
     }
--- a/crates/lemontide-standin/src/judge.rs
+++ b/crates/lemontide-standin/src/judge.rs
@@ -2,8 +2,8 @@
 //! lines that break it. It knows nothing of the controller; what a controller wrote of itself is held against
 //! what the other end of the socket saw.
 
-use lemontide_wire::list::Stage;
-use lemontide_wire::tap::{How, Kind, LaneTerms, Line, Terms, What};
+use lemontide_wire::list::StreamerState;
+use lemontide_wire::tap::{ClassRules, JudgeRules, ResponseKind, TapEvent, TapOutcome, TapRecord};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -105,7 +105,7 @@
         Book { rule: Rule { name, checked: 0, broken: 0, breaches: Vec::new() } }
     }
 
-    fn holds(&mut self, fine: bool, what: impl FnOnce() -> String, lines: &[&Line]) {
+    fn holds(&mut self, fine: bool, what: impl FnOnce() -> String, lines: &[&TapRecord]) {
         self.rule.checked += 1;
         if fine {
             return;
@@ -121,25 +121,25 @@
 /// All that the taps say of one ask, in order.
 #[derive(Default)]
 struct Ask<'a> {
-    ask: Option<&'a Line>,
-    answers: Vec<&'a Line>,
-    left: Option<&'a Line>,
-    asked: Vec<&'a Line>,
-    answered: Vec<&'a Line>,
-    sent: Vec<&'a Line>,
-    got: Vec<&'a Line>,
+    ask: Option<&'a TapRecord>,
+    answers: Vec<&'a TapRecord>,
+    left: Option<&'a TapRecord>,
+    asked: Vec<&'a TapRecord>,
+    answered: Vec<&'a TapRecord>,
+    sent: Vec<&'a TapRecord>,
+    got: Vec<&'a TapRecord>,
     /// Heard and given up at the controller's end, done at the streamer's.
-    over: Vec<&'a Line>,
-    done: Vec<&'a Line>,
-    given: Vec<&'a Line>,
+    over: Vec<&'a TapRecord>,
+    done: Vec<&'a TapRecord>,
+    given: Vec<&'a TapRecord>,
 }
 
 /// Judges a day by its taps, in any order. None where the taps state no terms.
-pub fn judge(lines: &[Line]) -> Option<Verdict> {
-    let mut sorted: Vec<&Line> = lines.iter().collect();
+pub fn judge(lines: &[TapRecord]) -> Option<Verdict> {
+    let mut sorted: Vec<&TapRecord> = lines.iter().collect();
     sorted.sort_by(|a, b| a.at.total_cmp(&b.at));
-    let terms = sorted.iter().find_map(|line| match &line.what {
-        What::Terms { terms } => Some(terms),
+    let terms = sorted.iter().find_map(|line| match &line.event {
+        TapEvent::Rules { rules: terms } => Some(terms),
         _ => None,
     })?;
     let day = Taps::sort(&sorted, terms);
@@ -155,13 +155,13 @@
         day.one_heir(),
     ];
     let set_ups = day.asks.values().map(|ask| ask.got.len()).sum();
-    let fell = sorted.iter().filter(|line| matches!(line.what, What::Fell { .. })).count();
+    let fell = sorted.iter().filter(|line| matches!(line.event, TapEvent::StreamerCrashed { .. })).count();
     Some(Verdict { rules, answers, service: day.service(), set_ups, fell })
 }
 
 struct Taps<'a> {
-    terms: &'a Terms,
-    lines: &'a [&'a Line],
+    terms: &'a JudgeRules,
+    lines: &'a [&'a TapRecord],
     asks: BTreeMap<&'a str, Ask<'a>>,
     /// Moments at which each controller was killed and came up, and spans in which it stood still.
     killed: BTreeMap<usize, Vec<f64>>,
@@ -175,7 +175,7 @@
 }
 
 impl<'a> Taps<'a> {
-    fn sort(lines: &'a [&'a Line], terms: &'a Terms) -> Taps<'a> {
+    fn sort(lines: &'a [&'a TapRecord], terms: &'a JudgeRules) -> Taps<'a> {
         let mut taps = Taps {
             terms,
             lines,
@@ -185,23 +185,26 @@
             paused: BTreeMap::new(),
         };
         for line in lines.iter().copied() {
-            match &line.what {
-                What::Ask { ask, .. } => taps.of(ask).ask = Some(line),
-                What::Answer { ask, .. } => taps.of(ask).answers.push(line),
-                What::Left { ask } => taps.of(ask).left = Some(line),
-                What::Asked { ask, .. } => taps.of(ask).asked.push(line),
-                What::Answered { ask, .. } => taps.of(ask).answered.push(line),
-                What::Sent { ask, .. } => taps.of(ask).sent.push(line),
-                What::Got { ask, .. } => taps.of(ask).got.push(line),
-                What::Heard { ask, .. } | What::GaveUp { ask, .. } => taps.of(ask).over.push(line),
-                What::Done { ask, .. } => taps.of(ask).done.push(line),
-                What::Given { ask, .. } => taps.of(ask).given.push(line),
-                What::Killed { controller } => taps.killed.entry(*controller).or_default().push(line.at),
-                What::Up { controller } => taps.up.entry(*controller).or_default().push(line.at),
-                What::Paused { controller } => {
+            match &line.event {
+                TapEvent::RequestSent { request_id: ask, .. } => taps.of(ask).ask = Some(line),
+                TapEvent::ResponseReceived { request_id: ask, .. } => taps.of(ask).answers.push(line),
+                TapEvent::ViewerLeft { request_id: ask } => taps.of(ask).left = Some(line),
+                TapEvent::RequestReceived { request_id: ask, .. } => taps.of(ask).asked.push(line),
+                TapEvent::ResponseSent { request_id: ask, .. } => taps.of(ask).answered.push(line),
+                TapEvent::AttemptSent { request_id: ask, .. } => taps.of(ask).sent.push(line),
+                TapEvent::AttemptReceived { request_id: ask, .. } => taps.of(ask).got.push(line),
+                TapEvent::OutcomeReceived { request_id: ask, .. }
+                | TapEvent::AttemptAbandoned { request_id: ask, .. } => taps.of(ask).over.push(line),
+                TapEvent::AttemptEnded { request_id: ask, .. } => taps.of(ask).done.push(line),
+                TapEvent::Delivered { request_id: ask, .. } => taps.of(ask).given.push(line),
+                TapEvent::Killed { controller } => taps.killed.entry(*controller).or_default().push(line.at),
+                TapEvent::ControllerStarted { controller } => {
+                    taps.up.entry(*controller).or_default().push(line.at)
+                }
+                TapEvent::Paused { controller } => {
                     taps.paused.entry(*controller).or_default().push((line.at, f64::INFINITY));
                 }
-                What::Continued { controller } => {
+                TapEvent::Continued { controller } => {
                     if let Some(last) = taps.paused.entry(*controller).or_default().last_mut() {
                         last.1 = line.at;
                     }
@@ -216,8 +219,8 @@
         self.asks.entry(ask).or_default()
     }
 
-    fn lane(&self, name: &str) -> Option<&LaneTerms> {
-        self.terms.lanes.iter().find(|lane| lane.name == name)
+    fn lane(&self, name: &str) -> Option<&ClassRules> {
+        self.terms.classes.iter().find(|lane| lane.name == name)
     }
 
     /// Whether the controller was killed, or stood still, at some moment of this span.
@@ -240,27 +243,33 @@
                 }
                 continue;
             };
-            let What::Ask { controller, goal, cut_off, .. } = &line.what else { continue };
+            let TapEvent::RequestSent { controller, latency_goal: goal, deadline: cut_off, .. } = &line.event
+            else {
+                continue;
+            };
             answers.asks += 1;
-            let last = cut_off + self.terms.answer_slack;
-            let said = |kind: Kind| {
-                ask.answers
-                    .iter()
-                    .any(|line| matches!(&line.what, What::Answer { kind: k, .. } if *k == kind))
+            let last = cut_off + self.terms.answer_slack_s;
+            let said = |kind: ResponseKind| {
+                ask.answers.iter().any(
+                    |line| matches!(&line.event, TapEvent::ResponseReceived { kind: k, .. } if *k == kind),
+                )
             };
-            answers.plays += usize::from(said(Kind::Plays));
-            answers.turned_back += usize::from(said(Kind::TurnedBack));
-            answers.scrapped += usize::from(said(Kind::Scrapped));
-            let real: Vec<&&Line> = ask
+            answers.plays += usize::from(said(ResponseKind::Plays));
+            answers.turned_back += usize::from(said(ResponseKind::Rejected));
+            answers.scrapped += usize::from(said(ResponseKind::Failed));
+            let real: Vec<&&TapRecord> = ask
                 .answers
                 .iter()
-                .filter(|line| !matches!(&line.what, What::Answer { kind: Kind::None, .. }))
+                .filter(|line| {
+                    !matches!(&line.event, TapEvent::ResponseReceived { kind: ResponseKind::NoResponse, .. })
+                })
                 .collect();
-            answers.in_time += usize::from(said(Kind::Plays) && real.iter().any(|line| line.at <= *goal));
+            answers.in_time +=
+                usize::from(said(ResponseKind::Plays) && real.iter().any(|line| line.at <= *goal));
             let left_early = ask.left.is_some_and(|left| left.at < *cut_off - NEAR);
             let off = self.was_off(*controller, line.at, last);
             // A connection that failed where no controller had taken the ask: nobody owes an answer.
-            let not_taken = ask.asked.is_empty() && real.is_empty() && said(Kind::None);
+            let not_taken = ask.asked.is_empty() && real.is_empty() && said(ResponseKind::NoResponse);
             let twice = real.len() > 1 || ask.answered.len() > 1;
             let in_time = real.first().is_some_and(|line| line.at <= last);
             if !twice && !in_time && (left_early || off || not_taken) {
@@ -272,7 +281,7 @@
                 (0, _) => answers.none += 1,
                 _ => answers.one += 1,
             }
-            let lines: Vec<&Line> = [line]
+            let lines: Vec<&TapRecord> = [line]
                 .into_iter()
                 .chain(ask.asked.iter().copied())
                 .chain(ask.answers.iter().copied())
@@ -293,13 +302,13 @@
         let mut over: Option<f64> = None;
         let mut back = false;
         for line in &ask.over {
-            let ends = match &line.what {
-                What::Heard { shot, how, .. } if *shot == of => {
-                    back |= *how == How::SentBack;
+            let ends = match &line.event {
+                TapEvent::OutcomeReceived { attempt: shot, outcome: how, .. } if *shot == of => {
+                    back |= *how == TapOutcome::Refused;
                     // A shot that plays is not over, but it is answered: no other may follow it.
-                    *how != How::Served
+                    *how != TapOutcome::Served
                 }
-                What::GaveUp { shot, .. } if *shot == of => true,
+                TapEvent::AttemptAbandoned { attempt: shot, .. } if *shot == of => true,
                 _ => false,
             };
             if ends && line.at >= sent {
@@ -307,7 +316,7 @@
             }
         }
         let lost = self.lines.iter().find(|line| {
-            line.at >= sent && matches!(&line.what, What::LinkLost { streamer: s } if s == streamer)
+            line.at >= sent && matches!(&line.event, TapEvent::LinkLost { streamer: s } if s == streamer)
         });
         let lost = lost.map(|line| line.at);
         (over.into_iter().chain(lost).reduce(f64::min), back)
@@ -320,16 +329,16 @@
         for (name, ask) in &self.asks {
             let mut arrived = BTreeMap::new();
             for line in &ask.got {
-                let What::Got { streamer, shot, .. } = &line.what else { continue };
+                let TapEvent::AttemptReceived { streamer, attempt: shot, .. } = &line.event else { continue };
                 let before = arrived.insert((streamer, shot), *line);
-                let lines: Vec<&Line> = before.into_iter().chain([*line]).collect();
+                let lines: Vec<&TapRecord> = before.into_iter().chain([*line]).collect();
                 book.holds(
                     before.is_none(),
                     || format!("{name}: shot {shot} reached {streamer} twice"),
                     &lines,
                 );
                 let sent = ask.sent.iter().any(|line| {
-                    matches!(&line.what, What::Sent { streamer: s, shot: n, .. } if s == streamer && n == shot)
+                    matches!(&line.event, TapEvent::AttemptSent { streamer: s, attempt: n, .. } if s == streamer && n == shot)
                 });
                 book.holds(
                     sent,
@@ -337,15 +346,17 @@
                     &[line],
                 );
             }
-            let paid = ask.ask.or(ask.sent.first().copied()).is_some_and(|line| match &line.what {
-                What::Ask { lane, .. } | What::Sent { lane, .. } => {
-                    self.lane(lane).is_none_or(|lane| lane.paid)
+            let paid = ask.ask.or(ask.sent.first().copied()).is_some_and(|line| match &line.event {
+                TapEvent::RequestSent { class: lane, .. } | TapEvent::AttemptSent { class: lane, .. } => {
+                    self.lane(lane).is_none_or(|lane| lane.at_most_once)
                 }
                 _ => false,
             });
             for (i, line) in ask.sent.iter().enumerate() {
                 for earlier in &ask.sent[..i] {
-                    let What::Sent { shot, streamer, .. } = &earlier.what else { continue };
+                    let TapEvent::AttemptSent { attempt: shot, streamer, .. } = &earlier.event else {
+                        continue;
+                    };
                     let (over, back) = self.over(ask, *shot, streamer, earlier.at);
                     let fine = over.is_some_and(|over| over <= line.at);
                     book.holds(
@@ -359,13 +370,12 @@
                     }
                 }
             }
-            let turned_back = ask
-                .answered
-                .iter()
-                .find(|line| matches!(&line.what, What::Answered { kind: Kind::TurnedBack, .. }));
+            let turned_back = ask.answered.iter().find(|line| {
+                matches!(&line.event, TapEvent::ResponseSent { kind: ResponseKind::Rejected, .. })
+            });
             if let (true, Some(answer)) = (paid, turned_back) {
                 for line in &ask.sent {
-                    let What::Sent { shot, .. } = &line.what else { continue };
+                    let TapEvent::AttemptSent { attempt: shot, .. } = &line.event else { continue };
                     let what = || format!("{name}: paid, turned back though shot {shot} may have run");
                     book.holds(self.went_back(ask, *shot), what, &[line, answer]);
                 }
@@ -378,21 +388,24 @@
     fn went_back(&self, ask: &Ask<'a>, of: u32) -> bool {
         ask.done
             .iter()
-            .any(|line| matches!(&line.what, What::Done { shot, how: How::SentBack, .. } if *shot == of))
+            .any(|line| matches!(&line.event, TapEvent::AttemptEnded { attempt: shot, outcome: TapOutcome::Refused, .. } if *shot == of))
     }
 
     /// What a controller had been told of a streamer by some moment, of its present run: since when it must
     /// not be sent to, and the latest start.
-    fn told(&self, of: usize, name: &str, by: f64) -> (Option<&'a Line>, Option<f64>) {
+    fn told(&self, of: usize, name: &str, by: f64) -> (Option<&'a TapRecord>, Option<f64>) {
         let since =
             self.up.get(&of).into_iter().flatten().filter(|up| **up <= by).fold(0.0, |a: f64, b| a.max(*b));
         let (mut shut, mut latest) = (None, None::<f64>);
         for line in self.lines.iter().filter(|line| line.at >= since && line.at <= by) {
-            let What::Told { streamer, stage, started } = &line.what else { continue };
-            if streamer != name || controller(&line.end) != Some(of) {
+            let TapEvent::ListChangeReceived { streamer, state: stage, started_at: started } = &line.event
+            else {
+                continue;
+            };
+            if streamer != name || controller(&line.endpoint) != Some(of) {
                 continue;
             }
-            if *stage == Stage::Ready {
+            if *stage == StreamerState::Ready {
                 shut = None;
             } else {
                 shut = shut.or(Some(*line));
@@ -405,19 +418,21 @@
     /// 3: nothing new to a streamer later than the grace after the controller was told that it drains or is gone.
     fn drains_kept(&self) -> Rule {
         let mut book = Book::new("drains kept");
-        let told = self.lines.iter().filter_map(|line| match &line.what {
-            What::Told { streamer, stage, .. } if *stage != Stage::Ready => Some(streamer.as_str()),
+        let told = self.lines.iter().filter_map(|line| match &line.event {
+            TapEvent::ListChangeReceived { streamer, state: stage, .. } if *stage != StreamerState::Ready => {
+                Some(streamer.as_str())
+            }
             _ => None,
         });
         let ever: BTreeSet<&str> = told.collect();
         for (name, ask) in &self.asks {
             for line in &ask.sent {
-                let What::Sent { streamer, .. } = &line.what else { continue };
-                let Some(of) = controller(&line.end) else { continue };
+                let TapEvent::AttemptSent { streamer, .. } = &line.event else { continue };
+                let Some(of) = controller(&line.endpoint) else { continue };
                 let shut =
                     if ever.contains(streamer.as_str()) { self.told(of, streamer, line.at).0 } else { None };
-                let late = shut.filter(|shut| line.at > shut.at + self.terms.drain_grace);
-                let lines: Vec<&Line> = late.into_iter().chain([*line]).collect();
+                let late = shut.filter(|shut| line.at > shut.at + self.terms.drain_grace_s);
+                let lines: Vec<&TapRecord> = late.into_iter().chain([*line]).collect();
                 book.holds(
                     late.is_none(),
                     || format!("{name}: sent to {streamer}, which drains or is gone"),
@@ -431,34 +446,36 @@
     /// 4: set-ups that a streamer got while it was cold, against what it can take in any window of that length.
     fn none_pushed_over(&self) -> Rule {
         let mut book = Book::new("no cold streamer pushed over");
-        let cold = &self.terms.cold;
-        let mut got: BTreeMap<&str, Vec<&Line>> = BTreeMap::new();
+        let cold = &self.terms.cold_start;
+        let mut got: BTreeMap<&str, Vec<&TapRecord>> = BTreeMap::new();
         for line in self.lines {
-            if let What::Got { streamer, .. } = &line.what {
+            if let TapEvent::AttemptReceived { streamer, .. } = &line.event {
                 got.entry(streamer).or_default().push(line);
             }
         }
         for line in self.lines {
-            let What::Born { streamer, started } = &line.what else { continue };
+            let TapEvent::StreamerStarted { streamer, started_at: started } = &line.event else { continue };
             let all = got.get(streamer.as_str()).map_or(&[][..], |got| got);
-            let here: Vec<&&Line> =
-                all.iter().filter(|got| got.at >= *started && got.at < started + cold.span).collect();
+            let here: Vec<&&TapRecord> =
+                all.iter().filter(|got| got.at >= *started && got.at < started + cold.warm_up_s).collect();
             for (i, last) in here.iter().enumerate() {
-                let window: Vec<&&&Line> =
-                    here[..=i].iter().filter(|got| last.at - got.at <= cold.window).collect();
-                let warmth = cold.from + (1.0 - cold.from) * (last.at - started) / cold.span.max(1e-3);
-                let budget =
-                    cold.multiple * cold.places / cold.span.max(1e-3) * warmth.min(1.0) * cold.window;
+                let window: Vec<&&&TapRecord> =
+                    here[..=i].iter().filter(|got| last.at - got.at <= cold.window_s).collect();
+                let warmth = cold.initial_part
+                    + (1.0 - cold.initial_part) * (last.at - started) / cold.warm_up_s.max(1e-3);
+                let budget = cold.overload_multiple * cold.max_streams / cold.warm_up_s.max(1e-3)
+                    * warmth.min(1.0)
+                    * cold.window_s;
                 // Some slack for chance: one set-up.
                 let over = window.len() as f64 > budget + 1.0;
                 let knew = window.iter().filter(|got| self.knew(got, streamer, *started)).count();
                 let blame = over && knew * 2 > window.len();
                 let what = || {
                     let count = window.len();
-                    format!("{streamer}: {count} set-ups within {} s, {budget:.1} allowed", cold.window)
+                    format!("{streamer}: {count} set-ups within {} s, {budget:.1} allowed", cold.window_s)
                 };
-                let lines: Vec<&Line> =
-                    [*line].into_iter().chain(window.iter().map(|got| **got as &Line)).collect();
+                let lines: Vec<&TapRecord> =
+                    [*line].into_iter().chain(window.iter().map(|got| **got as &TapRecord)).collect();
                 book.holds(!blame, what, &lines);
             }
         }
@@ -469,37 +486,41 @@
     /// it was cold, against what it can take then. Held against the moments at which set-ups left, as turns are.
     fn cold_shared(&self) -> Rule {
         let mut book = Book::new("cold budget shared out");
-        let cold = &self.terms.cold;
-        let mut sent: BTreeMap<&str, Vec<(usize, &Line)>> = BTreeMap::new();
+        let cold = &self.terms.cold_start;
+        let mut sent: BTreeMap<&str, Vec<(usize, &TapRecord)>> = BTreeMap::new();
         for line in self.lines {
-            if let (What::Sent { streamer, .. }, Some(of)) = (&line.what, controller(&line.end)) {
+            if let (TapEvent::AttemptSent { streamer, .. }, Some(of)) =
+                (&line.event, controller(&line.endpoint))
+            {
                 sent.entry(streamer).or_default().push((of, line));
             }
         }
         for line in self.lines {
-            let What::Born { streamer, started } = &line.what else { continue };
+            let TapEvent::StreamerStarted { streamer, started_at: started } = &line.event else { continue };
             let all = sent.get(streamer.as_str()).map_or(&[][..], |sent| sent);
-            let there = |at: f64| at >= *started && at < started + cold.span;
+            let there = |at: f64| at >= *started && at < started + cold.warm_up_s;
             let knew = |of: &usize, at: f64| self.knew_start(*of, streamer, *started, at);
-            let here: Vec<&Line> = all
+            let here: Vec<&TapRecord> = all
                 .iter()
                 .filter(|(of, line)| there(line.at) && knew(of, line.at))
                 .map(|(_, line)| *line)
                 .collect();
             for (i, last) in here.iter().enumerate() {
-                let window: Vec<&Line> =
-                    here[..=i].iter().filter(|sent| last.at - sent.at <= cold.window).copied().collect();
-                let warmth = cold.from + (1.0 - cold.from) * (last.at - started) / cold.span.max(1e-3);
-                let budget =
-                    cold.multiple * cold.places / cold.span.max(1e-3) * warmth.min(1.0) * cold.window;
+                let window: Vec<&TapRecord> =
+                    here[..=i].iter().filter(|sent| last.at - sent.at <= cold.window_s).copied().collect();
+                let warmth = cold.initial_part
+                    + (1.0 - cold.initial_part) * (last.at - started) / cold.warm_up_s.max(1e-3);
+                let budget = cold.overload_multiple * cold.max_streams / cold.warm_up_s.max(1e-3)
+                    * warmth.min(1.0)
+                    * cold.window_s;
                 let what = || {
                     let count = window.len();
                     format!(
                         "{streamer}: {count} sent within {} s by all together, {budget:.1} allowed",
-                        cold.window
+                        cold.window_s
                     )
                 };
-                let lines: Vec<&Line> = [*line].into_iter().chain(window.iter().copied()).collect();
+                let lines: Vec<&TapRecord> = [*line].into_iter().chain(window.iter().copied()).collect();
                 book.holds(window.len() as f64 <= budget + 1.0, what, &lines);
             }
         }
@@ -510,11 +531,13 @@
     fn one_heir(&self) -> Rule {
         let mut book = Book::new("one heir a number");
         // Who stands for a number, from when, and until when it does by its last word.
-        let mut stands: BTreeMap<u32, Vec<(usize, f64, f64, &Line)>> = BTreeMap::new();
+        let mut stands: BTreeMap<u32, Vec<(usize, f64, f64, &TapRecord)>> = BTreeMap::new();
         for line in self.lines {
-            let (of, numbers, until) = match &line.what {
-                What::Stands { numbers, until } => (controller(&line.end), &numbers[..], *until),
-                What::Killed { controller } => (Some(*controller), &[][..], line.at),
+            let (of, numbers, until) = match &line.event {
+                TapEvent::TurnsCovered { controllers: numbers, until } => {
+                    (controller(&line.endpoint), &numbers[..], *until)
+                }
+                TapEvent::Killed { controller } => (Some(*controller), &[][..], line.at),
                 _ => continue,
             };
             let Some(of) = of else { continue };
@@ -536,7 +559,7 @@
                 let both = spans[..i]
                     .iter()
                     .find(|span| span.0 != later.0 && span.2.min(later.2) > span.1.max(later.1) + NEAR);
-                let lines: Vec<&Line> = both.into_iter().map(|span| span.3).chain([later.3]).collect();
+                let lines: Vec<&TapRecord> = both.into_iter().map(|span| span.3).chain([later.3]).collect();
                 book.holds(both.is_none(), || format!("two stand for controller {number}"), &lines);
             }
         }
@@ -544,8 +567,8 @@
     }
 
     /// Whether the controller that sent this set-up knew of the streamer's start.
-    fn knew(&self, got: &Line, name: &str, started: f64) -> bool {
-        let What::Got { controller: of, .. } = &got.what else { return false };
+    fn knew(&self, got: &TapRecord, name: &str, started: f64) -> bool {
+        let TapEvent::AttemptReceived { controller: of, .. } = &got.event else { return false };
         self.knew_start(*of, name, started, got.at)
     }
 
@@ -555,8 +578,8 @@
         let told = self.told(of, name, by).1;
         let up = self.up.get(&of).into_iter().flatten().any(|up| *up >= started && *up <= by);
         let witness = self.lines.iter().any(|line| {
-            let lost = matches!(&line.what, What::LinkLost { streamer } if streamer == name);
-            lost && controller(&line.end) == Some(of) && (started - 60.0..=by).contains(&line.at)
+            let lost = matches!(&line.event, TapEvent::LinkLost { streamer } if streamer == name);
+            lost && controller(&line.endpoint) == Some(of) && (started - 60.0..=by).contains(&line.at)
         });
         up || witness || told.is_some_and(|told| told >= started - NEAR)
     }
@@ -564,30 +587,34 @@
     /// 5: never under a lane's floor, and never more subscriptions of one title and lane than seats.
     fn terms_kept(&self) -> Rule {
         let mut book = Book::new("terms kept");
-        let floor = |lane: &str| self.lane(lane).map_or(0, |lane| lane.floor);
+        let floor = |lane: &str| self.lane(lane).map_or(0, |lane| lane.min_rung);
         /// Seats taken and given back, with the line of the set-up.
-        type Seats<'a> = Vec<(f64, i64, &'a Line)>;
+        type Seats<'a> = Vec<(f64, i64, &'a TapRecord)>;
         let mut seats: BTreeMap<(usize, &str, &str), Seats> = BTreeMap::new();
         for line in self.lines {
-            let (lane, rung) = match &line.what {
-                What::Got { lane, rung, .. } | What::Rung { lane, rung, .. } => (lane, *rung),
+            let (lane, rung) = match &line.event {
+                TapEvent::AttemptReceived { class: lane, rung, .. }
+                | TapEvent::RungChanged { class: lane, rung, .. } => (lane, *rung),
                 _ => continue,
             };
             book.holds(rung >= floor(lane), || format!("rung {rung} is under the floor of {lane}"), &[line]);
         }
         for ask in self.asks.values() {
             for line in &ask.sent {
-                let What::Sent { shot, streamer, lane, title, .. } = &line.what else { continue };
-                let (Some(of), true) =
-                    (controller(&line.end), self.lane(lane).is_some_and(|lane| lane.seats > 0))
+                let TapEvent::AttemptSent { attempt: shot, streamer, class: lane, title, .. } = &line.event
                 else {
                     continue;
                 };
+                let (Some(of), true) = (
+                    controller(&line.endpoint),
+                    self.lane(lane).is_some_and(|lane| lane.max_sessions_per_title > 0),
+                ) else {
+                    continue;
+                };
                 let (over, _) = self.over(ask, *shot, streamer, line.at);
-                let done = ask
-                    .done
-                    .iter()
-                    .find(|line| matches!(&line.what, What::Done { shot: n, .. } if n == shot));
+                let done = ask.done.iter().find(
+                    |line| matches!(&line.event, TapEvent::AttemptEnded { attempt: n, .. } if n == shot),
+                );
                 let killed = self.killed.get(&of).into_iter().flatten().find(|at| **at >= line.at).copied();
                 let ends = [over, done.map(|done| done.at), killed].into_iter().flatten().reduce(f64::min);
                 let taken = seats.entry((of, lane, title)).or_default();
@@ -598,7 +625,7 @@
         for ((of, lane, title), mut taken) in seats {
             // At one moment a seat is given back before it is taken.
             taken.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-            let most = self.lane(lane).map_or(0, |lane| lane.seats) as i64;
+            let most = self.lane(lane).map_or(0, |lane| lane.max_sessions_per_title) as i64;
             let mut held = 0;
             for (_, change, line) in taken {
                 held += change;
@@ -615,14 +642,16 @@
     /// 6: in any window, a controller's shots beyond each subscription's first stay within the ration.
     fn rationed(&self) -> Rule {
         let mut book = Book::new("shots rationed");
-        let Some(ration) = &self.terms.ration else { return book.rule };
+        let Some(ration) = &self.terms.retry_budget else { return book.rule };
         let mut taken: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
-        let mut further: BTreeMap<usize, Vec<&Line>> = BTreeMap::new();
+        let mut further: BTreeMap<usize, Vec<&TapRecord>> = BTreeMap::new();
         for line in self.lines {
-            let Some(of) = controller(&line.end) else { continue };
-            match &line.what {
-                What::Asked { .. } => taken.entry(of).or_default().push(line.at),
-                What::Sent { shot, .. } if *shot > 0 => further.entry(of).or_default().push(line),
+            let Some(of) = controller(&line.endpoint) else { continue };
+            match &line.event {
+                TapEvent::RequestReceived { .. } => taken.entry(of).or_default().push(line.at),
+                TapEvent::AttemptSent { attempt: shot, .. } if *shot > 0 => {
+                    further.entry(of).or_default().push(line)
+                }
                 _ => {}
             }
         }
@@ -632,10 +661,10 @@
             let ups = self.up.get(&of).cloned().unwrap_or_default();
             for (i, line) in lines.iter().enumerate() {
                 let since = ups.iter().filter(|up| **up <= line.at).fold(0.0, |a: f64, b| a.max(*b));
-                let from = (line.at - ration.window).max(since);
+                let from = (line.at - ration.window_s).max(since);
                 let made = lines[..=i].iter().filter(|other| other.at > from + NEAR).count();
                 let took = taken.iter().filter(|at| **at >= from - NEAR && **at <= line.at + NEAR).count();
-                let most = ration.floor + ration.share * took as f64;
+                let most = ration.min_retries + ration.request_share * took as f64;
                 let what = || format!("controller {of}: {made} further shots, {took} subscriptions taken");
                 book.holds(made as f64 <= most, what, &[line]);
             }
@@ -648,16 +677,19 @@
         let mut sums: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
         let mut seconds: BTreeMap<i64, (f64, f64)> = BTreeMap::new();
         // A viewer's later tries ask for what its first one asked for already.
-        let mut firsts: BTreeMap<&str, &Line> = BTreeMap::new();
+        let mut firsts: BTreeMap<&str, &TapRecord> = BTreeMap::new();
         for line in self.lines {
-            if let What::Ask { viewer, .. } = &line.what {
+            if let TapEvent::RequestSent { viewer, .. } = &line.event {
                 firsts.entry(viewer).or_insert(line);
             }
         }
         for line in firsts.values() {
-            let What::Ask { lane, top, wanted, .. } = &line.what else { continue };
+            let TapEvent::RequestSent { class: lane, max_rung: top, wanted_s: wanted, .. } = &line.event
+            else {
+                continue;
+            };
             let gain = self.lane(lane).map_or(1.0, |lane| lane.gain);
-            let worth = gain * self.terms.gain.get(*top).copied().unwrap_or(1.0);
+            let worth = gain * self.terms.gain_by_rung.get(*top).copied().unwrap_or(1.0);
             sums.entry(lane).or_default().1 += worth * wanted;
             let mut at = line.at;
             let end = line.at + wanted;
@@ -669,16 +701,17 @@
         }
         for ask in self.asks.values() {
             let Some(line) = ask.ask else { continue };
-            let What::Ask { lane, goal, .. } = &line.what else { continue };
-            let plays =
-                ask.answers.iter().find(|line| matches!(&line.what, What::Answer { kind: Kind::Plays, .. }));
+            let TapEvent::RequestSent { class: lane, latency_goal: goal, .. } = &line.event else { continue };
+            let plays = ask.answers.iter().find(|line| {
+                matches!(&line.event, TapEvent::ResponseReceived { kind: ResponseKind::Plays, .. })
+            });
             if plays.is_none_or(|plays| plays.at > *goal) {
                 continue;
             }
             let gain = self.lane(lane).map_or(1.0, |lane| lane.gain);
             for line in &ask.given {
-                let What::Given { rung, seconds: lasted, share, .. } = &line.what else { continue };
-                let rung = self.terms.gain.get(*rung).copied().unwrap_or(0.0);
+                let TapEvent::Delivered { rung, seconds: lasted, share, .. } = &line.event else { continue };
+                let rung = self.terms.gain_by_rung.get(*rung).copied().unwrap_or(0.0);
                 let lost = self.terms.shortfall_cost * (0.98 - share).max(0.0);
                 let earned = gain * rung * lasted * (1.0 - lost).max(0.0);
                 sums.entry(lane).or_default().0 += earned;
--- a/crates/lemontide-standin/src/load.rs
+++ b/crates/lemontide-standin/src/load.rs
@@ -6,8 +6,8 @@
 use hyper::client::conn::http1::{handshake, SendRequest};
 use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use lemontide_wire::play::{Answer, Wish};
-use lemontide_wire::tap::{Kind, Tap, What};
+use lemontide_wire::play::{PlayRequest, PlayResponse};
+use lemontide_wire::tap::{ResponseKind, Tap, TapEvent};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::net::SocketAddr;
@@ -58,12 +58,12 @@
         self.plays + self.turned_back + self.scrapped + self.not_taken
     }
 
-    fn count(&mut self, answer: Option<&Answer>, after: Duration) {
+    fn count(&mut self, answer: Option<&PlayResponse>, after: Duration) {
         match answer {
-            Some(Answer::Plays { .. }) => self.plays += 1,
-            Some(Answer::TurnedBack { .. }) => self.turned_back += 1,
-            Some(Answer::Scrapped { .. }) => self.scrapped += 1,
-            Some(Answer::NotTaken { .. }) => self.not_taken += 1,
+            Some(PlayResponse::Plays { .. }) => self.plays += 1,
+            Some(PlayResponse::Rejected { .. }) => self.turned_back += 1,
+            Some(PlayResponse::Failed { .. }) => self.scrapped += 1,
+            Some(PlayResponse::NotAccepted { .. }) => self.not_taken += 1,
             None => self.missing += 1,
         }
         self.latency_us.saturating_record((after.as_micros() as u64).max(1));
@@ -115,12 +115,12 @@
 }
 
 /// One wish, and its end where the load leaves at once. The answer, and whether the line is still good.
-async fn wish(line: &mut Line, ask: &Ask, number: usize) -> Option<Answer> {
-    let wish = Wish {
+async fn wish(line: &mut Line, ask: &Ask, number: usize) -> Option<PlayResponse> {
+    let wish = PlayRequest {
         title: ask.titles[number % ask.titles.len()].clone(),
-        lane: ask.lane.clone(),
-        ask: format!("l{number}"),
-        ..Wish::default()
+        class: ask.lane.clone(),
+        request_id: format!("l{number}"),
+        ..PlayRequest::default()
     };
     let body = serde_json::to_vec(&wish).ok()?;
     let (_, bytes) = call(line, Method::POST, "/v1/subscriptions", body).await?;
@@ -155,8 +155,12 @@
                 let answer = wish(open, &ask, number).await;
                 came.count(answer.as_ref(), since.elapsed());
                 match answer {
-                    Some(Answer::Plays { subscription, .. }) if ask.leave => leave(open, subscription).await,
-                    Some(Answer::Plays { subscription, .. }) => came.playing.push(subscription),
+                    Some(PlayResponse::Plays { session: subscription, .. }) if ask.leave => {
+                        leave(open, subscription).await
+                    }
+                    Some(PlayResponse::Plays { session: subscription, .. }) => {
+                        came.playing.push(subscription)
+                    }
                     Some(_) => {}
                     None => line = connect(ask.to).await,
                 }
@@ -200,8 +204,10 @@
             let answer = wish(&mut line, &ask, number).await;
             came.count(answer.as_ref(), due.elapsed());
             match answer {
-                Some(Answer::Plays { subscription, .. }) if ask.leave => leave(&mut line, subscription).await,
-                Some(Answer::Plays { subscription, .. }) => came.playing.push(subscription),
+                Some(PlayResponse::Plays { session: subscription, .. }) if ask.leave => {
+                    leave(&mut line, subscription).await
+                }
+                Some(PlayResponse::Plays { session: subscription, .. }) => came.playing.push(subscription),
                 _ => {}
             }
             if answer.is_some() {
@@ -318,18 +324,18 @@
         let at = due.saturating_duration_since(self.began).as_secs_f64();
         if let Some((tap, controller)) = &mix.tap {
             let now = tap.now();
-            tap.write_at(
+            tap.record_at(
                 now,
-                What::Ask {
-                    ask: ask.clone(),
+                TapEvent::RequestSent {
+                    request_id: ask.clone(),
                     viewer: format!("v{number}"),
                     controller: *controller,
-                    lane: mix.lanes[lane].name.clone(),
+                    class: mix.lanes[lane].name.clone(),
                     title: title.clone(),
-                    goal: now + mix.goal_s,
-                    cut_off: now + mix.cut_off_s,
-                    top: 0,
-                    wanted: 1.0,
+                    latency_goal: now + mix.goal_s,
+                    deadline: now + mix.cut_off_s,
+                    max_rung: 0,
+                    wanted_s: 1.0,
                 },
             );
         }
@@ -340,51 +346,52 @@
                 Some(line) if !line.is_closed() => line,
                 _ => connect(mix.to).await?,
             };
-            let wish = Wish {
+            let wish = PlayRequest {
                 title: title.clone(),
-                lane: mix.lanes[lane].name.clone(),
-                ask: ask.clone(),
-                returned: again > 0,
+                class: mix.lanes[lane].name.clone(),
+                request_id: ask.clone(),
+                is_retry: again > 0,
                 give_up_in_s: Some(until.saturating_duration_since(Instant::now()).as_secs_f64()),
-                ..Wish::default()
+                ..PlayRequest::default()
             };
             let body = serde_json::to_vec(&wish).ok()?;
             let mut request =
                 Request::builder().method(Method::POST).uri("/v1/subscriptions").header("host", "x");
             if mix.hinted {
                 let returned = if again > 0 { ", returned" } else { "" };
-                request = request.header(lemontide_wire::hint::NAME, format!("lane={}{returned}", wish.lane));
+                request = request
+                    .header(lemontide_wire::hint::HEADER_NAME, format!("lane={}{returned}", wish.class));
             }
             let request = request.body(Full::new(Bytes::from(body))).ok()?;
             line.ready().await.ok()?;
             let response = line.send_request(request).await.ok()?;
             let bytes = response.into_body().collect().await.ok()?.to_bytes();
-            Some((serde_json::from_slice::<Answer>(&bytes).ok()?, line))
+            Some((serde_json::from_slice::<PlayResponse>(&bytes).ok()?, line))
         };
         let came = tokio::time::timeout_at(until, exchange).await;
         let took = due.elapsed().as_secs_f64();
         let (outcome, kind, wait, line) = match came {
             Err(_) => (Outcome::Late, None, None, None),
-            Ok(None) => (Outcome::Broken, Some(Kind::None), None, None),
+            Ok(None) => (Outcome::Broken, Some(ResponseKind::NoResponse), None, None),
             Ok(Some((answer, line))) => match answer {
-                Answer::Plays { subscription, .. } => {
-                    (Outcome::Plays, Some(Kind::Plays), None, Some((line, Some(subscription))))
+                PlayResponse::Plays { session: subscription, .. } => {
+                    (Outcome::Plays, Some(ResponseKind::Plays), None, Some((line, Some(subscription))))
                 }
-                Answer::TurnedBack { retry_after_s, .. } => {
-                    (Outcome::TurnedBack, Some(Kind::TurnedBack), retry_after_s, Some((line, None)))
+                PlayResponse::Rejected { retry_after_s, .. } => {
+                    (Outcome::TurnedBack, Some(ResponseKind::Rejected), retry_after_s, Some((line, None)))
                 }
-                Answer::NotTaken { retry_after_s, .. } => {
-                    (Outcome::NotTaken, Some(Kind::NotTaken), retry_after_s, Some((line, None)))
+                PlayResponse::NotAccepted { retry_after_s, .. } => {
+                    (Outcome::NotTaken, Some(ResponseKind::NotAccepted), retry_after_s, Some((line, None)))
                 }
-                Answer::Scrapped { .. } => {
-                    (Outcome::Scrapped, Some(Kind::Scrapped), None, Some((line, None)))
+                PlayResponse::Failed { .. } => {
+                    (Outcome::Scrapped, Some(ResponseKind::Failed), None, Some((line, None)))
                 }
             },
         };
         if let Some((tap, _)) = &mix.tap {
             match kind {
-                Some(kind) => tap.write(What::Answer { ask, kind }),
-                None => tap.write(What::Left { ask }),
+                Some(kind) => tap.record(TapEvent::ResponseReceived { request_id: ask, kind }),
+                None => tap.record(TapEvent::ViewerLeft { request_id: ask }),
             }
         }
         Player::keep(&self.records).push(Record { due: at, lane, again, outcome, took });
--- a/crates/lemontide-standin/src/model.rs
+++ b/crates/lemontide-standin/src/model.rs
@@ -3,9 +3,9 @@
 //! in and comes out.
 
 use crate::day::{Day, What};
-use lemontide_wire::cmsd::Dynamic;
-use lemontide_wire::link::{Ended, Fullness, How, Plays, RungInForce, Short, Told};
-use lemontide_wire::tap::{self, What as Seen};
+use lemontide_wire::cmsd::CmsdDynamic;
+use lemontide_wire::link::{Ended, Fullness, How, Plays, RungInForce, Short, StreamerMessage};
+use lemontide_wire::tap::{self, TapEvent};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
@@ -27,7 +27,7 @@
 pub enum Out {
     Say {
         conn: Conn,
-        told: Told,
+        told: StreamerMessage,
     },
     /// The connection breaks.
     Cut {
@@ -35,7 +35,7 @@
     },
     Tap {
         streamer: usize,
-        seen: Seen,
+        seen: TapEvent,
     },
 }
 
@@ -112,7 +112,7 @@
     lanes: BTreeMap<String, f64>,
     day: Day,
     wanted: BTreeMap<String, f64>,
-    later: Vec<(f64, Conn, Told)>,
+    later: Vec<(f64, Conn, StreamerMessage)>,
     late_by: f64,
     chance: StdRng,
     at: f64,
@@ -185,7 +185,7 @@
         self.wanted.insert(ask.to_owned(), seconds);
     }
 
-    fn tap(&mut self, streamer: usize, seen: Seen) {
+    fn tap(&mut self, streamer: usize, seen: TapEvent) {
         self.out.push(Out::Tap { streamer, seen });
     }
 
@@ -208,7 +208,7 @@
         machine.setting_up.retain(|set_up| set_up.key.0 != conn);
         let gone: Vec<Key> = machine.streams.keys().filter(|key| key.0 == conn).copied().collect();
         for key in gone {
-            self.finish(at, key, tap::How::Broken, None);
+            self.finish(at, key, tap::TapOutcome::ConnectionLost, None);
         }
         self.later.retain(|(_, of, _)| *of != conn);
     }
@@ -221,12 +221,12 @@
         let (ask, lane, shot) = (set_up.ask, set_up.lane, set_up.shot);
         self.tap(
             at,
-            Seen::Got {
+            TapEvent::AttemptReceived {
                 streamer,
                 controller,
-                ask: ask.clone(),
-                shot,
-                lane: lane.clone(),
+                request_id: ask.clone(),
+                attempt: shot,
+                class: lane.clone(),
                 title: set_up.title,
                 rung,
             },
@@ -246,13 +246,20 @@
                 &ask,
                 shot,
                 Ended { id, shot, how, cmsd_dynamic },
-                tap::How::SentBack,
+                tap::TapOutcome::Refused,
             );
         }
         if self.chance.random::<f64>() < self.machines[at].errors {
             let cmsd_dynamic = self.report(at, true);
             let how = How::Errored.into();
-            return self.over(at, conn, &ask, shot, Ended { id, shot, how, cmsd_dynamic }, tap::How::Errored);
+            return self.over(
+                at,
+                conn,
+                &ask,
+                shot,
+                Ended { id, shot, how, cmsd_dynamic },
+                tap::TapOutcome::Errored,
+            );
         }
         let mean = self.lanes.get(&lane).copied().unwrap_or(0.05);
         let slow = self.ageing(now, at) / self.warmth(now, at).max(0.1);
@@ -268,10 +275,13 @@
         }
     }
 
-    fn over(&mut self, at: usize, conn: Conn, ask: &str, shot: u32, ended: Ended, how: tap::How) {
+    fn over(&mut self, at: usize, conn: Conn, ask: &str, shot: u32, ended: Ended, how: tap::TapOutcome) {
         let streamer = self.machines[at].name.clone();
-        self.tap(at, Seen::Done { streamer, ask: ask.to_owned(), shot, how });
-        self.out.push(Out::Say { conn, told: Told::Ended(ended) });
+        self.tap(
+            at,
+            TapEvent::AttemptEnded { streamer, request_id: ask.to_owned(), attempt: shot, outcome: how },
+        );
+        self.out.push(Out::Say { conn, told: StreamerMessage::Ended(ended) });
     }
 
     pub fn set_rung(&mut self, at: usize, conn: Conn, id: u32, rung: usize, rate_kb: f64) {
@@ -279,8 +289,8 @@
         (stream.rung, stream.rate_kb) = (rung, rate_kb);
         let (ask, lane) = (stream.ask.clone(), stream.lane.clone());
         let streamer = self.machines[at].name.clone();
-        self.tap(at, Seen::Rung { streamer, ask, lane, rung });
-        self.out.push(Out::Say { conn, told: Told::Rung(RungInForce { id, rung: rung as u32 }) });
+        self.tap(at, TapEvent::RungChanged { streamer, request_id: ask, class: lane, rung });
+        self.out.push(Out::Say { conn, told: StreamerMessage::Rung(RungInForce { id, rung: rung as u32 }) });
     }
 
     pub fn cancel(&mut self, at: usize, conn: Conn, id: u32, shot: u32) {
@@ -292,9 +302,9 @@
         let how = How::Cancelled.into();
         let ended = Ended { id, shot, how, cmsd_dynamic: self.report(at, true) };
         if let Some(set_up) = waiting {
-            self.over(at, conn, &set_up.ask, shot, ended, tap::How::Cancelled);
+            self.over(at, conn, &set_up.ask, shot, ended, tap::TapOutcome::Cancelled);
         } else if streams {
-            self.finish(at, key, tap::How::Cancelled, Some(ended));
+            self.finish(at, key, tap::TapOutcome::Cancelled, Some(ended));
         }
     }
 
@@ -381,7 +391,7 @@
         machine.cores = [now; CORES];
         machine.got.clear();
         let streamer = machine.name.clone();
-        self.tap(at, Seen::Born { streamer, started: now });
+        self.tap(at, TapEvent::StreamerStarted { streamer, started_at: now });
     }
 
     fn clear(&mut self, at: usize) {
@@ -390,7 +400,7 @@
         let conns: Vec<Conn> = machine.conns.keys().copied().collect();
         let streams: Vec<Key> = machine.streams.keys().copied().collect();
         for key in streams {
-            self.finish(at, key, tap::How::Broken, None);
+            self.finish(at, key, tap::TapOutcome::ConnectionLost, None);
         }
         for conn in conns {
             self.out.push(Out::Cut { conn });
@@ -413,7 +423,7 @@
         if falls {
             machine.dead = true;
             let streamer = machine.name.clone();
-            self.tap(at, Seen::Fell { streamer });
+            self.tap(at, TapEvent::StreamerCrashed { streamer });
             self.kill(at);
         }
         falls
@@ -451,24 +461,27 @@
         let now = self.at;
         let (asked, uplink) = self.uplink(self.machines[at].rack);
         let machine = &self.machines[at];
-        let dynamic = Dynamic {
+        let dynamic = CmsdDynamic {
             server: machine.name.clone(),
             streams: (streams && self.day.reports.streams)
                 .then_some((machine.streams.len() + machine.setting_up.len()) as f64),
-            link: Some(self.asked(at) / self.link(now, at).max(1e-3) * noisy),
-            rack: self.day.reports.rack.then_some(asked / uplink.max(1e-3) * noisy),
-            ..Dynamic::default()
+            link_utilization: Some(self.asked(at) / self.link(now, at).max(1e-3) * noisy),
+            uplink_utilization: self.day.reports.rack.then_some(asked / uplink.max(1e-3) * noisy),
+            ..CmsdDynamic::default()
         };
-        dynamic.write()
+        dynamic.to_header_value()
     }
 
-    fn finish(&mut self, at: usize, key: Key, how: tap::How, ended: Option<Ended>) {
+    fn finish(&mut self, at: usize, key: Key, how: tap::TapOutcome, ended: Option<Ended>) {
         let Some(stream) = self.machines[at].streams.remove(&key) else { return };
         let streamer = self.machines[at].name.clone();
         self.given(at, &streamer, &stream);
-        self.tap(at, Seen::Done { streamer, ask: stream.ask, shot: stream.shot, how });
+        self.tap(
+            at,
+            TapEvent::AttemptEnded { streamer, request_id: stream.ask, attempt: stream.shot, outcome: how },
+        );
         if let Some(ended) = ended {
-            self.out.push(Out::Say { conn: key.0, told: Told::Ended(ended) });
+            self.out.push(Out::Say { conn: key.0, told: StreamerMessage::Ended(ended) });
         }
     }
 
@@ -477,7 +490,7 @@
         if seconds > 0.0 {
             let (streamer, ask) = (streamer.to_owned(), stream.ask.clone());
             let (rung, share) = (stream.rung, weighed / seconds);
-            self.tap(at, Seen::Given { streamer, ask, rung, seconds, share });
+            self.tap(at, TapEvent::Delivered { streamer, request_id: ask, rung, seconds, share });
         }
     }
 
@@ -524,10 +537,10 @@
             };
             self.machines[at].streams.insert(set_up.key, stream);
             let streamer = self.machines[at].name.clone();
-            self.tap(at, Seen::Played { streamer, ask: set_up.ask, shot: set_up.shot });
+            self.tap(at, TapEvent::PlayStarted { streamer, request_id: set_up.ask, attempt: set_up.shot });
             if !lost {
                 let cmsd_dynamic = self.report(at, false);
-                let told = Told::Plays(Plays { id, shot: set_up.shot, cmsd_dynamic });
+                let told = StreamerMessage::Plays(Plays { id, shot: set_up.shot, cmsd_dynamic });
                 self.out.push(Out::Say { conn, told });
             } else if self.machines[at].lost_resets {
                 self.out.push(Out::Cut { conn });
@@ -563,7 +576,7 @@
         }
         for (key, how) in over {
             let shot = machine_shot(&self.machines[at], key);
-            let seen = if how == How::Served { tap::How::Served } else { tap::How::Cancelled };
+            let seen = if how == How::Served { tap::TapOutcome::Served } else { tap::TapOutcome::Cancelled };
             let ended = Ended { id: key.1, shot, how: how.into(), cmsd_dynamic: self.report(at, true) };
             self.finish(at, key, seen, Some(ended));
         }
@@ -598,12 +611,12 @@
             let short = smooth < 0.98;
             if (short || link.was_short) && now >= link.next_short {
                 (link.next_short, link.was_short) = (now + 1.0, short);
-                self.later.push((late, conn, Told::Short(Short { id, share: smooth })));
+                self.later.push((late, conn, StreamerMessage::Short(Short { id, share: smooth })));
             }
             if now >= link.next_full {
                 link.next_full = now + every;
                 let cmsd_dynamic = self.report(at, false);
-                self.later.push((late, conn, Told::Fullness(Fullness { id, cmsd_dynamic })));
+                self.later.push((late, conn, StreamerMessage::Fullness(Fullness { id, cmsd_dynamic })));
             }
         }
     }
--- a/crates/lemontide-standin/src/player.rs
+++ b/crates/lemontide-standin/src/player.rs
@@ -13,8 +13,8 @@
 use lemontide_front::settings::Repeat;
 use lemontide_wire::clock::Clock;
 use lemontide_wire::cmcd::Cmcd;
-use lemontide_wire::play::{Answer, News, Over, Wish};
-use lemontide_wire::tap::{Kind, Tap, What as Seen};
+use lemontide_wire::play::{EndReason, PlayRequest, PlayResponse, SessionEvent};
+use lemontide_wire::tap::{ResponseKind, Tap, TapEvent};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::net::SocketAddr;
@@ -190,34 +190,34 @@
         let now = self.clock.now();
         let cut_off = now + lane.lane.cut_off_s;
         self.fleet.with(|model, _| model.wants(&ask, left));
-        self.tap.write_at(
+        self.tap.record_at(
             now,
-            Seen::Ask {
-                ask: ask.clone(),
+            TapEvent::RequestSent {
+                request_id: ask.clone(),
                 viewer: format!("v{}", viewer.number),
                 controller,
-                lane: lane.lane.name.clone(),
+                class: lane.lane.name.clone(),
                 title: viewer.title.clone(),
-                goal: now + lane.lane.latency_goal_s,
-                cut_off,
-                top: viewer.top,
-                wanted: left,
+                latency_goal: now + lane.lane.latency_goal_s,
+                deadline: cut_off,
+                max_rung: viewer.top,
+                wanted_s: left,
             },
         );
         let address = self.controllers.read().unwrap_or_else(PoisonError::into_inner)[controller];
         let Some(address) = address else {
-            self.tap.write(Seen::Answer { ask, kind: Kind::None });
+            self.tap.record(TapEvent::ResponseReceived { request_id: ask, kind: ResponseKind::NoResponse });
             return Ended::Again(0.0);
         };
-        let wish = Wish {
+        let wish = PlayRequest {
             title: viewer.title.clone(),
-            lane: lane.lane.name.clone(),
+            class: lane.lane.name.clone(),
             tenant: viewer.tenant.map_or_else(String::new, |t| self.day.tenants[t].name.clone()),
-            ask: ask.clone(),
+            request_id: ask.clone(),
             give_up_in_s: Some(lane.lane.cut_off_s),
-            top: Some(viewer.top),
-            returned: number > 0,
-            length_s: Some(left),
+            max_rung: Some(viewer.top),
+            is_retry: number > 0,
+            expected_duration_s: Some(left),
             cmcd: None,
         };
         let patience = if viewer.impatient {
@@ -232,44 +232,51 @@
             Habit::ClosesHalf => timeout_at(wait, raw::post_and_close_half(address, &wish)).await,
             Habit::Resets => {
                 let _ = timeout_at(wait, raw::post_and_reset(address, &wish, chance.random())).await;
-                self.tap.write(Seen::Left { ask });
+                self.tap.record(TapEvent::ViewerLeft { request_id: ask });
                 return Ended::Done;
             }
         };
         let Ok(answer) = answer else {
-            self.tap.write(Seen::Left { ask });
+            self.tap.record(TapEvent::ViewerLeft { request_id: ask });
             return Ended::Done;
         };
         let said = answer.ok();
         let kind = match &said {
-            Some(Answer::Plays { .. }) => Kind::Plays,
-            Some(Answer::TurnedBack { .. }) => Kind::TurnedBack,
-            Some(Answer::Scrapped { .. }) => Kind::Scrapped,
-            Some(Answer::NotTaken { .. }) => Kind::NotTaken,
-            None => Kind::None,
+            Some(PlayResponse::Plays { .. }) => ResponseKind::Plays,
+            Some(PlayResponse::Rejected { .. }) => ResponseKind::Rejected,
+            Some(PlayResponse::Failed { .. }) => ResponseKind::Failed,
+            Some(PlayResponse::NotAccepted { .. }) => ResponseKind::NotAccepted,
+            None => ResponseKind::NoResponse,
         };
         let count = self.answers.fetch_add(1, Ordering::Relaxed) + 1;
         if self.fault != Some(Fault::Swallows) || !count.is_multiple_of(FAULT_EVERY) {
-            self.tap.write(Seen::Answer { ask, kind });
+            self.tap.record(TapEvent::ResponseReceived { request_id: ask, kind });
         }
         match said {
-            Some(Answer::Plays { subscription, .. }) => {
+            Some(PlayResponse::Plays { session: subscription, .. }) => {
                 let leaves = viewer.leaves_early.then_some(left / 2.0);
                 self.play(address, subscription, left, leaves).await
             }
-            Some(Answer::TurnedBack { retry_after_s, .. } | Answer::NotTaken { retry_after_s, .. }) => {
-                Ended::Again(retry_after_s.unwrap_or(0.0))
-            }
-            Some(Answer::Scrapped { .. }) if lane.lane.repeat == Repeat::Paid => Ended::Done,
-            Some(Answer::Scrapped { .. }) | None => Ended::Again(0.0),
+            Some(
+                PlayResponse::Rejected { retry_after_s, .. }
+                | PlayResponse::NotAccepted { retry_after_s, .. },
+            ) => Ended::Again(retry_after_s.unwrap_or(0.0)),
+            Some(PlayResponse::Failed { .. }) if lane.lane.repeat == Repeat::Paid => Ended::Done,
+            Some(PlayResponse::Failed { .. }) | None => Ended::Again(0.0),
         }
     }
 
-    async fn post(&self, to: SocketAddr, viewer: &Viewer, wish: &Wish) -> Result<Answer, BoxError> {
-        let hints = Cmcd { session: Some(format!("v{}", viewer.number)), startup: true, ..Cmcd::default() };
+    async fn post(
+        &self,
+        to: SocketAddr,
+        viewer: &Viewer,
+        wish: &PlayRequest,
+    ) -> Result<PlayResponse, BoxError> {
+        let hints =
+            Cmcd { session_id: Some(format!("v{}", viewer.number)), is_startup: true, ..Cmcd::default() };
         let mut request =
             Request::builder().method(Method::POST).uri(format!("http://{to}/v1/subscriptions"));
-        for (name, value) in hints.fields() {
+        for (name, value) in hints.to_headers() {
             request = request.header(name, value);
         }
         let request = request.body(Full::new(Bytes::from(serde_json::to_vec(wish)?)))?;
@@ -296,7 +303,7 @@
                 text.extend_from_slice(frame.data_ref().map_or(&[][..], |data| data));
                 while let Some(end) = text.iter().position(|byte| *byte == b'\n') {
                     let line: Vec<u8> = text.drain(..=end).collect();
-                    if let Ok(News::Over { why }) = serde_json::from_slice(&line) {
+                    if let Ok(SessionEvent::Ended { reason: why }) = serde_json::from_slice(&line) {
                         return Some(why);
                     }
                 }
@@ -306,8 +313,10 @@
         };
         let most = Duration::from_secs_f64(leaves.unwrap_or(left + 10.0));
         match timeout(most, listens).await {
-            Ok(Some(Over::Served | Over::Left)) => Ended::Done,
-            Ok(Some(Over::Broken | Over::Moved | Over::Stopped) | None) => Ended::Again(0.0),
+            Ok(Some(EndReason::Served | EndReason::ViewerLeft)) => Ended::Done,
+            Ok(Some(EndReason::ConnectionLost | EndReason::Moved | EndReason::Stopped) | None) => {
+                Ended::Again(0.0)
+            }
             Err(_) => {
                 let _ = timeout(CONNECT, self.call(to, Method::DELETE, &path)).await;
                 Ended::Done
--- a/crates/lemontide-standin/src/relay.rs
+++ b/crates/lemontide-standin/src/relay.rs
@@ -6,7 +6,7 @@
 //! controller has an address of its own for each streamer.
 
 use crate::day::Harm;
-use lemontide_wire::tap::{Tap, What};
+use lemontide_wire::tap::{Tap, TapEvent};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -153,13 +153,13 @@
     /// What was done, a line for each pair that had traffic.
     pub fn tell(&self, tap: &Tap) {
         for ((from, to), count) in &lock(&self.shared.script).counts {
-            tap.write(What::Relayed {
+            tap.record(TapEvent::Relayed {
                 from: from.name(),
                 to: to.name(),
                 passed: count.passed,
                 dropped: count.dropped,
                 delayed: count.delayed,
-                doubled: count.doubled,
+                duplicated: count.doubled,
             });
         }
     }
@@ -318,10 +318,12 @@
         assert!(both.iter().all(|one| one.as_ref().is_some_and(|(bytes, _)| bytes == b"twice")));
         let folder = tempfile::tempdir().expect("a folder");
         let file = folder.path().join("relay.tap");
-        relay.tell(&Tap::to(&file, Clock::start(), "relay").expect("a file"));
-        let lines = lemontide_wire::tap::read(&file).expect("it can be read");
-        let of_first = lines.iter().find_map(|line| match &line.what {
-            What::Relayed { from, passed, dropped, doubled, .. } if from == "controller:0" => {
+        relay.tell(&Tap::open(&file, Clock::start(), "relay").expect("a file"));
+        let lines = lemontide_wire::tap::read_records(&file).expect("it can be read");
+        let of_first = lines.iter().find_map(|line| match &line.event {
+            TapEvent::Relayed { from, passed, dropped, duplicated: doubled, .. }
+                if from == "controller:0" =>
+            {
                 Some((*passed, *dropped, *doubled))
             }
             _ => None,
--- a/crates/lemontide-standin/src/run.rs
+++ b/crates/lemontide-standin/src/run.rs
@@ -7,8 +7,8 @@
 use crate::relay::Relay;
 use crate::streamer::{Fault, Fleet};
 use lemontide_wire::clock::Clock;
-use lemontide_wire::list::{Entry, List, Stage};
-use lemontide_wire::tap::{Tap, What as Seen};
+use lemontide_wire::list::{ListEntry, StreamerList, StreamerState};
+use lemontide_wire::tap::{Tap, TapEvent};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde::Deserialize;
@@ -61,7 +61,7 @@
     Die(usize),
     Born(usize),
     /// The list learns that a streamer is at this stage.
-    Stage(usize, Stage),
+    Stage(usize, StreamerState),
     /// Players notice that a controller is gone.
     Forget(usize),
 }
@@ -109,27 +109,29 @@
             }
             What::Removal { on, notice_s, spares, spares_after_s } => {
                 for at in on {
-                    steps.push((from, Step::Stage(*at, Stage::Draining)));
+                    steps.push((from, Step::Stage(*at, StreamerState::Draining)));
                     steps.push((from + notice_s, Step::Die(*at)));
-                    steps.push((from + notice_s + day.news.ended_s, Step::Stage(*at, Stage::Gone)));
+                    steps.push((from + notice_s + day.news.ended_s, Step::Stage(*at, StreamerState::Gone)));
                 }
                 for at in spares {
                     let born = from + notice_s + spares_after_s;
                     steps.push((born, Step::Born(*at)));
-                    steps.push((born + day.news.started_s, Step::Stage(*at, Stage::Ready)));
+                    steps.push((born + day.news.started_s, Step::Stage(*at, StreamerState::Ready)));
                 }
                 continue;
             }
             What::Vanish { on } => {
                 for at in on {
                     if day.news.silent_s < trouble.for_s {
-                        steps.push((from + day.news.silent_s, Step::Stage(*at, Stage::Gone)));
+                        steps.push((from + day.news.silent_s, Step::Stage(*at, StreamerState::Gone)));
                     }
-                    steps.push((to + day.news.started_s, Step::Stage(*at, Stage::Ready)));
+                    steps.push((to + day.news.started_s, Step::Stage(*at, StreamerState::Ready)));
                 }
             }
             What::Ageing { on } => {
-                steps.extend(on.iter().map(|at| (to + day.news.started_s, Step::Stage(*at, Stage::Ready))));
+                steps.extend(
+                    on.iter().map(|at| (to + day.news.started_s, Step::Stage(*at, StreamerState::Ready))),
+                );
             }
             _ => {}
         }
@@ -146,7 +148,7 @@
     how: How,
     tap: Tap,
     fleet: Fleet,
-    list: List,
+    list: StreamerList,
     audience: Arc<Audience>,
     controllers: Vec<Option<Child>>,
     gossips: Option<Gossips>,
@@ -161,11 +163,11 @@
     let day = Arc::new(day);
     let clock = Clock::start();
     std::fs::create_dir_all(&how.folder)?;
-    let tap = Tap::to(&how.folder.join("day.tap"), clock, "day")?;
-    tap.write(Seen::Terms { terms: day.terms() });
-    let streamers = Tap::to(&how.folder.join("streamers.tap"), clock, "streamers")?;
+    let tap = Tap::open(&how.folder.join("day.tap"), clock, "day")?;
+    tap.record(TapEvent::Rules { rules: day.terms() });
+    let streamers = Tap::open(&how.folder.join("streamers.tap"), clock, "streamers")?;
     let fleet = Fleet::start(&day, clock, streamers, how.fault).await?;
-    let players = Tap::to(&how.folder.join("players.tap"), clock, "players")?;
+    let players = Tap::open(&how.folder.join("players.tap"), clock, "players")?;
     let audience = Arc::new(Audience::new(day.clone(), clock, players, fleet.clone(), how.fault));
     let list = day.first_list(&fleet.addresses);
     let controllers = day.controllers.iter().map(|_| None).collect();
@@ -260,28 +262,30 @@
             Step::Stage(at, stage) => self.tell(at, stage)?,
             Step::Kill(number) => {
                 if let Some(mut child) = self.controllers[number].take() {
-                    self.tap.write(Seen::Killed { controller: number });
+                    self.tap.record(TapEvent::Killed { controller: number });
                     child.kill().await?;
                 }
             }
             Step::Forget(number) => self.point(number, None),
             Step::Leave(number) => {
-                self.signal(number, Signal::SIGTERM, Seen::Leaving { controller: number });
+                self.signal(number, Signal::SIGTERM, TapEvent::Leaving { controller: number });
                 // Waited for when the day ends; it is started no more.
             }
             Step::Start(number) => self.start(number).await?,
-            Step::Pause(number) => self.signal(number, Signal::SIGSTOP, Seen::Paused { controller: number }),
+            Step::Pause(number) => {
+                self.signal(number, Signal::SIGSTOP, TapEvent::Paused { controller: number })
+            }
             Step::Continue(number) => {
-                self.signal(number, Signal::SIGCONT, Seen::Continued { controller: number });
+                self.signal(number, Signal::SIGCONT, TapEvent::Continued { controller: number });
             }
         }
         Ok(())
     }
 
-    fn signal(&self, number: usize, signal: Signal, seen: Seen) {
+    fn signal(&self, number: usize, signal: Signal, seen: TapEvent) {
         let id = self.controllers[number].as_ref().and_then(Child::id);
         if let Some(id) = id.and_then(|id| i32::try_from(id).ok()) {
-            self.tap.write(seen);
+            self.tap.record(seen);
             let _ = kill(Pid::from_raw(id), signal);
         }
     }
@@ -326,10 +330,11 @@
         Ok(())
     }
 
-    fn tell(&mut self, at: usize, stage: Stage) -> io::Result<()> {
+    fn tell(&mut self, at: usize, stage: StreamerState) -> io::Result<()> {
         let (started, dead) = self.fleet.with(|model, _| (model.started(at), model.is_dead(at)));
-        let stage = if dead { Stage::Gone } else { stage };
-        let entry = Entry { stage, started, ..self.day.entry(at, self.fleet.addresses[at]) };
+        let stage = if dead { StreamerState::Gone } else { stage };
+        let entry =
+            ListEntry { state: stage, started_at: started, ..self.day.entry(at, self.fleet.addresses[at]) };
         match self.list.streamers.iter_mut().find(|old| old.streamer == entry.streamer) {
             Some(old) => *old = entry,
             None => self.list.streamers.push(entry),
@@ -341,7 +346,7 @@
     /// Replaces the list's file in one go.
     fn write_list(&self) -> io::Result<()> {
         let entries = self.list.streamers.clone();
-        self.tap.write(Seen::Listed { version: self.list.version, entries });
+        self.tap.record(TapEvent::ListPublished { version: self.list.version, entries });
         if self.ways.is_empty() {
             return replace(&self.how.folder.join("list.json"), &serde_json::to_vec(&self.list)?);
         }
--- a/crates/lemontide-standin/src/soak/front.rs
+++ b/crates/lemontide-standin/src/soak/front.rs
@@ -102,7 +102,7 @@
     let ran = run::run(day, how).await?;
     let mut lines = Vec::new();
     for file in ran.taps.iter().filter(|file| file.exists()) {
-        lines.extend(tap::read(file)?);
+        lines.extend(tap::read_records(file)?);
     }
     let verdict = judge(&lines).ok_or_else(|| io::Error::other("the taps state no terms"))?;
     let word = if verdict.is_clean() { "no rule broken" } else { "a rule broken" };
--- a/crates/lemontide-standin/src/streamer.rs
+++ b/crates/lemontide-standin/src/streamer.rs
@@ -4,7 +4,9 @@
 use crate::model::{Conn, Model, Out, Stand};
 use futures::{SinkExt, StreamExt};
 use lemontide_wire::clock::Clock;
-use lemontide_wire::link::{Looked, Order, Pong, StreamerEnd, Told, Welcome, VERSION};
+use lemontide_wire::link::{
+    ControllerMessage, Looked, Pong, StreamerCodec, StreamerMessage, Welcome, PROTOCOL_VERSION,
+};
 use lemontide_wire::tap::Tap;
 use std::collections::HashMap;
 use std::io;
@@ -39,7 +41,7 @@
     clock: Clock,
     tap: Tap,
     model: Mutex<Model>,
-    wires: Mutex<HashMap<Conn, mpsc::Sender<Told>>>,
+    wires: Mutex<HashMap<Conn, mpsc::Sender<StreamerMessage>>>,
     names: Vec<String>,
     fault: Option<Fault>,
     set_ups: AtomicU64,
@@ -109,7 +111,7 @@
                     lock(&self.wires).remove(&conn);
                 }
                 Out::Tap { streamer, seen } => {
-                    self.tap.named(&format!("streamer:{}", self.names[streamer])).write(seen);
+                    self.tap.with_endpoint(&format!("streamer:{}", self.names[streamer])).record(seen);
                 }
             }
         }
@@ -135,12 +137,12 @@
 
 async fn serve(shared: Arc<Shared>, at: usize, socket: TcpStream) {
     let _ = socket.set_nodelay(true);
-    let mut framed = Framed::new(socket, StreamerEnd::default());
+    let mut framed = Framed::new(socket, StreamerCodec::default());
     let hello = timeout(Duration::from_secs(2), framed.next()).await;
-    let Ok(Some(Ok(Order::Hello(hello)))) = hello else { return };
+    let Ok(Some(Ok(ControllerMessage::Hello(hello)))) = hello else { return };
     let started = lock(&shared.model).started(at).unwrap_or(0.0);
-    let welcome = Welcome { version: VERSION, streamer: shared.names[at].clone(), started };
-    if hello.version != VERSION || framed.send(Told::Welcome(welcome)).await.is_err() {
+    let welcome = Welcome { version: PROTOCOL_VERSION, streamer: shared.names[at].clone(), started };
+    if hello.version != PROTOCOL_VERSION || framed.send(StreamerMessage::Welcome(welcome)).await.is_err() {
         return;
     }
     let (say, mut said) = mpsc::channel(WORDS_MOST);
@@ -177,14 +179,14 @@
     shared.with(|model, _| model.disconnected(at, conn));
 }
 
-fn take(shared: &Shared, at: usize, conn: Conn, order: Order) {
+fn take(shared: &Shared, at: usize, conn: Conn, order: ControllerMessage) {
     let say = |told| {
         if let Some(wire) = lock(&shared.wires).get(&conn) {
             let _ = wire.try_send(told);
         }
     };
     match order {
-        Order::SetUp(set_up) => {
+        ControllerMessage::SetUp(set_up) => {
             let number = shared.set_ups.fetch_add(1, Ordering::Relaxed) + 1;
             let twice = shared.fault == Some(Fault::Duplicates) && number.is_multiple_of(FAULT_EVERY);
             if twice {
@@ -192,15 +194,17 @@
             }
             shared.with(|model, now| model.set_up(now, at, conn, set_up));
         }
-        Order::SetRung(rung) => shared.with(|model, _| {
+        ControllerMessage::SetRung(rung) => shared.with(|model, _| {
             model.set_rung(at, conn, rung.id, rung.rung as usize, f64::from(rung.rate_kb));
         }),
-        Order::Cancel(cancel) => shared.with(|model, _| model.cancel(at, conn, cancel.id, cancel.shot)),
-        Order::Look(look) => {
+        ControllerMessage::Cancel(cancel) => {
+            shared.with(|model, _| model.cancel(at, conn, cancel.id, cancel.shot))
+        }
+        ControllerMessage::Look(look) => {
             let cmsd_dynamic = shared.with(|model, _| model.look(at));
-            say(Told::Looked(Looked { nonce: look.nonce, cmsd_dynamic }));
+            say(StreamerMessage::Looked(Looked { nonce: look.nonce, cmsd_dynamic }));
         }
-        Order::Ping(ping) => say(Told::Pong(Pong { nonce: ping.nonce })),
-        Order::Hello(_) => {}
+        ControllerMessage::Ping(ping) => say(StreamerMessage::Pong(Pong { nonce: ping.nonce })),
+        ControllerMessage::Hello(_) => {}
     }
 }
--- a/crates/lemontide-standin/src/swarm.rs
+++ b/crates/lemontide-standin/src/swarm.rs
@@ -7,10 +7,10 @@
 use lemontide::clock::{Point, Span};
 use lemontide_front::core::{Driver, Effect, Shared};
 use lemontide_wire::cmcd::Cmcd;
-use lemontide_wire::link::{Looked, Order, Pong, Told};
-use lemontide_wire::list::{Entry, List};
-use lemontide_wire::play::{Answer, Wish};
-use lemontide_wire::tap::What as Seen;
+use lemontide_wire::link::{ControllerMessage, Looked, Pong, StreamerMessage};
+use lemontide_wire::list::{ListEntry, StreamerList};
+use lemontide_wire::play::{PlayRequest, PlayResponse};
+use lemontide_wire::tap::TapEvent;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
@@ -92,7 +92,7 @@
     town: Option<Town>,
     instances: Vec<Option<Instance>>,
     by_conn: BTreeMap<Conn, (usize, usize)>,
-    list: List,
+    list: StreamerList,
     now: f64,
     weights: Vec<f64>,
     chance: StdRng,
@@ -272,10 +272,10 @@
                 }
             }
             Effect::Answer { answer, .. } => match answer {
-                Answer::Plays { .. } => self.came.plays += 1,
+                PlayResponse::Plays { .. } => self.came.plays += 1,
                 _ => self.came.turned_back += 1,
             },
-            Effect::Tap(Seen::Stands { numbers, .. }) => {
+            Effect::Tap(TapEvent::TurnsCovered { controllers: numbers, .. }) => {
                 if let Some(instance) = self.instances[me].as_mut() {
                     instance.stands = numbers;
                 }
@@ -284,27 +284,27 @@
         }
     }
 
-    fn order(&mut self, me: usize, at: usize, conn: Conn, order: Order) {
+    fn order(&mut self, me: usize, at: usize, conn: Conn, order: ControllerMessage) {
         let told = match order {
-            Order::SetUp(set_up) => {
+            ControllerMessage::SetUp(set_up) => {
                 self.set_ups[at] += 1;
                 self.count_cold(at);
                 return self.model.set_up(self.now, at, conn, set_up);
             }
-            Order::SetRung(rung) => {
+            ControllerMessage::SetRung(rung) => {
                 return self.model.set_rung(at, conn, rung.id, rung.rung as usize, f64::from(rung.rate_kb));
             }
-            Order::Cancel(cancel) => return self.model.cancel(at, conn, cancel.id, cancel.shot),
-            Order::Look(look) => {
-                Told::Looked(Looked { nonce: look.nonce, cmsd_dynamic: self.model.look(at) })
+            ControllerMessage::Cancel(cancel) => return self.model.cancel(at, conn, cancel.id, cancel.shot),
+            ControllerMessage::Look(look) => {
+                StreamerMessage::Looked(Looked { nonce: look.nonce, cmsd_dynamic: self.model.look(at) })
             }
-            Order::Ping(ping) => Told::Pong(Pong { nonce: ping.nonce }),
-            Order::Hello(_) => return,
+            ControllerMessage::Ping(ping) => StreamerMessage::Pong(Pong { nonce: ping.nonce }),
+            ControllerMessage::Hello(_) => return,
         };
         self.tell(me, at, told);
     }
 
-    fn tell(&mut self, me: usize, at: usize, told: Told) {
+    fn tell(&mut self, me: usize, at: usize, told: StreamerMessage) {
         let now = self.at();
         let Some(instance) = self.instances[me].as_mut() else { return };
         let Some((_, dial)) = instance.wires.get(&at).copied() else { return };
@@ -351,7 +351,10 @@
                         instance.driver.lost(now, at, dial, true);
                         self.perform(me);
                     }
-                    Out::Tap { seen: Seen::Given { rung, seconds, share, ask, .. }, .. } => {
+                    Out::Tap {
+                        seen: TapEvent::Delivered { rung, seconds, share, request_id: ask, .. },
+                        ..
+                    } => {
                         let gain = if ask.starts_with('p') { 2.0 } else { 1.0 };
                         let rung = self.day.ladder.gain.get(rung).copied().unwrap_or(0.0);
                         let lost = self.day.shortfall_cost * (0.98 - share).max(0.0);
@@ -388,13 +391,13 @@
             self.came.asked += 1;
             // What would last past the end can't be earned.
             self.wanted += gain * watches.min(BEGIN + self.plan.seconds - self.now);
-            let wish = Wish {
+            let wish = PlayRequest {
                 title: format!("t{title}"),
-                lane: lane.into(),
+                class: lane.into(),
                 tenant: "all".into(),
-                ask,
-                length_s: Some(watches),
-                ..Wish::default()
+                request_id: ask,
+                expected_duration_s: Some(watches),
+                ..PlayRequest::default()
             };
             let _ = self.with(me, |driver, now| driver.ask(now, now, id, &wish, &Cmcd::default()));
         }
@@ -468,8 +471,8 @@
             if !due.is_empty() {
                 listed.retain(|(when, _)| *when > self.now);
                 for at in due {
-                    let entry: &mut Entry = &mut self.list.streamers[at];
-                    entry.started = self.model.started(at);
+                    let entry: &mut ListEntry = &mut self.list.streamers[at];
+                    entry.started_at = self.model.started(at);
                 }
                 self.learn();
             }
--- a/crates/lemontide-standin/tests/model.rs
+++ b/crates/lemontide-standin/tests/model.rs
@@ -4,8 +4,8 @@
 use lemontide_standin::import::import;
 use lemontide_standin::model::{Model, Out, Stand};
 use lemontide_standin::player::draw;
-use lemontide_wire::link::{SetUp, Told};
-use lemontide_wire::tap::What as Seen;
+use lemontide_wire::link::{SetUp, StreamerMessage};
+use lemontide_wire::tap::TapEvent;
 use serde_json::json;
 use std::path::Path;
 
@@ -55,13 +55,13 @@
     let shares: Vec<f64> = out
         .iter()
         .filter_map(|out| match out {
-            Out::Tap { seen: Seen::Given { share, .. }, .. } => Some(*share),
+            Out::Tap { seen: TapEvent::Delivered { share, .. }, .. } => Some(*share),
             _ => None,
         })
         .collect();
     let late: Vec<&f64> = shares.iter().rev().take(5).collect();
     assert!(late.iter().all(|share| **share < 0.75), "{late:?}");
-    let short = |out: &&Out| matches!(out, Out::Say { told: Told::Short(short), .. } if short.share < 0.98);
+    let short = |out: &&Out| matches!(out, Out::Say { told: StreamerMessage::Short(short), .. } if short.share < 0.98);
     let notes = out.iter().filter(short).count();
     assert!((3..=6).contains(&notes), "{notes}: one a second");
 }
@@ -74,7 +74,7 @@
     model.restart(100.0, 0);
     let conn = model.connected(100.0, 0, 0);
     let fell = |model: &mut Model| {
-        model.take().iter().any(|out| matches!(out, Out::Tap { seen: Seen::Fell { .. }, .. }))
+        model.take().iter().any(|out| matches!(out, Out::Tap { seen: TapEvent::StreamerCrashed { .. }, .. }))
     };
     // 30 places over 8 s, four tenths warm, twice that: three a second and one of slack.
     (0..4).for_each(|id| model.set_up(100.1, 0, conn, set_up(id, 200)));
--- a/crates/lemontide-standin/tests/shedding.rs
+++ b/crates/lemontide-standin/tests/shedding.rs
@@ -3,7 +3,7 @@
 use lemontide_front::events::State;
 use lemontide_front::front::Front;
 use lemontide_front::settings::Settings;
-use lemontide_wire::list::List;
+use lemontide_wire::list::StreamerList;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 async fn start(change: impl Fn(&mut Settings)) -> (Front, tempfile::TempDir) {
     let folder = tempfile::tempdir().expect("a folder");
     let list = folder.path().join("list.json");
-    std::fs::write(&list, serde_json::to_vec(&List { version: 1, streamers: vec![] }).expect("JSON"))
+    std::fs::write(&list, serde_json::to_vec(&StreamerList { version: 1, streamers: vec![] }).expect("JSON"))
         .expect("the folder can be written");
     let lane =
         |name: &str| json!({"name": name, "gain": 1, "latency_goal_s": 1, "cut_off_s": 3, "repeat": "free"});
--- a/crates/lemontide-standin/tests/sockets.rs
+++ b/crates/lemontide-standin/tests/sockets.rs
@@ -6,10 +6,12 @@
 use lemontide_standin::day::Day;
 use lemontide_standin::streamer::Fleet;
 use lemontide_wire::clock::Clock;
-use lemontide_wire::cmsd::Dynamic;
-use lemontide_wire::link::{Cancel, Order, Plays, StreamerEnd, Told, Welcome, VERSION};
-use lemontide_wire::list::{Entry, List, Stage};
-use lemontide_wire::play::Answer;
+use lemontide_wire::cmsd::CmsdDynamic;
+use lemontide_wire::link::{
+    Cancel, ControllerMessage, Plays, StreamerCodec, StreamerMessage, Welcome, PROTOCOL_VERSION,
+};
+use lemontide_wire::list::{ListEntry, StreamerList, StreamerState};
+use lemontide_wire::play::PlayResponse;
 use lemontide_wire::tap::Tap;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -40,52 +42,52 @@
     serde_json::from_value(settings).expect("the settings are valid")
 }
 
-fn list(folder: &Path, version: u64, address: SocketAddr, stage: Stage) {
-    let streamer = Entry {
+fn list(folder: &Path, version: u64, address: SocketAddr, stage: StreamerState) {
+    let streamer = ListEntry {
         streamer: "s0".into(),
         address: address.to_string(),
         zone: "here".into(),
         kind: "std".into(),
         cell: 0,
-        stage,
+        state: stage,
         weight: 1.0,
-        started: None,
+        started_at: None,
     };
-    let list = List { version, streamers: vec![streamer] };
+    let list = StreamerList { version, streamers: vec![streamer] };
     let bytes = serde_json::to_vec(&list).expect("a list is JSON");
     lemontide_standin::run::replace(&folder.join("list.json"), &bytes).expect("the folder can be written");
 }
 
 /// A controller with one streamer that the test plays itself; its first link, greeted.
-async fn start() -> (Front, tempfile::TempDir, TcpListener, Framed<TcpStream, StreamerEnd>) {
+async fn start() -> (Front, tempfile::TempDir, TcpListener, Framed<TcpStream, StreamerCodec>) {
     let folder = tempfile::tempdir().expect("a folder is to be had");
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback is there");
-    list(folder.path(), 1, listener.local_addr().expect("it is bound"), Stage::Ready);
+    list(folder.path(), 1, listener.local_addr().expect("it is bound"), StreamerState::Ready);
     let front = Front::start(settings(folder.path())).await.expect("it starts");
     let link = link(&listener).await;
     (front, folder, listener, link)
 }
 
-async fn link(listener: &TcpListener) -> Framed<TcpStream, StreamerEnd> {
+async fn link(listener: &TcpListener) -> Framed<TcpStream, StreamerCodec> {
     loop {
         let (socket, _) = timeout(SOON, listener.accept()).await.expect("it dials").expect("it can");
-        let mut link = Framed::new(socket, StreamerEnd::default());
+        let mut link = Framed::new(socket, StreamerCodec::default());
         // A dial that gave up meanwhile says nothing.
-        if let Ok(Some(Ok(Order::Hello(hello)))) = timeout(SOON, link.next()).await {
-            assert_eq!(hello.version, VERSION);
-            let welcome = Welcome { version: VERSION, streamer: "s0".into(), started: 1.0 };
-            if link.send(Told::Welcome(welcome)).await.is_ok() {
+        if let Ok(Some(Ok(ControllerMessage::Hello(hello)))) = timeout(SOON, link.next()).await {
+            assert_eq!(hello.version, PROTOCOL_VERSION);
+            let welcome = Welcome { version: PROTOCOL_VERSION, streamer: "s0".into(), started: 1.0 };
+            if link.send(StreamerMessage::Welcome(welcome)).await.is_ok() {
                 return link;
             }
         }
     }
 }
 
-async fn order(link: &mut Framed<TcpStream, StreamerEnd>) -> Order {
+async fn order(link: &mut Framed<TcpStream, StreamerCodec>) -> ControllerMessage {
     loop {
         let order = timeout(SOON, link.next()).await.expect("an order comes").expect("the link is open");
         match order.expect("it is valid") {
-            Order::Ping(_) => {}
+            ControllerMessage::Ping(_) => {}
             other => return other,
         }
     }
@@ -116,22 +118,25 @@
     let (front, _folder, _listener, mut link) = start().await;
     let hints = "CMCD-Object: tb=4000,==broken==\r\nCMCD-Session: sid=\"v1\"\r\nCMCD-Request: ((((";
     let asked = send(front.address, &format!("{POST}\r\n{hints}"), &wish("paid")).await;
-    let Order::SetUp(set_up) = order(&mut link).await else { panic!("a set-up comes first") };
+    let ControllerMessage::SetUp(set_up) = order(&mut link).await else { panic!("a set-up comes first") };
     assert!(set_up.rate_kb * 8 <= 4000, "the player's top bitrate is kept");
-    let load = Dynamic { server: "s0".into(), link: Some(0.25), ..Dynamic::default() };
-    let plays = Plays { id: set_up.id, shot: set_up.shot, cmsd_dynamic: load.write() };
-    link.send(Told::Plays(plays)).await.expect("it reads");
+    let load = CmsdDynamic { server: "s0".into(), link_utilization: Some(0.25), ..CmsdDynamic::default() };
+    let plays = Plays { id: set_up.id, shot: set_up.shot, cmsd_dynamic: load.to_header_value() };
+    link.send(StreamerMessage::Plays(plays)).await.expect("it reads");
     let text = answer(asked).await;
     assert!(text.starts_with("HTTP/1.1 201"), "{text}");
     assert!(text.contains("cmsd-static: br=") && text.contains("cmsd-dynamic: \"lemontide-0\""), "{text}");
     let body = text.split("\r\n\r\n").nth(1).expect("there is a body");
-    let Ok(Answer::Plays { subscription, ref streamer, .. }) = serde_json::from_str(body) else {
+    let Ok(PlayResponse::Plays { session: subscription, ref streamer, .. }) = serde_json::from_str(body)
+    else {
         panic!("it plays: {body}")
     };
     assert_eq!(streamer, "s0");
     let gone = send(front.address, &format!("DELETE /v1/subscriptions/{subscription} HTTP/1.1"), "").await;
     assert!(answer(gone).await.starts_with("HTTP/1.1 204"));
-    assert!(matches!(order(&mut link).await, Order::Cancel(Cancel { id, .. }) if id == subscription));
+    assert!(
+        matches!(order(&mut link).await, ControllerMessage::Cancel(Cancel { id, .. }) if id == subscription)
+    );
     tokio::task::spawn_blocking(move || front.stop()).await.expect("it stops");
 }
 
@@ -139,9 +144,9 @@
 async fn a_player_that_goes_away_is_heard() {
     let (front, _folder, _listener, mut link) = start().await;
     let asked = send(front.address, POST, &wish("paid")).await;
-    let Order::SetUp(set_up) = order(&mut link).await else { panic!("a set-up comes first") };
+    let ControllerMessage::SetUp(set_up) = order(&mut link).await else { panic!("a set-up comes first") };
     drop(asked);
-    let Order::Cancel(cancel) = order(&mut link).await else { panic!("then its cancel") };
+    let ControllerMessage::Cancel(cancel) = order(&mut link).await else { panic!("then its cancel") };
     assert_eq!(cancel.id, set_up.id);
     tokio::task::spawn_blocking(move || front.stop()).await.expect("it stops");
 }
@@ -176,7 +181,7 @@
     assert!(answer(slow).await.starts_with("HTTP/1.1 408"));
     // After all that a plain wish still goes through.
     let asked = send(to, POST, &wish("free")).await;
-    assert!(matches!(order(&mut link).await, Order::SetUp(_)));
+    assert!(matches!(order(&mut link).await, ControllerMessage::SetUp(_)));
     drop(asked);
     tokio::task::spawn_blocking(move || front.stop()).await.expect("it stops");
 }
@@ -185,7 +190,7 @@
 async fn a_streamer_that_sends_garbage_is_dialled_anew_and_what_was_out_counts_as_run() {
     let (front, _folder, listener, mut link) = start().await;
     let paid = send(front.address, POST, &wish("paid")).await;
-    assert!(matches!(order(&mut link).await, Order::SetUp(_)));
+    assert!(matches!(order(&mut link).await, ControllerMessage::SetUp(_)));
     // A frame longer than any honest one.
     link.get_mut().write_all(&[0xff; 64]).await.expect("it is open");
     assert!(answer(paid).await.starts_with("HTTP/1.1 502"), "paid and may have run: scrapped");
@@ -199,10 +204,10 @@
     std::fs::write(folder.path().join("list.json"), "{\"version\": 2, \"strea").expect("it can be written");
     tokio::time::sleep(Duration::from_millis(200)).await;
     let asked = send(front.address, POST, &wish("free")).await;
-    assert!(matches!(order(&mut link).await, Order::SetUp(_)), "the last list is in force");
+    assert!(matches!(order(&mut link).await, ControllerMessage::SetUp(_)), "the last list is in force");
     drop(asked);
-    assert!(matches!(order(&mut link).await, Order::Cancel(_)));
-    list(folder.path(), 3, listener.local_addr().expect("it is bound"), Stage::Draining);
+    assert!(matches!(order(&mut link).await, ControllerMessage::Cancel(_)));
+    list(folder.path(), 3, listener.local_addr().expect("it is bound"), StreamerState::Draining);
     tokio::time::sleep(Duration::from_millis(300)).await;
     let text = answer(send(front.address, POST, &wish("free")).await).await;
     assert!(text.starts_with("HTTP/1.1 503") && text.contains("retry-after: 1"), "{text}");
@@ -214,9 +219,9 @@
     let folder = tempfile::tempdir().expect("a folder is to be had");
     let day = Day::read(Path::new("../../days/short.json")).expect("it is valid");
     let clock = Clock::start();
-    let fleet = Fleet::start(&day, clock, Tap::none(clock), None).await.expect("loopback is there");
+    let fleet = Fleet::start(&day, clock, Tap::disabled(clock), None).await.expect("loopback is there");
     // What answers there is s1.
-    list(folder.path(), 1, fleet.addresses[1], Stage::Ready);
+    list(folder.path(), 1, fleet.addresses[1], StreamerState::Ready);
     let front = Front::start(settings(folder.path())).await.expect("it starts");
     let text = answer(send(front.address, POST, &wish("free")).await).await;
     assert!(text.starts_with("HTTP/1.1 503"), "{text}");
@@ -227,9 +232,9 @@
 async fn a_listener_hears_rungs_and_the_end() {
     let (front, _folder, _listener, mut link) = start().await;
     let asked = send(front.address, POST, &wish("free")).await;
-    let Order::SetUp(set_up) = order(&mut link).await else { panic!("a set-up comes first") };
+    let ControllerMessage::SetUp(set_up) = order(&mut link).await else { panic!("a set-up comes first") };
     let plays = Plays { id: set_up.id, shot: set_up.shot, cmsd_dynamic: String::new() };
-    link.send(Told::Plays(plays)).await.expect("it reads");
+    link.send(StreamerMessage::Plays(plays)).await.expect("it reads");
     answer(asked).await;
     let news = send(front.address, &format!("GET /v1/subscriptions/{}/news HTTP/1.1", set_up.id), "").await;
     // Its first line is where things stand; then the streamer is lost.
@@ -247,7 +252,7 @@
     for (memory_bytes, full) in [(1.0, true), (1e12, false)] {
         let folder = tempfile::tempdir().expect("a folder is to be had");
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback is there");
-        list(folder.path(), 1, listener.local_addr().expect("it is bound"), Stage::Ready);
+        list(folder.path(), 1, listener.local_addr().expect("it is bound"), StreamerState::Ready);
         let shedding = json!({"delay_s": 5.0, "cores": 64, "memory_bytes": memory_bytes, "files": 1e6});
         let mut settings = settings(folder.path());
         settings.shedding = Some(serde_json::from_value(shedding).expect("it is valid"));
@@ -261,7 +266,7 @@
             let told = text.contains("near its limit") && text.contains("retry-after: 1");
             assert!(text.starts_with("HTTP/1.1 503") && told, "{text}");
         } else {
-            assert!(matches!(order(&mut link).await, Order::SetUp(_)));
+            assert!(matches!(order(&mut link).await, ControllerMessage::SetUp(_)));
             drop(asked);
         }
         tokio::task::spawn_blocking(move || front.stop()).await.expect("it stops");
@@ -272,12 +277,12 @@
 async fn a_player_that_closed_its_half_is_answered() {
     let (front, _folder, _listener, mut link) = start().await;
     let mut asked = send(front.address, POST, &wish("paid")).await;
-    let Order::SetUp(set_up) = order(&mut link).await else { panic!("a set-up comes first") };
+    let ControllerMessage::SetUp(set_up) = order(&mut link).await else { panic!("a set-up comes first") };
     asked.shutdown().await.expect("closed by half");
     // Long enough for the controller to have read the close.
     tokio::time::sleep(Duration::from_millis(100)).await;
     let plays = Plays { id: set_up.id, shot: set_up.shot, cmsd_dynamic: String::new() };
-    link.send(Told::Plays(plays)).await.expect("it reads");
+    link.send(StreamerMessage::Plays(plays)).await.expect("it reads");
     let text = answer(asked).await;
     assert_eq!(text.matches("HTTP/1.1 201").count(), 1, "{text}");
     tokio::task::spawn_blocking(move || front.stop()).await.expect("it stops");
--- a/crates/lemontide-wire/src/cmsd.rs
+++ b/crates/lemontide-wire/src/cmsd.rs
@@ -6,35 +6,39 @@
     TokenRef,
 };
 
-pub const STATIC: &str = "cmsd-static";
-pub const DYNAMIC: &str = "cmsd-dynamic";
-const STREAMS: &str = "dk.lemontide-streams";
-const LINK: &str = "dk.lemontide-link";
-const RACK: &str = "dk.lemontide-rack";
-const LONGEST: usize = 2048;
+pub const STATIC_HEADER: &str = "cmsd-static";
+pub const DYNAMIC_HEADER: &str = "cmsd-dynamic";
+const STREAMS_KEY: &str = "dk.lemontide-streams";
+const LINK_KEY: &str = "dk.lemontide-link";
+const RACK_KEY: &str = "dk.lemontide-rack";
+const MAX_CMSD_BYTES: usize = 2048;
 
 /// One server's entry of CMSD-Dynamic. The load report travels in it: streams run or set up, and what is
 /// asked of the link and of the rack's uplink over what they give.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Dynamic {
+pub struct CmsdDynamic {
     pub server: String,
     /// `mb`: the highest bitrate suggested, kbit/s.
     pub suggested_kbps: Option<u64>,
     /// `du`: in duress.
     pub duress: bool,
     pub streams: Option<f64>,
-    pub link: Option<f64>,
-    pub rack: Option<f64>,
+    pub link_utilization: Option<f64>,
+    pub uplink_utilization: Option<f64>,
 }
 
-impl Dynamic {
+impl CmsdDynamic {
     /// As a list of one entry; the name is cut to what a structured string can carry.
-    pub fn write(&self) -> String {
+    pub fn to_header_value(&self) -> String {
         let name: String = self.server.chars().filter(|c| (' '..='~').contains(c)).collect();
         let mut list = ListSerializer::new();
         if let Ok(name) = StringRef::from_str(&name) {
             let mut item = list.bare_item(name);
-            for (key, value) in [(STREAMS, self.streams), (LINK, self.link), (RACK, self.rack)] {
+            for (key, value) in [
+                (STREAMS_KEY, self.streams),
+                (LINK_KEY, self.link_utilization),
+                (RACK_KEY, self.uplink_utilization),
+            ] {
                 let value = value.filter(|v| v.is_finite()).map(|v| Decimal::try_from(v.clamp(0.0, 1e9)));
                 if let (Ok(key), Some(Ok(value))) = (KeyRef::from_str(key), value) {
                     item = item.parameter(key, value);
@@ -52,8 +56,8 @@
     }
 
     /// Reads the last entry of a list, which is the nearest server's; none where the field is no valid list.
-    pub fn read(field: &str) -> Option<Dynamic> {
-        if field.len() > LONGEST {
+    pub fn parse(field: &str) -> Option<CmsdDynamic> {
+        if field.len() > MAX_CMSD_BYTES {
             return None;
         }
         let list = Parser::new(field).parse::<List>().ok()?;
@@ -63,7 +67,7 @@
             BareItem::Token(name) => name.as_str().to_owned(),
             _ => return None,
         };
-        let mut dynamic = Dynamic { server, ..Dynamic::default() };
+        let mut dynamic = CmsdDynamic { server, ..CmsdDynamic::default() };
         for (key, value) in &item.params {
             let number = match value {
                 BareItem::Decimal(d) => Some(f64::from(*d)),
@@ -71,9 +75,9 @@
                 _ => None,
             };
             match key.as_str() {
-                STREAMS => dynamic.streams = number,
-                LINK => dynamic.link = number,
-                RACK => dynamic.rack = number,
+                STREAMS_KEY => dynamic.streams = number,
+                LINK_KEY => dynamic.link_utilization = number,
+                RACK_KEY => dynamic.uplink_utilization = number,
                 "mb" => dynamic.suggested_kbps = number.filter(|n| *n >= 0.0).map(|n| n as u64),
                 "du" => dynamic.duress = *value == BareItem::Boolean(true),
                 _ => {}
@@ -84,7 +88,7 @@
 }
 
 /// CMSD-Static of an answer that plays: video, and the encoded bitrate in kbit/s.
-pub fn fixed(bitrate_kbps: u64, live: bool) -> String {
+pub fn static_header_value(bitrate_kbps: u64, live: bool) -> String {
     let mut fields = DictSerializer::new();
     if let (Ok(key), Ok(kbps)) = (KeyRef::from_str("br"), Integer::try_from(bitrate_kbps.min(1 << 40))) {
         fields.bare_item(key, kbps);
@@ -103,25 +107,30 @@
 
     #[test]
     fn a_load_report_comes_back_as_it_went() {
-        let said = Dynamic {
+        let said = CmsdDynamic {
             server: "s1".into(),
             suggested_kbps: Some(6400),
             duress: true,
             streams: Some(12.0),
-            link: Some(0.75),
-            rack: Some(1.25),
+            link_utilization: Some(0.75),
+            uplink_utilization: Some(1.25),
         };
-        assert_eq!(Dynamic::read(&said.write()), Some(said));
-        assert_eq!(fixed(6400, false), "br=6400, ot=v, st=v");
+        assert_eq!(CmsdDynamic::parse(&said.to_header_value()), Some(said));
+        assert_eq!(static_header_value(6400, false), "br=6400, ot=v, st=v");
     }
 
     #[test]
     fn others_entries_and_keys_pass_and_garbage_is_none() {
-        let read = Dynamic::read("\"cdn\";etp=96, \"s1\";com.example-k=2;dk.lemontide-link=0.5;rd=\"x\"");
-        assert_eq!(read.map(|d| (d.server, d.link)), Some(("s1".into(), Some(0.5))));
-        assert_eq!(Dynamic::read("\"unclosed"), None);
-        assert_eq!(Dynamic::read(&"a,".repeat(LONGEST)), None);
-        let odd = Dynamic { server: "å\u{7}".into(), link: Some(f64::NAN), ..Dynamic::default() };
-        assert_eq!(odd.write(), "\"\"");
+        let read =
+            CmsdDynamic::parse("\"cdn\";etp=96, \"s1\";com.example-k=2;dk.lemontide-link=0.5;rd=\"x\"");
+        assert_eq!(read.map(|d| (d.server, d.link_utilization)), Some(("s1".into(), Some(0.5))));
+        assert_eq!(CmsdDynamic::parse("\"unclosed"), None);
+        assert_eq!(CmsdDynamic::parse(&"a,".repeat(MAX_CMSD_BYTES)), None);
+        let odd = CmsdDynamic {
+            server: "å\u{7}".into(),
+            link_utilization: Some(f64::NAN),
+            ..CmsdDynamic::default()
+        };
+        assert_eq!(odd.to_header_value(), "\"\"");
     }
 }
--- a/crates/lemontide-wire/src/hint.rs
+++ b/crates/lemontide-wire/src/hint.rs
@@ -4,23 +4,23 @@
 
 use sfv::{BareItem, Dictionary, ListEntry, Parser};
 
-pub const NAME: &str = "lemontide-wish";
+pub const HEADER_NAME: &str = "lemontide-wish";
 /// Longest value that is read, in bytes.
-const LONGEST: usize = 512;
+const MAX_HINT_BYTES: usize = 512;
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Hint {
-    pub lane: String,
+pub struct RequestHint {
+    pub class: String,
     pub tenant: String,
-    pub returned: bool,
+    pub is_retry: bool,
     /// Seconds until the player gives up.
-    pub within: Option<f64>,
+    pub give_up_in_s: Option<f64>,
 }
 
-impl Hint {
+impl RequestHint {
     /// Reads a header's value. None where it is not valid or names no lane; unknown keys are skipped.
-    pub fn read(value: &[u8]) -> Option<Hint> {
-        if value.len() > LONGEST {
+    pub fn parse(value: &[u8]) -> Option<RequestHint> {
+        if value.len() > MAX_HINT_BYTES {
             return None;
         }
         let dictionary: Dictionary = Parser::new(value).parse().ok()?;
@@ -38,11 +38,11 @@
             Some(BareItem::Decimal(decimal)) => Some(f64::from(*decimal)),
             _ => None,
         };
-        Some(Hint {
-            lane: text("lane")?,
+        Some(RequestHint {
+            class: text("lane")?,
             tenant: text("tenant").unwrap_or_default(),
-            returned: matches!(item("returned"), Some(BareItem::Boolean(true))),
-            within: within.filter(|s| *s >= 0.0),
+            is_retry: matches!(item("returned"), Some(BareItem::Boolean(true))),
+            give_up_in_s: within.filter(|s| *s >= 0.0),
         })
     }
 }
@@ -53,15 +53,22 @@
 
     #[test]
     fn what_is_valid_is_read_and_the_rest_is_no_hint() {
-        let read =
-            Hint::read(b"lane=paid, tenant=\"an office\", returned, within=2.5, later=1").expect("valid");
-        let hint =
-            Hint { lane: "paid".into(), tenant: "an office".into(), returned: true, within: Some(2.5) };
+        let read = RequestHint::parse(b"lane=paid, tenant=\"an office\", returned, within=2.5, later=1")
+            .expect("valid");
+        let hint = RequestHint {
+            class: "paid".into(),
+            tenant: "an office".into(),
+            is_retry: true,
+            give_up_in_s: Some(2.5),
+        };
         assert_eq!(read, hint);
-        assert_eq!(Hint::read(b"lane=\"a b\", within=3").and_then(|hint| hint.within), Some(3.0));
+        assert_eq!(
+            RequestHint::parse(b"lane=\"a b\", within=3").and_then(|hint| hint.give_up_in_s),
+            Some(3.0)
+        );
         for bad in [&b""[..], b"returned", b"lane=", b"lane=(a b)", b"LANE=x", b"\xff", &[b'a'; 600]] {
-            assert_eq!(Hint::read(bad), None);
+            assert_eq!(RequestHint::parse(bad), None);
         }
-        assert_eq!(Hint::read(b"lane=x, within=-1").and_then(|hint| hint.within), None);
+        assert_eq!(RequestHint::parse(b"lane=x, within=-1").and_then(|hint| hint.give_up_in_s), None);
     }
 }
--- a/crates/lemontide-wire/src/list.rs
+++ b/crates/lemontide-wire/src/list.rs
@@ -5,7 +5,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Stage {
+#[schemars(rename = "Stage")]
+pub enum StreamerState {
     Ready,
     /// It finishes its work; nothing new may go there.
     Draining,
@@ -15,7 +16,8 @@
 /// One streamer. A controller sends only to streamers that its list names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Entry {
+#[schemars(rename = "Entry")]
+pub struct ListEntry {
     /// Its name, the same at every controller and after a restart.
     pub streamer: String,
     /// Where its link is dialled, `address:port`.
@@ -24,21 +26,23 @@
     pub kind: String,
     /// Its cell; a title lies on some cells in a row, and the rack is the cell modulo the number of racks.
     pub cell: usize,
-    pub stage: Stage,
+    #[serde(rename = "stage")]
+    pub state: StreamerState,
     /// Its size next to the others'.
     #[serde(default = "one")]
     pub weight: f64,
     /// Its last start in seconds of the wall clock; absent when that is long ago.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub started: Option<f64>,
+    #[serde(rename = "started", default, skip_serializing_if = "Option::is_none")]
+    pub started_at: Option<f64>,
 }
 
 /// The whole list. A streamer that is not in it is gone.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct List {
+#[schemars(rename = "List")]
+pub struct StreamerList {
     pub version: u64,
-    pub streamers: Vec<Entry>,
+    pub streamers: Vec<ListEntry>,
 }
 
 fn one() -> f64 {
--- a/crates/lemontide-wire/src/tap.rs
+++ b/crates/lemontide-wire/src/tap.rs
@@ -1,7 +1,7 @@
 //! Taps: what every socket end saw, as JSON lines on one clock. The judge reads nothing else.
 
 use crate::clock::Clock;
-use crate::list::{Entry, Stage};
+use crate::list::{ListEntry, StreamerState};
 use serde::{Deserialize, Serialize};
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -10,41 +10,50 @@
 
 /// One line. `at` is in seconds of the wall clock, `end` names the socket end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct TapRecord {
     pub at: f64,
-    pub end: String,
+    #[serde(rename = "end")]
+    pub endpoint: String,
     #[serde(flatten)]
-    pub what: What,
+    pub event: TapEvent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum ResponseKind {
     Plays,
-    TurnedBack,
-    Scrapped,
+    #[serde(rename = "turned_back")]
+    Rejected,
+    #[serde(rename = "scrapped")]
+    Failed,
     /// Refused before it was taken, as a wish that is not valid.
-    NotTaken,
+    #[serde(rename = "not_taken")]
+    NotAccepted,
     /// No answer came: the connection failed.
-    None,
+    #[serde(rename = "none")]
+    NoResponse,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
+pub enum TapOutcome {
     Served,
     Errored,
-    SentBack,
+    #[serde(rename = "sent_back")]
+    Refused,
     Cancelled,
-    Broken,
+    #[serde(rename = "broken")]
+    ConnectionLost,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum What {
+pub enum TapEvent {
     // The day: its terms, and what was done to the controllers' processes.
-    Terms {
-        terms: Terms,
+    #[serde(rename = "terms")]
+    Rules {
+        #[serde(rename = "terms")]
+        rules: JudgeRules,
     },
     Killed {
         controller: usize,
@@ -66,167 +75,240 @@
         passed: u64,
         dropped: u64,
         delayed: u64,
-        doubled: u64,
+        #[serde(rename = "doubled")]
+        duplicated: u64,
     },
-    Listed {
+    #[serde(rename = "listed")]
+    ListPublished {
         version: u64,
-        entries: Vec<Entry>,
+        entries: Vec<ListEntry>,
     },
     // The controller's end.
-    Up {
+    #[serde(rename = "up")]
+    ControllerStarted {
         controller: usize,
     },
     /// The list as this controller was told it: one line a change.
-    Told {
+    #[serde(rename = "told")]
+    ListChangeReceived {
         streamer: String,
-        stage: Stage,
-        started: Option<f64>,
+        #[serde(rename = "stage")]
+        state: StreamerState,
+        #[serde(rename = "started")]
+        started_at: Option<f64>,
     },
-    Asked {
-        ask: String,
-        lane: String,
+    #[serde(rename = "asked")]
+    RequestReceived {
+        #[serde(rename = "ask")]
+        request_id: String,
+        #[serde(rename = "lane")]
+        class: String,
         title: String,
-        cut_off: f64,
+        #[serde(rename = "cut_off")]
+        deadline: f64,
     },
     /// Just before a set-up is handed to the socket.
-    Sent {
-        ask: String,
-        shot: u32,
+    #[serde(rename = "sent")]
+    AttemptSent {
+        #[serde(rename = "ask")]
+        request_id: String,
+        #[serde(rename = "shot")]
+        attempt: u32,
         streamer: String,
-        lane: String,
+        #[serde(rename = "lane")]
+        class: String,
         title: String,
         rung: usize,
     },
     /// An outcome that came back for a shot, or the moment at which the controller stopped waiting for it.
-    Heard {
-        ask: String,
-        shot: u32,
-        how: How,
+    #[serde(rename = "heard")]
+    OutcomeReceived {
+        #[serde(rename = "ask")]
+        request_id: String,
+        #[serde(rename = "shot")]
+        attempt: u32,
+        #[serde(rename = "how")]
+        outcome: TapOutcome,
     },
-    GaveUp {
-        ask: String,
-        shot: u32,
+    #[serde(rename = "gave_up")]
+    AttemptAbandoned {
+        #[serde(rename = "ask")]
+        request_id: String,
+        #[serde(rename = "shot")]
+        attempt: u32,
     },
     /// Bytes of gossip that left in the last whole second.
-    Gossip {
+    #[serde(rename = "gossip")]
+    GossipSent {
         bytes: usize,
     },
     LinkLost {
         streamer: String,
     },
     /// Numbers of missing controllers whose turns this one takes, until then or until it says otherwise.
-    Stands {
-        numbers: Vec<u32>,
+    #[serde(rename = "stands")]
+    TurnsCovered {
+        #[serde(rename = "numbers")]
+        controllers: Vec<u32>,
         until: f64,
     },
-    Answered {
-        ask: String,
-        kind: Kind,
+    #[serde(rename = "answered")]
+    ResponseSent {
+        #[serde(rename = "ask")]
+        request_id: String,
+        kind: ResponseKind,
     },
     // The streamer's end.
-    Born {
+    #[serde(rename = "born")]
+    StreamerStarted {
         streamer: String,
-        started: f64,
+        #[serde(rename = "started")]
+        started_at: f64,
     },
-    Got {
+    #[serde(rename = "got")]
+    AttemptReceived {
         streamer: String,
         controller: usize,
-        ask: String,
-        shot: u32,
-        lane: String,
+        #[serde(rename = "ask")]
+        request_id: String,
+        #[serde(rename = "shot")]
+        attempt: u32,
+        #[serde(rename = "lane")]
+        class: String,
         title: String,
         rung: usize,
     },
-    Played {
+    #[serde(rename = "played")]
+    PlayStarted {
         streamer: String,
-        ask: String,
-        shot: u32,
+        #[serde(rename = "ask")]
+        request_id: String,
+        #[serde(rename = "shot")]
+        attempt: u32,
     },
-    Done {
+    #[serde(rename = "done")]
+    AttemptEnded {
         streamer: String,
-        ask: String,
-        shot: u32,
-        how: How,
+        #[serde(rename = "ask")]
+        request_id: String,
+        #[serde(rename = "shot")]
+        attempt: u32,
+        #[serde(rename = "how")]
+        outcome: TapOutcome,
     },
-    Rung {
+    #[serde(rename = "rung")]
+    RungChanged {
         streamer: String,
-        ask: String,
-        lane: String,
+        #[serde(rename = "ask")]
+        request_id: String,
+        #[serde(rename = "lane")]
+        class: String,
         rung: usize,
     },
     /// What a subscription got in the last second: seconds played, at this part of its rate.
-    Given {
+    #[serde(rename = "given")]
+    Delivered {
         streamer: String,
-        ask: String,
+        #[serde(rename = "ask")]
+        request_id: String,
         rung: usize,
         seconds: f64,
         share: f64,
     },
-    Fell {
+    #[serde(rename = "fell")]
+    StreamerCrashed {
         streamer: String,
     },
     // The player's end.
-    Ask {
-        ask: String,
+    #[serde(rename = "ask")]
+    RequestSent {
+        #[serde(rename = "ask")]
+        request_id: String,
         viewer: String,
         controller: usize,
-        lane: String,
+        #[serde(rename = "lane")]
+        class: String,
         title: String,
-        goal: f64,
-        cut_off: f64,
-        top: usize,
+        #[serde(rename = "goal")]
+        latency_goal: f64,
+        #[serde(rename = "cut_off")]
+        deadline: f64,
+        #[serde(rename = "top")]
+        max_rung: usize,
         /// Seconds that the viewer still wants.
-        wanted: f64,
+        #[serde(rename = "wanted")]
+        wanted_s: f64,
     },
-    Answer {
-        ask: String,
-        kind: Kind,
+    #[serde(rename = "answer")]
+    ResponseReceived {
+        #[serde(rename = "ask")]
+        request_id: String,
+        kind: ResponseKind,
     },
     /// The player gave up or left before the answer.
-    Left {
-        ask: String,
+    #[serde(rename = "left")]
+    ViewerLeft {
+        #[serde(rename = "ask")]
+        request_id: String,
     },
 }
 
 /// The rules in figures, as the day states them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Terms {
+pub struct JudgeRules {
     /// How long after its cut-off an answer still counts as in time, in seconds.
-    pub answer_slack: f64,
-    pub drain_grace: f64,
-    pub cold: Cold,
-    pub ration: Option<Ration>,
-    pub lanes: Vec<LaneTerms>,
+    #[serde(rename = "answer_slack")]
+    pub answer_slack_s: f64,
+    #[serde(rename = "drain_grace")]
+    pub drain_grace_s: f64,
+    #[serde(rename = "cold")]
+    pub cold_start: ColdStartRules,
+    #[serde(rename = "ration")]
+    pub retry_budget: Option<RetryBudget>,
+    #[serde(rename = "lanes")]
+    pub classes: Vec<ClassRules>,
     /// What each rung earns, as a part of its gain.
-    pub gain: Vec<f64>,
+    #[serde(rename = "gain")]
+    pub gain_by_rung: Vec<f64>,
     pub shortfall_cost: f64,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Cold {
+pub struct ColdStartRules {
     /// Streams that one streamer runs at most.
-    pub places: f64,
+    #[serde(rename = "places")]
+    pub max_streams: f64,
     /// Warm-up in seconds, the part that it starts at, and the multiple and window of falling over.
-    pub span: f64,
-    pub from: f64,
-    pub multiple: f64,
-    pub window: f64,
+    #[serde(rename = "span")]
+    pub warm_up_s: f64,
+    #[serde(rename = "from")]
+    pub initial_part: f64,
+    #[serde(rename = "multiple")]
+    pub overload_multiple: f64,
+    #[serde(rename = "window")]
+    pub window_s: f64,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Ration {
-    pub floor: f64,
-    pub share: f64,
-    pub window: f64,
+pub struct RetryBudget {
+    #[serde(rename = "floor")]
+    pub min_retries: f64,
+    #[serde(rename = "share")]
+    pub request_share: f64,
+    #[serde(rename = "window")]
+    pub window_s: f64,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct LaneTerms {
+pub struct ClassRules {
     pub name: String,
     pub gain: f64,
-    pub paid: bool,
-    pub floor: usize,
-    pub seats: usize,
+    #[serde(rename = "paid")]
+    pub at_most_once: bool,
+    #[serde(rename = "floor")]
+    pub min_rung: usize,
+    #[serde(rename = "seats")]
+    pub max_sessions_per_title: usize,
 }
 
 /// Writes lines to a file; each is handed to the system whole, so that a killed process leaves no half line
@@ -234,26 +316,26 @@
 #[derive(Clone)]
 pub struct Tap {
     clock: Clock,
-    end: Arc<str>,
+    endpoint: Arc<str>,
     into: Option<Arc<Mutex<BufWriter<File>>>>,
 }
 
 impl Tap {
     /// Adds to a file, or makes it.
-    pub fn to(path: &Path, clock: Clock, end: &str) -> io::Result<Tap> {
+    pub fn open(path: &Path, clock: Clock, endpoint: &str) -> io::Result<Tap> {
         let file = File::options().create(true).append(true).open(path)?;
         let into = Some(Arc::new(Mutex::new(BufWriter::with_capacity(64 * 1024, file))));
-        Ok(Tap { clock, end: end.into(), into })
+        Ok(Tap { clock, endpoint: endpoint.into(), into })
     }
 
     /// Keeps nothing.
-    pub fn none(clock: Clock) -> Tap {
-        Tap { clock, end: "".into(), into: None }
+    pub fn disabled(clock: Clock) -> Tap {
+        Tap { clock, endpoint: "".into(), into: None }
     }
 
     /// The same file under another end's name.
-    pub fn named(&self, end: &str) -> Tap {
-        Tap { end: end.into(), ..self.clone() }
+    pub fn with_endpoint(&self, endpoint: &str) -> Tap {
+        Tap { endpoint: endpoint.into(), ..self.clone() }
     }
 
     /// The tap's clock, in seconds.
@@ -261,13 +343,13 @@
         self.clock.now()
     }
 
-    pub fn write(&self, what: What) {
-        self.write_at(self.clock.now(), what);
+    pub fn record(&self, event: TapEvent) {
+        self.record_at(self.clock.now(), event);
     }
 
-    pub fn write_at(&self, at: f64, what: What) {
+    pub fn record_at(&self, at: f64, event: TapEvent) {
         let Some(into) = &self.into else { return };
-        let line = Line { at, end: self.end.to_string(), what };
+        let line = TapRecord { at, endpoint: self.endpoint.to_string(), event };
         let Ok(mut text) = serde_json::to_vec(&line) else { return };
         text.push(b'\n');
         let mut into = into.lock().unwrap_or_else(PoisonError::into_inner);
@@ -278,7 +360,7 @@
 
 /// Reads a tap. A last line cut short, as a killed process leaves it, is left out; any other bad line is an
 /// error that names its number.
-pub fn read(path: &Path) -> io::Result<Vec<Line>> {
+pub fn read_records(path: &Path) -> io::Result<Vec<TapRecord>> {
     let text = std::fs::read_to_string(path)?;
     let mut lines = Vec::new();
     let last = text.lines().count();
