--- a/crates/lemontide-drill/src/wire.rs
+++ b/crates/lemontide-drill/src/wire.rs
@@ -155,8 +155,8 @@
         match name {
             "Attach" => {
                 let attach: Attach = decode(name, body)?;
-                let sheet =
-                    lemontide_sheet::sheet(&attach.config).map_err(|e| format!("{name}: config.{e}"))?;
+                let sheet = lemontide_settings::parse_settings(&attach.config)
+                    .map_err(|e| format!("{name}: config.{e}"))?;
                 let reports = attach.config.pointer("/report/names").and_then(Json::as_array);
                 let host = Host {
                     controller: Controller::new(now, attach.rng_seed, &sheet),
@@ -288,7 +288,7 @@
 fn load(reports: &[String], metrics: &[Json]) -> Load {
     let mut load = Load::default();
     for (name, value) in reports.iter().zip(metrics) {
-        lemontide_sheet::figure(&mut load, name, value.as_f64());
+        lemontide_settings::read_load_field(&mut load, name, value.as_f64());
     }
     load
 }
--- a/crates/lemontide-front/src/front.rs
+++ b/crates/lemontide-front/src/front.rs
@@ -111,7 +111,12 @@
             let Ok(own) = tokio::runtime::Builder::new_current_thread().enable_time().build() else {
                 return tracing::error!("no timers for the deciding thread");
             };
-            let driver = Driver::start(Point::at(clock.now()), seed, &settings.sheet(), settings.terms());
+            let driver = Driver::start(
+                Point::at(clock.now()),
+                seed,
+                &settings.controller_settings(),
+                settings.terms(),
+            );
             let mut decider = Decider {
                 driver,
                 links,
--- a/crates/lemontide-front/src/settings.rs
+++ b/crates/lemontide-front/src/settings.rs
@@ -550,7 +550,7 @@
     }
 
     /// The settings as the module takes them.
-    pub fn sheet(&self) -> ControllerSettings {
+    pub fn controller_settings(&self) -> ControllerSettings {
         let mut sheet = ControllerSettings::new();
         let mut number = |name: String, value: f64| sheet.insert(name, SettingValue::Number(value));
         for (name, value) in [
--- a/crates/lemontide-platform/src/codec.rs
+++ b/crates/lemontide-platform/src/codec.rs
@@ -199,7 +199,7 @@
         let mut load = Load::default();
         for (name, value) in self.text(code::LOAD).into_iter().flat_map(pairs) {
             let value = value.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0);
-            lemontide_sheet::figure(&mut load, name, value);
+            lemontide_settings::read_load_field(&mut load, name, value);
         }
         load
     }
--- a/crates/lemontide-platform/src/serve.rs
+++ b/crates/lemontide-platform/src/serve.rs
@@ -244,7 +244,7 @@
         let file = file.as_deref().unwrap_or_else(|| "configuration".as_ref()).display();
         io::Error::new(io::ErrorKind::InvalidData, format!("{file}: at settings.{e}"))
     };
-    let sheet = lemontide_sheet::sheet(&config.settings).map_err(unusable)?;
+    let sheet = lemontide_settings::parse_settings(&config.settings).map_err(unusable)?;
     let terms = terms(&sheet, &config.settings, config.limits.sockets).map_err(unusable)?;
     let closing_most = (config.limits.sockets / CLOSING_PART).max(CLOSING_LEAST);
     let others_most = OWN_SOCKETS + terms.links_most + closing_most - CLOSING_LEAST;
--- a/crates/lemontide-platform/tests/common/mod.rs
+++ b/crates/lemontide-platform/tests/common/mod.rs
@@ -99,7 +99,7 @@
 
     pub fn of(settings: Json) -> World {
         let now = Point::at(1000.0);
-        let sheet = lemontide_sheet::sheet(&settings).expect("usable settings");
+        let sheet = lemontide_settings::parse_settings(&settings).expect("usable settings");
         let terms = serve::terms(&sheet, &settings, 256).expect("usable settings");
         let mut world = World {
             dispatcher: Dispatcher::start(now, 7, &sheet, terms),
--- a/crates/lemontide-platform/tests/settings.rs
+++ b/crates/lemontide-platform/tests/settings.rs
@@ -25,7 +25,7 @@
 /// Starts a dispatcher on these settings and lets it work for a while; the error where they can't be used.
 fn serve(settings: &Json) -> Result<(), String> {
     let mut now = Point::at(1000.0);
-    let sheet = lemontide_sheet::sheet(settings)?;
+    let sheet = lemontide_settings::parse_settings(settings)?;
     let terms = serve::terms(&sheet, settings, 256)?;
     let mut dispatcher = Dispatcher::start(now, 7, &sheet, terms);
     let servers = (0..STREAMERS).map(|at| entry(at, "in_service")).collect();
--- a/crates/lemontide-sheet/src/lib.rs
+++ b/crates/lemontide-settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Turns the wire's nested settings into the module's plain map, and named figures of load into the module's
-//! `Load`; wire names become ours. Used by every adapter that is handed these settings.
+//! Parses the nested settings as the operators write them into the flat map of `lemontide::interface`, and named
+//! load values into its `Load`. Used by every adapter that receives such settings.
 
 use lemontide::interface::{ControllerSettings, Load, SettingValue};
 use serde_json::Value as Json;
@@ -92,16 +92,18 @@
     ("weight_source", &["none", "nominal", "rough", "live"]),
 ];
 
-/// Turns the settings into the module's map. An error names the setting and what to give there.
-pub fn sheet(config: &Json) -> Result<ControllerSettings, String> {
-    let mut sheet = ControllerSettings::new();
+/// Parses nested settings into the controller's flat map. An error names the setting and the remedy.
+pub fn parse_settings(config: &Json) -> Result<ControllerSettings, String> {
+    let mut settings = ControllerSettings::new();
     let classes = rows(config, "classes")?;
     for (wire, ours, form, need) in NAMES {
         let value = find(config, wire);
         match (form, value) {
             (_, None) if *need == May => {}
             (_, None) => return Err(format!("{wire}: it is missing; {}", form.remedy())),
-            (Figure | Word | Switch, Some(value)) => put(&mut sheet, wire, (*ours).to_owned(), value, *form)?,
+            (Figure | Word | Switch, Some(value)) => {
+                put(&mut settings, wire, (*ours).to_owned(), value, *form)?
+            }
             (_, Some(value)) => {
                 let of = value.as_array().ok_or_else(|| format!("{wire}: no list; {}", form.remedy()))?;
                 if *need == EachLane && of.len() != classes.len() {
@@ -109,7 +111,7 @@
                     return Err(format!("{wire}: {told} for {lanes} classes; give one for each, in order"));
                 }
                 for (i, value) in of.iter().enumerate() {
-                    put(&mut sheet, &format!("{wire}.{i}"), format!("{ours}.{i}"), value, *form)?;
+                    put(&mut settings, &format!("{wire}.{i}"), format!("{ours}.{i}"), value, *form)?;
                 }
             }
         }
@@ -118,7 +120,7 @@
         for (i, row) in rows(config, wire)?.iter().enumerate() {
             let place = format!("{wire}.{i}.{field}");
             match row.get(field).filter(|value| !value.is_null()) {
-                Some(value) => put(&mut sheet, &place, format!("{ours}.{i}.{name}"), value, *form)?,
+                Some(value) => put(&mut settings, &place, format!("{ours}.{i}.{name}"), value, *form)?,
                 None if *need == May => {}
                 None => return Err(format!("{place}: it is missing; {}", form.remedy())),
             }
@@ -134,7 +136,7 @@
                 return Err(format!("classes.{i}.effect: not known; give {known}"));
             }
         };
-        sheet.insert(format!("lanes.{i}.repeat"), SettingValue::Text(repeat.to_owned()));
+        settings.insert(format!("lanes.{i}.repeat"), SettingValue::Text(repeat.to_owned()));
     }
     for (wire, known) in CHOICES {
         let word = find(config, wire).map(|value| value.as_str().unwrap_or_default());
@@ -150,11 +152,11 @@
         Some("probe") if link => "looks",
         _ => "never",
     };
-    sheet.insert("links.told".to_owned(), SettingValue::Text(told.to_owned()));
+    settings.insert("links.told".to_owned(), SettingValue::Text(told.to_owned()));
     let is = |wire, word| SettingValue::Flag(find(config, wire).and_then(Json::as_str) == Some(word));
-    sheet.insert("list.on_request".to_owned(), is("membership_mode", "on_request"));
-    sheet.insert("link.weight_is_live".to_owned(), is("weight_source", "live"));
-    Ok(sheet)
+    settings.insert("list.on_request".to_owned(), is("membership_mode", "on_request"));
+    settings.insert("link.weight_is_live".to_owned(), is("weight_source", "live"));
+    Ok(settings)
 }
 
 /// Settings that say something only together, and figures that nothing could be done with.
@@ -242,7 +244,7 @@
 }
 
 fn put(
-    sheet: &mut ControllerSettings,
+    settings: &mut ControllerSettings,
     place: &str,
     name: String,
     value: &Json,
@@ -263,12 +265,12 @@
         one => one,
     };
     let value = value.ok_or_else(|| format!("{place}: not usable; {}", one.remedy()))?;
-    sheet.insert(name, value);
+    settings.insert(name, value);
     Ok(())
 }
 
-/// Reads one named figure of a load report into `load`; unknown names are skipped.
-pub fn figure(load: &mut Load, name: &str, value: Option<f64>) {
+/// Reads one named value of a load report into `load`; unknown names are skipped.
+pub fn read_load_field(load: &mut Load, name: &str, value: Option<f64>) {
     match name {
         "busy_reqs" => load.streams = value,
         "x0" => load.link_utilization = value,
--- a/crates/lemontide-sheet/tests/settings.rs
+++ b/crates/lemontide-settings/tests/settings.rs
@@ -1,7 +1,7 @@
-//! Settings become the module's map, or an error that names the place and the remedy.
+//! Nested settings are parsed into the controller's map, or give an error that names the setting and the remedy.
 
 use lemontide::interface::{get_flag, get_number, get_text};
-use lemontide_sheet::sheet;
+use lemontide_settings::parse_settings;
 use serde_json::{json, Value as Json};
 
 /// Usable settings of two lanes, as a controller is handed them.
@@ -29,18 +29,18 @@
 
 #[test]
 fn usable_settings_are_spelled_out_and_unknown_ones_skipped() {
-    let sheet = sheet(&settings()).expect("usable");
+    let parsed = parse_settings(&settings()).expect("usable");
     assert_eq!(
-        (get_number(&sheet, "lane_seats.1"), get_number(&sheet, "lane_scale.1")),
+        (get_number(&parsed, "lane_seats.1"), get_number(&parsed, "lane_scale.1")),
         (Some(2.0), Some(1.5))
     );
     assert_eq!(
-        (get_number(&sheet, "ladder.join"), get_text(&sheet, "lanes.1.repeat")),
+        (get_number(&parsed, "ladder.join"), get_text(&parsed, "lanes.1.repeat")),
         (Some(0.2), Some("paid"))
     );
-    assert!(get_flag(&sheet, "lane_live.0") && !get_flag(&sheet, "lane_live.1"));
+    assert!(get_flag(&parsed, "lane_live.0") && !get_flag(&parsed, "lane_live.1"));
     assert!(
-        !get_flag(&sheet, "looks.allowed") && !get_flag(&sheet, "list.on_request"),
+        !get_flag(&parsed, "looks.allowed") && !get_flag(&parsed, "list.on_request"),
         "an absent yes is a no"
     );
 }
@@ -53,8 +53,8 @@
         ("probe", json!(["x0"]), "looks"),
         ("none", json!([]), "never"),
     ] {
-        let sheet = sheet(&with("/report", json!({"how": how, "names": names}))).expect("usable");
-        assert_eq!(get_text(&sheet, "links.told"), Some(told), "{how}");
+        let parsed = parse_settings(&with("/report", json!({"how": how, "names": names}))).expect("usable");
+        assert_eq!(get_text(&parsed, "links.told"), Some(told), "{how}");
     }
 }
 
@@ -79,8 +79,8 @@
         ("/policy_limits/retry_after", json!(true), "policy_limits.max_retry_after: it is missing beside"),
         ("/report/how", json!("rumour"), "report.how: missing or not known; give"),
     ] {
-        let error = sheet(&with(place, value)).expect_err(place);
+        let error = parse_settings(&with(place, value)).expect_err(place);
         assert!(error.starts_with(named), "{error}");
     }
-    assert!(sheet(&json!([])).is_err());
+    assert!(parse_settings(&json!([])).is_err());
 }
--- a/crates/lemontide-standin/src/swarm.rs
+++ b/crates/lemontide-standin/src/swarm.rs
@@ -193,7 +193,12 @@
         };
         let mut terms = settings.terms();
         terms.together = (self.plan.views != Views::Mesh).then_some(shared);
-        let mut driver = Driver::start(Point::at(born), self.plan.seed + me as u64, &settings.sheet(), terms);
+        let mut driver = Driver::start(
+            Point::at(born),
+            self.plan.seed + me as u64,
+            &settings.controller_settings(),
+            terms,
+        );
         driver.learn(Point::at(born), &self.list);
         self.instances[me] = Some(Instance { driver, wires: BTreeMap::new(), stands: Vec::new() });
         self.perform(me);
