--- a/crates/lemontide-fleet/tests/turns.rs
+++ b/crates/lemontide-fleet/tests/turns.rs
@@ -3,7 +3,7 @@
 
 use lemontide::clock::{Point, Span};
 use lemontide::control::Controller;
-use lemontide::interface::{Line, Sheet, Stage, Value, Wish};
+use lemontide::interface::{ControllerSettings, Request, SettingValue, StreamerEntry, StreamerState};
 use lemontide_fleet::FleetView;
 use proptest::prelude::*;
 
@@ -112,18 +112,18 @@
             let skew_s = (f64::from(number % 3) - 1.0) * MAX_SKEW_S;
             let mut module = fleet_of(self.count, number, budget, at(self.last_start(number, t) + skew_s));
             learn(&mut module, t - 1.0);
-            module.stands_for(true, &covered, at(t + skew_s) + MAX_VIEW_AGE);
+            module.cover_turns(true, &covered, at(t + skew_s) + MAX_VIEW_AGE);
             for step in 0..20 {
                 let now = at(t + skew_s + f64::from(step) * WINDOW_S / 20.0);
                 loop {
-                    let before = module.results.shots.len();
-                    module.take(now, &request(step, now));
-                    if module.results.shots.len() == before {
+                    let before = module.actions.attempts.len();
+                    module.submit(now, &request(step, now));
+                    if module.actions.attempts.len() == before {
                         break;
                     }
                 }
             }
-            sent += module.results.shots.len();
+            sent += module.actions.attempts.len();
         }
         sent
     }
@@ -134,39 +134,39 @@
 
 /// Registers the one streamer with the module, as started at that second.
 fn learn(module: &mut Controller, started: f64) {
-    let line = Line {
+    let line = StreamerEntry {
         streamer: "s".into(),
         zone: "here".into(),
         kind: "std".into(),
         cell: 0,
-        stage: Stage::Ready,
+        state: StreamerState::Ready,
         weight: 1.0,
-        started: Some(at(started)),
+        started_at: Some(at(started)),
     };
-    module.learn(at(started), &[line], true);
+    module.update_list(at(started), &[line], true);
 }
 
-fn request(id: u32, now: Point) -> Wish<'static> {
-    Wish {
+fn request(id: u32, now: Point) -> Request<'static> {
+    Request {
         id,
-        lane: "free",
+        class: "free",
         tenant: "",
         title: "t",
-        cut_off: now + Span::of(5.0),
-        home: 0,
-        copies: 1,
-        top: 0,
-        returned: false,
-        length: None,
+        deadline: now + Span::of(5.0),
+        first_cell: 0,
+        replicas: 1,
+        max_rung: 0,
+        is_retry: false,
+        expected_duration: None,
     }
 }
 
 /// The decision module of one instance of a fleet with one streamer, which takes `budget` set-ups in a window when it is
 /// coldest.
 fn fleet_of(count: u32, own_number: u32, budget: f64, started: Point) -> Controller {
-    let number = |name: &str, value: f64| (name.to_owned(), Value::Number(value));
-    let word = |name: &str, value: &str| (name.to_owned(), Value::Text(value.to_owned()));
-    let settings: Sheet = [
+    let number = |name: &str, value: f64| (name.to_owned(), SettingValue::Number(value));
+    let word = |name: &str, value: &str| (name.to_owned(), SettingValue::Text(value.to_owned()));
+    let settings: ControllerSettings = [
         number("controllers", f64::from(count)),
         number("me", f64::from(own_number)),
         number("cells", 1.0),
@@ -188,7 +188,7 @@
     ]
     .into_iter()
     .collect();
-    Controller::start(started, u64::from(own_number), &settings)
+    Controller::new(started, u64::from(own_number), &settings)
 }
 
 fn history() -> impl Strategy<Value = History> {
@@ -249,10 +249,10 @@
         // Four turns of two windows each are one round.
         for step in 0..160 {
             let now = at(f64::from(step) * 0.05);
-            let before = module.results.shots.len();
-            module.take(now, &request(step as u32, now));
+            let before = module.actions.attempts.len();
+            module.submit(now, &request(step as u32, now));
             sent.extend(
-                (module.results.shots.len() > before).then_some((now.turn(Span::of(2.0)), own_number)),
+                (module.actions.attempts.len() > before).then_some((now.turn(Span::of(2.0)), own_number)),
             );
         }
     }
@@ -327,12 +327,12 @@
     let sent = |own: bool, covered: &[u32], until: f64| {
         let mut module = fleet_of(2, 0, 3.0, at(-100.0));
         learn(&mut module, 0.0);
-        module.stands_for(own, covered, at(until));
+        module.cover_turns(own, covered, at(until));
         for step in 0..40 {
             let now = at(f64::from(step) * 0.1);
-            module.take(now, &request(step, now));
+            module.submit(now, &request(step, now));
         }
-        module.results.shots.len()
+        module.actions.attempts.len()
     };
     let (own, covering, expired, duplicate) =
         (sent(true, &[], 9.0), sent(true, &[1], 9.0), sent(true, &[1], -1.0), sent(false, &[], 9.0));
@@ -359,11 +359,11 @@
     assert!((view.confirmed_ratio(at(6.0), MAX_VIEW_AGE) - 2.0 / 3.0).abs() < 1e-9);
     let mut module = fleet_of(3, 1, 2.0, at(-100.0));
     learn(&mut module, 0.0);
-    module.stands_for(true, &[700, u32::MAX, 1], at(50.0));
-    module.favour("nobody", true);
+    module.cover_turns(true, &[700, u32::MAX, 1], at(50.0));
+    module.set_preferred("nobody", true);
     for step in 0..100 {
         let now = at(f64::from(step) * 0.1);
-        module.take(now, &request(step, now));
+        module.submit(now, &request(step, now));
     }
-    assert!(!module.results.shots.is_empty());
+    assert!(!module.actions.attempts.is_empty());
 }
--- a/crates/lemontide-front/src/core/driver.rs
+++ b/crates/lemontide-front/src/core/driver.rs
@@ -7,15 +7,19 @@
 use super::links::{Link, Queued, Verdict};
 use super::{seconds, Connection, Evidence, GivenUp, InFleet, Shared, Together, Viewers};
 use lemontide::clock::{Point, Span};
-use lemontide::control::{Controller, Handle};
-use lemontide::interface::{Ending, Line, Load, Sheet, Shot, Stage};
+use lemontide::control::{Controller, SessionHandle};
+use lemontide::interface::{
+    AttemptOutcome, ControllerSettings, Load, NewAttempt, StreamerEntry, StreamerState,
+};
 use lemontide_shed::concurrency::ConcurrencyLimit;
 use lemontide_wire::cmcd::Cmcd;
-use lemontide_wire::cmsd::Dynamic;
-use lemontide_wire::link::{Cancel, How, Look, Order, Ping, SetRung, SetUp, Told, Why};
-use lemontide_wire::list::{self, List};
-use lemontide_wire::play::{Answer, News, Over, Wish};
-use lemontide_wire::tap::{self, Kind, What};
+use lemontide_wire::cmsd::CmsdDynamic;
+use lemontide_wire::link::{
+    Cancel, ControllerMessage, How, Look, Ping, SetRung, SetUp, StreamerMessage, Why,
+};
+use lemontide_wire::list::{self, StreamerList};
+use lemontide_wire::play::{EndReason, PlayRequest, PlayResponse, SessionEvent};
+use lemontide_wire::tap::{self, ResponseKind, TapEvent};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -54,7 +58,7 @@
     /// The final answer of a wish, with the highest bitrate suggested in kbit/s and whether it is short there.
     Answer {
         id: u32,
-        answer: Answer,
+        answer: PlayResponse,
         suggested_kbps: Option<u64>,
         duress: bool,
         /// Its lane, and the shots that it took.
@@ -63,7 +67,7 @@
     },
     News {
         id: u32,
-        news: News,
+        news: SessionEvent,
     },
     Dial {
         at: usize,
@@ -86,7 +90,7 @@
         streamer: String,
         good: bool,
     },
-    Tap(What),
+    Tap(TapEvent),
 }
 
 /// Why a wish was not taken at all.
@@ -114,7 +118,7 @@
 
 /// A wish or subscription in hand.
 pub struct Held {
-    handle: Handle,
+    handle: SessionHandle,
     pub ask: String,
     title: String,
     lane: usize,
@@ -125,11 +129,11 @@
     out: Option<Out>,
     pub playing: bool,
     left: bool,
-    last: Option<Ending>,
+    last: Option<AttemptOutcome>,
 }
 
 struct Known {
-    entry: list::Entry,
+    entry: list::ListEntry,
     /// Last start as its own welcome told it.
     welcomed: Option<f64>,
     link: Link,
@@ -160,9 +164,9 @@
 }
 
 impl Driver {
-    pub fn start(now: Point, seed: u64, sheet: &Sheet, terms: Terms) -> Driver {
+    pub fn start(now: Point, seed: u64, sheet: &ControllerSettings, terms: Terms) -> Driver {
         Driver {
-            module: Controller::start(now, seed, sheet),
+            module: Controller::new(now, seed, sheet),
             together: terms.together.as_ref().and_then(|shared| Together::new(now, shared)),
             terms,
             known: Vec::new(),
@@ -207,7 +211,7 @@
 
     /// Takes the list, whole: who is missing is gone. What waits for a streamer that drains or is gone is taken
     /// back at once and placed anew.
-    pub fn learn(&mut self, now: Point, list: &List) {
+    pub fn learn(&mut self, now: Point, list: &StreamerList) {
         self.listed += 1;
         let mut gone: Vec<bool> = vec![true; self.known.len()];
         for entry in &list.streamers {
@@ -226,7 +230,7 @@
             }
             gone[at] = false;
             let before = std::mem::replace(&mut self.known[at].entry, entry.clone());
-            if (before.stage, before.started) != (entry.stage, entry.started) {
+            if (before.state, before.started_at) != (entry.state, entry.started_at) {
                 self.tell(entry.clone());
             }
             if before.address != entry.address {
@@ -235,28 +239,32 @@
             }
         }
         for at in (0..gone.len()).filter(|at| gone[*at]) {
-            if self.known[at].entry.stage != list::Stage::Gone {
-                self.known[at].entry.stage = list::Stage::Gone;
+            if self.known[at].entry.state != list::StreamerState::Gone {
+                self.known[at].entry.state = list::StreamerState::Gone;
                 self.tell(self.known[at].entry.clone());
             }
         }
-        let lines: Vec<Line> = self.known.iter().map(Known::line).collect();
-        self.module.learn(now, &lines, true);
+        let lines: Vec<StreamerEntry> = self.known.iter().map(Known::line).collect();
+        self.module.update_list(now, &lines, true);
         self.carry_out(now);
         for at in 0..self.known.len() {
-            let stage = self.known[at].entry.stage;
-            self.known[at].link.wanted = stage != list::Stage::Gone;
-            if stage != list::Stage::Ready {
+            let stage = self.known[at].entry.state;
+            self.known[at].link.wanted = stage != list::StreamerState::Gone;
+            if stage != list::StreamerState::Ready {
                 let shots = self.known[at].link.withdraw_set_ups();
-                self.end_shots(now, at, shots, Ending::NotSent);
+                self.end_shots(now, at, shots, AttemptOutcome::NotSent);
             }
         }
         self.look_after_links(now, Span::ZERO);
         self.carry_out(now);
     }
 
-    fn tell(&mut self, entry: list::Entry) {
-        let told = What::Told { streamer: entry.streamer, stage: entry.stage, started: entry.started };
+    fn tell(&mut self, entry: list::ListEntry) {
+        let told = TapEvent::ListChangeReceived {
+            streamer: entry.streamer,
+            state: entry.state,
+            started_at: entry.started_at,
+        };
         self.effects.push(Effect::Tap(told));
     }
 
@@ -266,10 +274,10 @@
         now: Point,
         asked: Point,
         id: u32,
-        wish: &Wish,
+        wish: &PlayRequest,
         cmcd: &Cmcd,
     ) -> Result<(), Refusal> {
-        let Some(lane) = self.terms.lanes.iter().position(|lane| lane.0 == wish.lane) else {
+        let Some(lane) = self.terms.lanes.iter().position(|lane| lane.0 == wish.class) else {
             return Err(Refusal::NoSuchLane);
         };
         let Some((home, copies)) = self.terms.titles.get(&wish.title).copied() else {
@@ -280,37 +288,37 @@
         }
         let lasts = wish.give_up_in_s.filter(|s| s.is_finite()).map_or(Span::of(1e6), Span::of);
         let gone_at = asked + lasts.min(self.terms.lanes[lane].1);
-        let known = cmcd.session.as_ref().is_some_and(|session| self.viewers.returns(now, session));
-        let wish_here = lemontide::interface::Wish {
+        let known = cmcd.session_id.as_ref().is_some_and(|session| self.viewers.returns(now, session));
+        let wish_here = lemontide::interface::Request {
             id,
-            lane: &wish.lane,
+            class: &wish.class,
             tenant: &wish.tenant,
             title: &wish.title,
-            cut_off: gone_at - ANSWER_MARGIN,
-            home,
-            copies,
-            top: self.top(lane, wish, cmcd),
-            returned: wish.returned || known,
-            length: wish.length_s.filter(|s| s.is_finite()).map(Span::of),
+            deadline: gone_at - ANSWER_MARGIN,
+            first_cell: home,
+            replicas: copies,
+            max_rung: self.top(lane, wish, cmcd),
+            is_retry: wish.is_retry || known,
+            expected_duration: wish.expected_duration_s.filter(|s| s.is_finite()).map(Span::of),
         };
-        let lane_name = wish.lane.clone();
-        self.effects.push(Effect::Tap(What::Asked {
-            ask: wish.ask.clone(),
-            lane: lane_name,
+        let lane_name = wish.class.clone();
+        self.effects.push(Effect::Tap(TapEvent::RequestReceived {
+            request_id: wish.request_id.clone(),
+            class: lane_name,
             title: wish.title.clone(),
-            cut_off: seconds(gone_at),
+            deadline: seconds(gone_at),
         }));
         self.taken += 1;
         if let Some(together) = &mut self.together {
             together.asked(now);
         }
-        let handle = self.module.take(now, &wish_here);
+        let handle = self.module.submit(now, &wish_here);
         let held = Held {
             handle,
-            ask: wish.ask.clone(),
+            ask: wish.request_id.clone(),
             title: wish.title.clone(),
             lane,
-            cut_off: wish_here.cut_off,
+            cut_off: wish_here.deadline,
             at: usize::MAX,
             rung: 0,
             shots: 0,
@@ -326,14 +334,14 @@
 
     /// The highest rung of use to a viewer: what the wish says, and what the player's hints say of its screen
     /// and its link.
-    fn top(&self, lane: usize, wish: &Wish, cmcd: &Cmcd) -> usize {
+    fn top(&self, lane: usize, wish: &PlayRequest, cmcd: &Cmcd) -> usize {
         let highest = self.terms.ladder_kb.len().saturating_sub(1);
         let hinted = [cmcd.top_kbps, cmcd.throughput_kbps].into_iter().flatten().min();
         let within = |kbps: u64| {
             let fits = |rung: &usize| self.rate_kb(lane, *rung) * 8.0 <= kbps as f64;
             (0..=highest).take_while(fits).last().unwrap_or(0)
         };
-        wish.top.unwrap_or(highest).min(highest).min(hinted.map_or(highest, within))
+        wish.max_rung.unwrap_or(highest).min(highest).min(hinted.map_or(highest, within))
     }
 
     fn rate_kb(&self, lane: usize, rung: usize) -> f64 {
@@ -343,24 +351,24 @@
 
     /// The viewer went away, before the answer or after it.
     pub fn left(&mut self, now: Point, id: u32) {
-        self.end(now, id, Why::Left, Over::Left);
+        self.end(now, id, Why::Left, EndReason::ViewerLeft);
     }
 
     /// Ends what is in hand under this id; whether there was something.
-    fn end(&mut self, now: Point, id: u32, why: Why, over: Over) -> bool {
+    fn end(&mut self, now: Point, id: u32, why: Why, over: EndReason) -> bool {
         let Some(held) = self.held.get_mut(&id).filter(|held| !held.left) else { return false };
         let (at, handle) = (held.at, held.handle);
         if held.playing {
             let shot = held.shots - 1;
-            self.order(now, at, Order::Cancel(Cancel { id, shot, why: why.into() }));
-            handle.ended(&mut self.module, now, Ending::Cancelled, true, Load::default());
+            self.order(now, at, ControllerMessage::Cancel(Cancel { id, shot, why: why.into() }));
+            handle.attempt_ended(&mut self.module, now, AttemptOutcome::Cancelled, true, Load::default());
             self.held.remove(&id);
-            self.effects.push(Effect::News { id, news: News::Over { why: over } });
+            self.effects.push(Effect::News { id, news: SessionEvent::Ended { reason: over } });
             self.carry_out(now);
             return true;
         }
         held.left = true;
-        handle.left(&mut self.module);
+        handle.viewer_left(&mut self.module);
         match &held.out {
             None => {
                 self.held.remove(&id);
@@ -368,11 +376,11 @@
             Some(out) if out.handed.is_none() => {
                 let shot = (id, out.number);
                 self.known[at].link.withdraw(shot);
-                self.end_shots(now, at, vec![shot], Ending::NotSent);
+                self.end_shots(now, at, vec![shot], AttemptOutcome::NotSent);
             }
             Some(out) => {
                 let shot = out.number;
-                self.order(now, at, Order::Cancel(Cancel { id, shot, why: why.into() }));
+                self.order(now, at, ControllerMessage::Cancel(Cancel { id, shot, why: why.into() }));
             }
         }
         self.carry_out(now);
@@ -382,13 +390,13 @@
     /// The player ends a subscription that plays; false where there is none.
     pub fn leave(&mut self, now: Point, id: u32) -> bool {
         let playing = self.held.get(&id).is_some_and(|held| held.playing);
-        playing && self.end(now, id, Why::Left, Over::Left)
+        playing && self.end(now, id, Why::Left, EndReason::ViewerLeft)
     }
 
     /// What a subscription that plays is at now, for a player that starts to listen.
-    pub fn news_of(&self, id: u32) -> Option<News> {
+    pub fn news_of(&self, id: u32) -> Option<SessionEvent> {
         let held = self.held.get(&id).filter(|held| held.playing)?;
-        Some(News::Rung { rung: held.rung, rate_kb: self.rate_kb(held.lane, held.rung) })
+        Some(SessionEvent::RungChanged { rung: held.rung, rate_kb: self.rate_kb(held.lane, held.rung) })
     }
 
     pub fn stopping(&self) -> bool {
@@ -408,17 +416,17 @@
             if let Some(held) = self.held.get(&id).filter(|held| !held.playing && !held.left) {
                 // It may be set up by now or not: nothing is promised of the effect.
                 let (lane, shots) = (held.lane, held.shots);
-                let answer = Answer::Scrapped { ask: held.ask.clone() };
+                let answer = PlayResponse::Failed { request_id: held.ask.clone() };
                 self.answer(id, answer, lane, shots);
             }
-            self.end(now, id, Why::Left, Over::Stopped);
+            self.end(now, id, Why::Left, EndReason::Stopped);
         }
     }
 
     /// How far others are believed that each streamer fails, from 0 to 1. The module decides what to make of it.
     pub fn doubts(&mut self, now: Point, weights: &[(String, f64)]) {
         for (streamer, weight) in weights {
-            self.module.heard_of(now, streamer, *weight);
+            self.module.set_peer_suspicion(now, streamer, *weight);
         }
     }
 
@@ -426,7 +434,7 @@
     pub fn fleet(&mut self, now: Point, numbers: &BTreeMap<u32, Option<Point>>) {
         let Some(together) = &mut self.together else { return };
         let (turns, tap) = together.hear(now, numbers);
-        self.module.stands_for(turns.own, &turns.missing, turns.until);
+        self.module.cover_turns(turns.own, &turns.missing, turns.until);
         self.effects.extend(tap);
     }
 
@@ -441,7 +449,7 @@
         let (titles, entries) = (self.terms.titles.values().copied(), self.known.iter().map(|k| &k.entry));
         for (at, first) in together.choose(now, self.listed, titles, self.terms.cells, entries) {
             if let Some(known) = self.known.get(at as usize) {
-                self.module.favour(&known.entry.streamer, first);
+                self.module.set_preferred(&known.entry.streamer, first);
             }
         }
         let mut needed = vec![false; self.known.len()];
@@ -464,11 +472,17 @@
     }
 
     /// Tells of what was seen of a streamer, if it says anything of its health.
-    fn saw(&mut self, at: usize, ending: Ending) {
+    fn saw(&mut self, at: usize, ending: AttemptOutcome) {
         let good = match ending {
-            Ending::Served => true,
-            Ending::Errored | Ending::TimedOut | Ending::NoConnection | Ending::Broken => false,
-            Ending::SentBack | Ending::Cancelled | Ending::NotSent | Ending::Unknown => return,
+            AttemptOutcome::Served => true,
+            AttemptOutcome::Errored
+            | AttemptOutcome::TimedOut
+            | AttemptOutcome::NoConnection
+            | AttemptOutcome::ConnectionLost => false,
+            AttemptOutcome::Refused
+            | AttemptOutcome::Cancelled
+            | AttemptOutcome::NotSent
+            | AttemptOutcome::Unknown => return,
         };
         if let Some(known) = self.known.get(at) {
             self.effects.push(Effect::Saw { streamer: known.entry.streamer.clone(), good });
@@ -488,7 +502,7 @@
         if started.is_finite() && started > known.welcomed.unwrap_or(0.0) {
             known.welcomed = Some(started);
             let line = known.line();
-            self.module.learn(now, &[line], false);
+            self.module.update_list(now, &[line], false);
             self.carry_out(now);
         }
         self.pump(now, at);
@@ -517,22 +531,22 @@
         if was_up {
             let streamer = self.known[at].entry.streamer.clone();
             tracing::info!(target: "link", streamer, waiting = waiting.len(), "lost");
-            self.effects.push(Effect::Tap(What::LinkLost { streamer }));
+            self.effects.push(Effect::Tap(TapEvent::LinkLost { streamer }));
             let is_out =
                 |held: &Held| held.out.as_ref().is_some_and(|o| o.handed.is_some() && o.given_up.is_none());
             let on_it = |held: &Held| held.at == at && (held.playing || is_out(held));
-            self.saw(at, Ending::Broken);
+            self.saw(at, AttemptOutcome::ConnectionLost);
             let broken: Vec<_> =
                 self.held.iter().filter(|(_, h)| on_it(h)).map(|(id, h)| (*id, h.playing)).collect();
             for (id, playing) in broken {
                 if playing {
-                    self.ended(now, id, Ending::Broken, Load::default());
+                    self.ended(now, id, AttemptOutcome::ConnectionLost, Load::default());
                 } else {
-                    self.in_doubt(now, id, Ending::Broken, None);
+                    self.in_doubt(now, id, AttemptOutcome::ConnectionLost, None);
                 }
             }
         }
-        self.end_shots(now, at, waiting, Ending::NoConnection);
+        self.end_shots(now, at, waiting, AttemptOutcome::NoConnection);
     }
 
     /// The orders of the last batch are written, but for these set-ups, whose time was over: they never ran.
@@ -541,46 +555,46 @@
             return;
         }
         self.known[at].link.wrote();
-        self.end_shots(now, at, unsent, Ending::NotSent);
+        self.end_shots(now, at, unsent, AttemptOutcome::NotSent);
         self.carry_out(now);
         self.pump(now, at);
     }
 
     /// A streamer's word.
-    pub fn told(&mut self, now: Point, at: usize, dial: u64, told: Told) {
+    pub fn told(&mut self, now: Point, at: usize, dial: u64, told: StreamerMessage) {
         if !self.is_current(at, dial) {
             return;
         }
         self.known[at].link.heard(now);
         match told {
-            Told::Plays(plays) => {
+            StreamerMessage::Plays(plays) => {
                 let load = load(&plays.cmsd_dynamic);
                 // An answer to a shot that is no longer waited for: its cancel is under way.
                 let Some(held) = self.waits_for(at, plays.id, plays.shot) else { return };
                 let handed = held.out.take().and_then(|out| out.handed);
                 held.playing = true;
                 let (handle, ask, rung, lane) = (held.handle, held.ask.clone(), held.rung, held.lane);
-                self.effects.push(Effect::Tap(What::Heard {
-                    ask: ask.clone(),
-                    shot: plays.shot,
-                    how: tap::How::Served,
+                self.effects.push(Effect::Tap(TapEvent::OutcomeReceived {
+                    request_id: ask.clone(),
+                    attempt: plays.shot,
+                    outcome: tap::TapOutcome::Served,
                 }));
-                handle.plays(&mut self.module, now);
-                self.saw(at, Ending::Served);
-                self.landed(now, at, handed, Ending::Served);
-                if load.link.is_some() || load.rack.is_some() {
-                    handle.load(&mut self.module, now, load);
+                handle.playing(&mut self.module, now);
+                self.saw(at, AttemptOutcome::Served);
+                self.landed(now, at, handed, AttemptOutcome::Served);
+                if load.link_utilization.is_some() || load.uplink_utilization.is_some() {
+                    handle.load_reported(&mut self.module, now, load);
                 }
                 if self.held.get(&plays.id).is_some_and(|held| held.left) {
                     // It played before the cancel came: it is ended like one that plays.
                     let cancel = Cancel { id: plays.id, shot: plays.shot, why: Why::Left.into() };
-                    self.order(now, at, Order::Cancel(cancel));
-                    self.ended(now, plays.id, Ending::Cancelled, Load::default());
+                    self.order(now, at, ControllerMessage::Cancel(cancel));
+                    self.ended(now, plays.id, AttemptOutcome::Cancelled, Load::default());
                 } else {
                     let entry = &self.known[at].entry;
-                    let answer = Answer::Plays {
-                        ask,
-                        subscription: plays.id,
+                    let answer = PlayResponse::Plays {
+                        request_id: ask,
+                        session: plays.id,
                         streamer: entry.streamer.clone(),
                         address: entry.address.clone(),
                         rung,
@@ -589,14 +603,14 @@
                     self.answer(plays.id, answer, lane, plays.shot + 1);
                 }
             }
-            Told::Ended(ended) => {
+            StreamerMessage::Ended(ended) => {
                 let (how, ending) = match ended.how() {
-                    How::Served => (tap::How::Served, Ending::Served),
-                    How::SentBack => (tap::How::SentBack, Ending::SentBack),
-                    How::Cancelled => (tap::How::Cancelled, Ending::Cancelled),
-                    How::Errored => (tap::How::Errored, Ending::Errored),
+                    How::Served => (tap::TapOutcome::Served, AttemptOutcome::Served),
+                    How::SentBack => (tap::TapOutcome::Refused, AttemptOutcome::Refused),
+                    How::Cancelled => (tap::TapOutcome::Cancelled, AttemptOutcome::Cancelled),
+                    How::Errored => (tap::TapOutcome::Errored, AttemptOutcome::Errored),
                     // A newer streamer's word: it may have run.
-                    How::Unspecified => (tap::How::Errored, Ending::Unknown),
+                    How::Unspecified => (tap::TapOutcome::Errored, AttemptOutcome::Unknown),
                 };
                 let Some(held) = self.held.get(&ended.id).filter(|held| held.at == at) else { return };
                 let out = held.out.as_ref().map(|out| out.number);
@@ -606,37 +620,41 @@
                     return;
                 }
                 let ask = held.ask.clone();
-                self.effects.push(Effect::Tap(What::Heard { ask, shot: ended.shot, how }));
+                self.effects.push(Effect::Tap(TapEvent::OutcomeReceived {
+                    request_id: ask,
+                    attempt: ended.shot,
+                    outcome: how,
+                }));
                 self.ended(now, ended.id, ending, load(&ended.cmsd_dynamic));
             }
-            Told::Rung(rung) => {
+            StreamerMessage::Rung(rung) => {
                 if let Some(handle) = self.plays_at(at, rung.id) {
-                    handle.at_rung(&mut self.module, now, rung.rung as usize);
+                    handle.rung_reported(&mut self.module, now, rung.rung as usize);
                 }
             }
-            Told::Short(short) => {
+            StreamerMessage::Short(short) => {
                 if let Some(handle) = self.plays_at(at, short.id).filter(|_| short.share.is_finite()) {
-                    handle.short(&mut self.module, now, short.share.clamp(0.0, 1.0));
+                    handle.shortfall_reported(&mut self.module, now, short.share.clamp(0.0, 1.0));
                 }
             }
-            Told::Fullness(fullness) => {
+            StreamerMessage::Fullness(fullness) => {
                 if let Some(handle) = self.plays_at(at, fullness.id) {
-                    handle.load(&mut self.module, now, load(&fullness.cmsd_dynamic));
+                    handle.load_reported(&mut self.module, now, load(&fullness.cmsd_dynamic));
                 }
             }
-            Told::Looked(looked) => {
+            StreamerMessage::Looked(looked) => {
                 let known = &mut self.known[at];
                 if known.looking.is_some_and(|(nonce, _)| nonce == looked.nonce) {
                     known.looking = None;
                     let name = known.entry.streamer.clone();
-                    self.module.looked(now, &name, true, load(&looked.cmsd_dynamic));
+                    self.module.probe_finished(now, &name, true, load(&looked.cmsd_dynamic));
                 }
             }
-            Told::Pong(pong) => {
+            StreamerMessage::Pong(pong) => {
                 let on = Connection { link: at as u64, dial };
                 self.learn_evidence(now, on, Evidence::TestPassed { test: pong.nonce });
             }
-            Told::Welcome(_) => {}
+            StreamerMessage::Welcome(_) => {}
         }
         self.carry_out(now);
     }
@@ -655,7 +673,7 @@
         }
         if self.wake.is_some_and(|wake| wake <= now) {
             self.wake = None;
-            self.module.wake(now);
+            self.module.tick(now);
         }
         self.carry_out(now);
     }
@@ -678,14 +696,14 @@
             if late {
                 self.known[at].looking = None;
                 let name = self.known[at].entry.streamer.clone();
-                self.module.looked(now, &name, false, Load::default());
+                self.module.probe_finished(now, &name, false, Load::default());
             }
         }
     }
 
     fn dial(&mut self, now: Point, at: usize) {
         let dial = self.known[at].link.start_dial(now, self.terms.dial_timeout);
-        let list::Entry { streamer, address, .. } = self.known[at].entry.clone();
+        let list::ListEntry { streamer, address, .. } = self.known[at].entry.clone();
         self.effects.push(Effect::Dial { at, dial, streamer, address });
     }
 
@@ -700,12 +718,12 @@
         link.is_some_and(|link| link.dial == dial && (link.is_up() || link.is_dialling()))
     }
 
-    fn plays_at(&self, at: usize, id: u32) -> Option<Handle> {
+    fn plays_at(&self, at: usize, id: u32) -> Option<SessionHandle> {
         self.held.get(&id).filter(|held| held.playing && held.at == at).map(|held| held.handle)
     }
 
     /// Puts an order that is no set-up on a link; where it can't go, the link's end is the streamer's news.
-    fn order(&mut self, now: Point, at: usize, order: Order) {
+    fn order(&mut self, now: Point, at: usize, order: ControllerMessage) {
         let Some(known) = self.known.get_mut(at).filter(|known| known.link.is_up()) else { return };
         if !known.link.push(Queued { order, shot: None, not_after: None }) {
             // It takes no orders any more: to go on would leave it with streams that it does not know to end.
@@ -753,31 +771,31 @@
     /// Does what the module left to be done, until nothing is left.
     fn carry_out(&mut self, now: Point) {
         loop {
-            let mut results = std::mem::take(&mut self.module.results);
-            self.wake = results.wake.or(self.wake);
+            let mut results = std::mem::take(&mut self.module.actions);
+            self.wake = results.next_tick.or(self.wake);
             let nothing = results == Default::default();
-            for (id, rung) in results.rungs.drain(..) {
+            for (id, rung) in results.rung_changes.drain(..) {
                 self.set_rung(now, id, rung);
             }
-            for shot in results.shots.drain(..) {
+            for shot in results.attempts.drain(..) {
                 self.shoot(now, &shot);
             }
-            for (id, after) in results.turned_back.drain(..) {
+            for (id, after) in results.rejected.drain(..) {
                 let Some(held) = self.held.remove(&id) else { continue };
                 self.explain(now, "turned back", &held);
                 let retry_after_s = after.map(Span::seconds);
-                let answer = Answer::TurnedBack { ask: held.ask, retry_after_s };
+                let answer = PlayResponse::Rejected { request_id: held.ask, retry_after_s };
                 self.answer(id, answer, held.lane, held.shots);
             }
-            for id in results.scrapped.drain(..) {
+            for id in results.failed.drain(..) {
                 let Some(held) = self.held.remove(&id) else { continue };
                 self.explain(now, "scrapped", &held);
-                self.answer(id, Answer::Scrapped { ask: held.ask }, held.lane, held.shots);
+                self.answer(id, PlayResponse::Failed { request_id: held.ask }, held.lane, held.shots);
             }
             for id in results.moved.drain(..) {
-                self.end(now, id, Why::Moved, Over::Moved);
+                self.end(now, id, Why::Moved, EndReason::Moved);
             }
-            for streamer in results.looks.drain(..) {
+            for streamer in results.probes.drain(..) {
                 self.look_at(now, &streamer);
             }
             if nothing {
@@ -801,21 +819,21 @@
         );
     }
 
-    fn answer(&mut self, id: u32, answer: Answer, lane: usize, shots: u32) {
+    fn answer(&mut self, id: u32, answer: PlayResponse, lane: usize, shots: u32) {
         let (kind, place, ask) = match &answer {
-            Answer::Plays { ask, .. } => (Kind::Plays, 0, ask.clone()),
-            Answer::TurnedBack { ask, .. } => (Kind::TurnedBack, 1, ask.clone()),
-            Answer::Scrapped { ask } => (Kind::Scrapped, 2, ask.clone()),
+            PlayResponse::Plays { request_id: ask, .. } => (ResponseKind::Plays, 0, ask.clone()),
+            PlayResponse::Rejected { request_id: ask, .. } => (ResponseKind::Rejected, 1, ask.clone()),
+            PlayResponse::Failed { request_id: ask } => (ResponseKind::Failed, 2, ask.clone()),
             // What was not taken never comes here.
-            Answer::NotTaken { .. } => return,
+            PlayResponse::NotAccepted { .. } => return,
         };
         self.answered[place] += 1;
-        self.effects.push(Effect::Tap(What::Answered { ask, kind }));
+        self.effects.push(Effect::Tap(TapEvent::ResponseSent { request_id: ask, kind }));
         let suggested_kbps = match &answer {
-            Answer::Plays { rate_kb, .. } => Some((rate_kb * 8.0).round() as u64),
+            PlayResponse::Plays { rate_kb, .. } => Some((rate_kb * 8.0).round() as u64),
             _ => None,
         };
-        let duress = kind != Kind::Plays;
+        let duress = kind != ResponseKind::Plays;
         self.effects.push(Effect::Answer { id, answer, suggested_kbps, duress, lane, shots });
     }
 
@@ -827,9 +845,9 @@
         }
         let (at, lane) = (held.at, held.lane);
         let rate_kb = self.rate_kb(lane, rung);
-        self.effects.push(Effect::News { id, news: News::Rung { rung, rate_kb } });
+        self.effects.push(Effect::News { id, news: SessionEvent::RungChanged { rung, rate_kb } });
         let order = SetRung { id, rung: rung as u32, rate_kb: rate_kb.round() as u32 };
-        self.order(now, at, Order::SetRung(order));
+        self.order(now, at, ControllerMessage::SetRung(order));
     }
 
     /// Looks at a streamer, once for all who wait for it.
@@ -844,7 +862,8 @@
         self.nonce += 1;
         let (nonce, until) = (self.nonce, now + self.terms.look_timeout);
         self.known[at].looking = Some((nonce, until));
-        let order = Queued { order: Order::Look(Look { nonce }), shot: None, not_after: Some(until) };
+        let order =
+            Queued { order: ControllerMessage::Look(Look { nonce }), shot: None, not_after: Some(until) };
         let link = &mut self.known[at].link;
         let possible = link.is_up() || link.is_dialling();
         if !possible || !link.push(order) {
@@ -856,27 +875,31 @@
 }
 
 impl Known {
-    fn line(&self) -> Line {
-        let started = self.entry.started.unwrap_or(0.0).max(self.welcomed.unwrap_or(0.0));
-        Line {
+    fn line(&self) -> StreamerEntry {
+        let started = self.entry.started_at.unwrap_or(0.0).max(self.welcomed.unwrap_or(0.0));
+        StreamerEntry {
             streamer: self.entry.streamer.clone(),
             zone: self.entry.zone.clone(),
             kind: self.entry.kind.clone(),
             cell: self.entry.cell,
-            stage: match self.entry.stage {
-                list::Stage::Ready => Stage::Ready,
-                list::Stage::Draining => Stage::Draining,
-                list::Stage::Gone => Stage::Gone,
+            state: match self.entry.state {
+                list::StreamerState::Ready => StreamerState::Ready,
+                list::StreamerState::Draining => StreamerState::Draining,
+                list::StreamerState::Gone => StreamerState::Gone,
             },
             weight: self.entry.weight,
-            started: (started > 0.0).then(|| Point::at(started)),
+            started_at: (started > 0.0).then(|| Point::at(started)),
         }
     }
 }
 
 /// The load report in a CMSD-Dynamic value; nothing where there is none or it is not valid.
 fn load(cmsd_dynamic: &str) -> Load {
-    let Some(dynamic) = Dynamic::read(cmsd_dynamic) else { return Load::default() };
+    let Some(dynamic) = CmsdDynamic::parse(cmsd_dynamic) else { return Load::default() };
     let sane = |value: Option<f64>| value.filter(|v| v.is_finite() && *v >= 0.0);
-    Load { streams: sane(dynamic.streams), link: sane(dynamic.link), rack: sane(dynamic.rack) }
+    Load {
+        streams: sane(dynamic.streams),
+        link_utilization: sane(dynamic.link_utilization),
+        uplink_utilization: sane(dynamic.uplink_utilization),
+    }
 }
--- a/crates/lemontide-front/src/guard.rs
+++ b/crates/lemontide-front/src/guard.rs
@@ -10,8 +10,8 @@
 use lemontide_shed::memory::MemoryStage;
 use lemontide_shed::shedder::{IncomingRequest, LoadShedder, LoadShedderSettings, LoadSnapshot};
 use lemontide_wire::clock::Clock;
-use lemontide_wire::hint::Hint;
-use lemontide_wire::play::Wish;
+use lemontide_wire::hint::RequestHint;
+use lemontide_wire::play::PlayRequest;
 use nix::time::{clock_gettime, ClockId};
 use procfs::process::Process;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -89,15 +89,15 @@
     }
 
     /// A wish by its hint, before it is read: the wait in seconds where it is turned back.
-    pub fn hinted(&self, hint: &Hint) -> Option<Span> {
+    pub fn hinted(&self, hint: &RequestHint) -> Option<Span> {
         // A lane that nobody named is the driver's to refuse.
-        let lane = self.lanes.iter().position(|(name, _)| *name == hint.lane)?;
+        let lane = self.lanes.iter().position(|(name, _)| *name == hint.class)?;
         let now = self.clock.now();
         let asked = IncomingRequest {
             class: lane,
             tenant: &hint.tenant,
-            is_retry: hint.returned,
-            time_left: self.left(lane, now, hint.within, now),
+            is_retry: hint.is_retry,
+            time_left: self.left(lane, now, hint.give_up_in_s, now),
             was_held: false,
             decide_now: true,
         };
@@ -111,15 +111,15 @@
     }
 
     /// A wish that was read at `asked` seconds; `held` where it is asked about once more.
-    pub fn judge(&self, asked: f64, wish: &Wish, held: bool) -> Decision {
-        let Some(lane) = self.lanes.iter().position(|(name, _)| *name == wish.lane) else {
+    pub fn judge(&self, asked: f64, wish: &PlayRequest, held: bool) -> Decision {
+        let Some(lane) = self.lanes.iter().position(|(name, _)| *name == wish.class) else {
             return Decision::Admit;
         };
         let now = self.clock.now();
         let asked = IncomingRequest {
             class: lane,
             tenant: &wish.tenant,
-            is_retry: wish.returned,
+            is_retry: wish.is_retry,
             time_left: self.left(lane, asked, wish.give_up_in_s, now),
             was_held: held,
             decide_now: false,
--- a/crates/lemontide-platform/src/codec.rs
+++ b/crates/lemontide-platform/src/codec.rs
@@ -199,7 +199,7 @@
         let mut load = Load::default();
         for (name, value) in self.text(code::LOAD).into_iter().flat_map(pairs) {
             let value = value.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0);
-            lemontide_sheet::figure(&mut load, name, value);
+            lemontide_settings::read_load_field(&mut load, name, value);
         }
         load
     }
@@ -418,7 +418,7 @@
 }
 
 fn put_load(put: &mut impl FnMut(u8, &[u8]), load: &Load) {
-    let named = [("busy_reqs", load.streams), ("x0", load.link), ("x1", load.rack)];
+    let named = [("busy_reqs", load.streams), ("x0", load.link_utilization), ("x1", load.uplink_utilization)];
     let told = named.iter().filter_map(|(name, value)| Some(format!("{name}:{}", (*value)?)));
     let text = told.collect::<Vec<_>>().join(";");
     if !text.is_empty() {
--- a/crates/lemontide-platform/src/dispatcher.rs
+++ b/crates/lemontide-platform/src/dispatcher.rs
@@ -21,8 +21,10 @@
 use bytes::Bytes;
 use ended::EndedSessions;
 use lemontide::clock::{Point, Span};
-use lemontide::control::{Controller, Handle};
-use lemontide::interface::{Ending, Line, Load, Sheet, Shot, Stage, Value, Wish};
+use lemontide::control::{Controller, SessionHandle};
+use lemontide::interface::{
+    AttemptOutcome, ControllerSettings, Load, NewAttempt, Request, SettingValue, StreamerEntry, StreamerState,
+};
 use lemontide_front::core::{Connection, Evidence, GivenUp, Link, Proof, Queued, Verdict};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -169,7 +171,7 @@
 /// A wish or subscription in hand.
 struct Held {
     session: u64,
-    handle: Handle,
+    handle: SessionHandle,
     conn: u64,
     /// Until it is answered.
     reply: Option<PendingReply>,
@@ -197,7 +199,7 @@
     /// A request or session of this connection and number, read then and to be sent on until then.
     fn new(
         (conn, session): (u64, u64),
-        handle: Handle,
+        handle: SessionHandle,
         reply: Option<PendingReply>,
         set_up: SetUp,
         (read, until): (Point, Point),
@@ -358,12 +360,12 @@
 }
 
 impl Dispatcher {
-    pub fn start(now: Point, seed: u64, sheet: &Sheet, terms: Terms) -> Dispatcher {
+    pub fn start(now: Point, seed: u64, sheet: &ControllerSettings, terms: Terms) -> Dispatcher {
         // No message here brings what a look would. Guards against wishes that wait for looks that never come back.
         let mut sheet = sheet.clone();
-        sheet.insert("looks.allowed".to_owned(), Value::Flag(false));
+        sheet.insert("looks.allowed".to_owned(), SettingValue::Flag(false));
         Dispatcher {
-            module: Controller::start(now, seed, &sheet),
+            module: Controller::new(now, seed, &sheet),
             terms,
             known: BTreeMap::new(),
             wires: BTreeMap::new(),
@@ -454,7 +456,7 @@
         }
         if self.wake.is_some_and(|wake| wake <= now) {
             self.wake = None;
-            self.module.wake(now);
+            self.module.tick(now);
         }
         self.carry_out(now);
         self.answer_overdue(now);
--- a/crates/lemontide-sheet/tests/settings.rs
+++ b/crates/lemontide-settings/tests/settings.rs
@@ -1,7 +1,7 @@
-//! Settings become the module's map, or an error that names the place and the remedy.
+//! Nested settings are parsed into the controller's map, or give an error that names the setting and the remedy.
 
-use lemontide::interface::{flag, number, text};
-use lemontide_sheet::sheet;
+use lemontide::interface::{get_flag, get_number, get_text};
+use lemontide_settings::parse_settings;
 use serde_json::{json, Value as Json};
 
 /// Usable settings of two lanes, as a controller is handed them.
@@ -29,11 +29,20 @@
 
 #[test]
 fn usable_settings_are_spelled_out_and_unknown_ones_skipped() {
-    let sheet = sheet(&settings()).expect("usable");
-    assert_eq!((number(&sheet, "lane_seats.1"), number(&sheet, "lane_scale.1")), (Some(2.0), Some(1.5)));
-    assert_eq!((number(&sheet, "ladder.join"), text(&sheet, "lanes.1.repeat")), (Some(0.2), Some("paid")));
-    assert!(flag(&sheet, "lane_live.0") && !flag(&sheet, "lane_live.1"));
-    assert!(!flag(&sheet, "looks.allowed") && !flag(&sheet, "list.on_request"), "an absent yes is a no");
+    let parsed = parse_settings(&settings()).expect("usable");
+    assert_eq!(
+        (get_number(&parsed, "lane_seats.1"), get_number(&parsed, "lane_scale.1")),
+        (Some(2.0), Some(1.5))
+    );
+    assert_eq!(
+        (get_number(&parsed, "ladder.join"), get_text(&parsed, "lanes.1.repeat")),
+        (Some(0.2), Some("paid"))
+    );
+    assert!(get_flag(&parsed, "lane_live.0") && !get_flag(&parsed, "lane_live.1"));
+    assert!(
+        !get_flag(&parsed, "looks.allowed") && !get_flag(&parsed, "list.on_request"),
+        "an absent yes is a no"
+    );
 }
 
 #[test]
@@ -44,8 +53,8 @@
         ("probe", json!(["x0"]), "looks"),
         ("none", json!([]), "never"),
     ] {
-        let sheet = sheet(&with("/report", json!({"how": how, "names": names}))).expect("usable");
-        assert_eq!(text(&sheet, "links.told"), Some(told), "{how}");
+        let parsed = parse_settings(&with("/report", json!({"how": how, "names": names}))).expect("usable");
+        assert_eq!(get_text(&parsed, "links.told"), Some(told), "{how}");
     }
 }
 
@@ -70,8 +79,8 @@
         ("/policy_limits/retry_after", json!(true), "policy_limits.max_retry_after: it is missing beside"),
         ("/report/how", json!("rumour"), "report.how: missing or not known; give"),
     ] {
-        let error = sheet(&with(place, value)).expect_err(place);
+        let error = parse_settings(&with(place, value)).expect_err(place);
         assert!(error.starts_with(named), "{error}");
     }
-    assert!(sheet(&json!([])).is_err());
+    assert!(parse_settings(&json!([])).is_err());
 }
--- a/crates/lemontide-standin/src/soak/front.rs
+++ b/crates/lemontide-standin/src/soak/front.rs
@@ -104,7 +104,7 @@
     let finished = run::run(day, how).await?;
     let mut lines = Vec::new();
     for file in finished.taps.iter().filter(|file| file.exists()) {
-        lines.extend(tap::read(file)?);
+        lines.extend(tap::read_records(file)?);
     }
     let verdict = judge(&lines).ok_or_else(|| io::Error::other("the taps state no terms"))?;
     let result = if verdict.is_clean() { "no rule broken" } else { "a rule broken" };
