--- a/crates/lemontide-wire/src/hint.rs
+++ b/crates/lemontide-wire/src/hint.rs
@@ -1,6 +1,6 @@
-//! `Lemontide-Wish`: what a player may say of its wish in the head of the request, so that a controller near its
-//! limit can turn it back before it reads any further. A structured dictionary (RFC 9651):
-//! `lane=paid, tenant="office", returned, within=2.5`. The wish itself must agree with it.
+//! `Lemontide-Wish`: a header in which a player may describe its request, so that a controller near its limit can
+//! reject it before it reads any further. A structured dictionary (RFC 9651):
+//! `lane=paid, tenant="office", returned, within=2.5`. The body must agree with it.
 
 use sfv::{BareItem, Dictionary, ListEntry, Parser};
 
@@ -18,7 +18,7 @@
 }
 
 impl RequestHint {
-    /// Reads a header's value. None where it is not valid or names no lane; unknown keys are skipped.
+    /// Reads a header's value. None where it is not valid or names no class; unknown keys are skipped.
     pub fn parse(value: &[u8]) -> Option<RequestHint> {
         if value.len() > MAX_HINT_BYTES {
             return None;
--- a/crates/lemontide-wire/src/tap.rs
+++ b/crates/lemontide-wire/src/tap.rs
@@ -1,4 +1,4 @@
-//! Taps: what every socket end saw, as JSON lines on one clock. The judge reads nothing else.
+//! Taps: what every socket endpoint saw, as JSON lines on one clock. The judge reads nothing else.
 
 use crate::clock::Clock;
 use crate::list::{ListEntry, StreamerState};
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// One line. `at` is in seconds of the wall clock, `end` names the socket end.
+/// One line of a tap. `at` is in seconds of the wall clock, `endpoint` names the socket endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TapRecord {
     pub at: f64,
@@ -26,7 +26,7 @@
     Rejected,
     #[serde(rename = "scrapped")]
     Failed,
-    /// Refused before it was taken, as a wish that is not valid.
+    /// Not accepted at all, as an invalid request.
     #[serde(rename = "not_taken")]
     NotAccepted,
     /// No answer came: the connection failed.
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum TapEvent {
-    // The day: its terms, and what was done to the controllers' processes.
+    // The day: its rules, and what was done to the controllers' processes.
     #[serde(rename = "terms")]
     Rules {
         #[serde(rename = "terms")]
@@ -83,12 +83,12 @@
         version: u64,
         entries: Vec<ListEntry>,
     },
-    // The controller's end.
+    // The controller's endpoint.
     #[serde(rename = "up")]
     ControllerStarted {
         controller: usize,
     },
-    /// The list as this controller was told it: one line a change.
+    /// A change of the list that reached this controller: one record for each.
     #[serde(rename = "told")]
     ListChangeReceived {
         streamer: String,
@@ -107,7 +107,7 @@
         #[serde(rename = "cut_off")]
         deadline: f64,
     },
-    /// Just before a set-up is handed to the socket.
+    /// Just before an attempt is written to the socket.
     #[serde(rename = "sent")]
     AttemptSent {
         #[serde(rename = "ask")]
@@ -120,7 +120,7 @@
         title: String,
         rung: usize,
     },
-    /// An outcome that came back for a shot, or the moment at which the controller stopped waiting for it.
+    /// The outcome of an attempt that came back.
     #[serde(rename = "heard")]
     OutcomeReceived {
         #[serde(rename = "ask")]
@@ -130,6 +130,7 @@
         #[serde(rename = "how")]
         outcome: TapOutcome,
     },
+    /// The controller stopped waiting for an attempt.
     #[serde(rename = "gave_up")]
     AttemptAbandoned {
         #[serde(rename = "ask")]
@@ -158,7 +159,7 @@
         request_id: String,
         kind: ResponseKind,
     },
-    // The streamer's end.
+    // The streamer's endpoint.
     #[serde(rename = "born")]
     StreamerStarted {
         streamer: String,
@@ -205,7 +206,7 @@
         class: String,
         rung: usize,
     },
-    /// What a subscription got in the last second: seconds played, at this part of its rate.
+    /// What a session got in the last second: seconds played, at this part of its rate.
     #[serde(rename = "given")]
     Delivered {
         streamer: String,
@@ -219,7 +220,7 @@
     StreamerCrashed {
         streamer: String,
     },
-    // The player's end.
+    // The player's endpoint.
     #[serde(rename = "ask")]
     RequestSent {
         #[serde(rename = "ask")]
@@ -256,7 +257,7 @@
 /// The rules in figures, as the day states them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct JudgeRules {
-    /// How long after its cut-off an answer still counts as in time, in seconds.
+    /// How long after its deadline a response still counts as in time.
     #[serde(rename = "answer_slack")]
     pub answer_slack_s: f64,
     #[serde(rename = "drain_grace")]
