--- a/crates/lemontide-platform/src/dispatcher/ended.rs
+++ b/crates/lemontide-platform/src/dispatcher/ended.rs
@@ -5,9 +5,9 @@
 use std::collections::{HashSet, VecDeque};
 
 /// A streamer may say a release again for so long.
-const RELEASED_AGAIN_FOR: Span = Span::of_millis(8000);
+const REPEATED_RELEASE_PERIOD: Span = Span::of_millis(8000);
 /// Sessions that are remembered at most.
-const SESSIONS_MOST: usize = 8192;
+const MAX_SESSIONS: usize = 8192;
 
 /// The sessions that ended within the last 8 s, 8,192 at most: the oldest is forgotten first.
 #[derive(Default)]
@@ -22,8 +22,8 @@
             return;
         }
         self.by_age.push_back((now, session));
-        if self.by_age.len() > SESSIONS_MOST {
-            self.forget_oldest();
+        if self.by_age.len() > MAX_SESSIONS {
+            self.remove_oldest();
         }
     }
 
@@ -32,13 +32,13 @@
     }
 
     /// Forgets the sessions whose streamers say nothing of them any more.
-    pub(super) fn forget_old(&mut self, now: Point) {
-        while self.by_age.front().is_some_and(|(since, _)| now > *since + RELEASED_AGAIN_FOR) {
-            self.forget_oldest();
+    pub(super) fn remove_expired(&mut self, now: Point) {
+        while self.by_age.front().is_some_and(|(since, _)| now > *since + REPEATED_RELEASE_PERIOD) {
+            self.remove_oldest();
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         if let Some((_, session)) = self.by_age.pop_front() {
             self.sessions.remove(&session);
         }
--- a/crates/lemontide-platform/src/dispatcher/list.rs
+++ b/crates/lemontide-platform/src/dispatcher/list.rs
@@ -4,98 +4,103 @@
 
 impl Dispatcher {
     /// Takes news of the list. What waits for a streamer that drains or is gone is taken back at once.
-    pub fn learn(&mut self, now: Point, hosts: &Hosts) {
-        let mut lines: Vec<StreamerEntry> = hosts.servers.iter().map(Entry::line).collect();
+    pub fn update_list(&mut self, now: Point, hosts: &Hosts) {
+        let mut entries: Vec<StreamerEntry> = hosts.servers.iter().map(Entry::line).collect();
         for entry in &hosts.servers {
-            self.learn_of(now, entry);
+            self.update_entry(now, entry);
         }
         if hosts.full {
-            let named = |known: &Known| hosts.servers.iter().any(|entry| entry.id == known.entry.id);
-            let gone = self.known.values().filter(|known| !named(known));
-            let gone: Vec<Entry> = gone.map(|k| Entry { state: String::new(), ..k.entry.clone() }).collect();
+            let is_listed =
+                |known: &KnownStreamer| hosts.servers.iter().any(|entry| entry.id == known.entry.id);
+            let gone = self.streamers.values().filter(|known| !is_listed(known));
+            let gone: Vec<Entry> =
+                gone.map(|known| Entry { state: String::new(), ..known.entry.clone() }).collect();
             for entry in &gone {
-                self.learn_of(now, entry);
+                self.update_entry(now, entry);
             }
-            lines.extend(gone.iter().map(Entry::line));
+            entries.extend(gone.iter().map(Entry::line));
         }
-        self.module.update_list(now, &lines, hosts.full);
-        self.carry_out(now);
-        let names: Vec<Arc<str>> = self.known.keys().cloned().collect();
-        for at in names {
-            self.take_back(now, &at);
-            self.forget(now, &at);
+        self.controller.update_list(now, &entries, hosts.full);
+        self.apply_actions(now);
+        let names: Vec<Arc<str>> = self.streamers.keys().cloned().collect();
+        for streamer in names {
+            self.withdraw_waiting_at(now, &streamer);
+            self.remove_if_gone(now, &streamer);
         }
-        self.look_after_links(now, Span::ZERO);
-        self.carry_out(now);
+        self.check_links(now, Span::ZERO);
+        self.apply_actions(now);
     }
 
-    pub(super) fn learn_of(&mut self, now: Point, entry: &Entry) {
-        let Some(known) = self.known.get_mut(&*entry.id) else {
+    pub(super) fn update_entry(&mut self, now: Point, entry: &Entry) {
+        let Some(known) = self.streamers.get_mut(&*entry.id) else {
             if entry.stage() != StreamerState::Gone {
-                let known = Known { entry: entry.clone(), links: Vec::new(), dark: None };
-                self.known.insert(entry.id.as_str().into(), known);
+                let known =
+                    KnownStreamer { entry: entry.clone(), link_ids: Vec::new(), unreachable_since: None };
+                self.streamers.insert(entry.id.as_str().into(), known);
             }
             return;
         };
         let before = std::mem::replace(&mut known.entry, entry.clone());
         if before.addr != entry.addr {
             // The process at the old address is not the one that the list means.
-            for link in known.links.clone() {
-                self.hang(now, link, Loss::Refused, CloseReason::AddressChanged);
+            for link in known.link_ids.clone() {
+                self.close_link(now, link, ConnectionLoss::Refused, CloseReason::AddressChanged);
             }
         }
         if let Some(started) = entry.started().filter(|_| before.started() != entry.started()) {
             // A new process: what stood in the old one is over.
-            self.cut(now, &entry.id, |since| since < started);
+            self.end_sessions_at(now, &entry.id, |since| since < started);
         }
     }
 
     /// Takes back what waits for a streamer that gets nothing new any more.
-    pub(super) fn take_back(&mut self, now: Point, at: &str) {
-        let Some(known) = self.known.get(at) else { return };
-        let stage = known.entry.stage();
-        for link in known.links.clone() {
-            let Some(wire) = self.wires.get_mut(&link) else { continue };
-            wire.link.wanted = stage != StreamerState::Gone;
-            if stage != StreamerState::Ready {
-                let shots = self.withdraw_waiting(link);
-                self.never_began(now, shots, AttemptOutcome::NotSent);
+    pub(super) fn withdraw_waiting_at(&mut self, now: Point, streamer: &str) {
+        let Some(known) = self.streamers.get(streamer) else { return };
+        let state = known.entry.stage();
+        for link in known.link_ids.clone() {
+            let Some(streamer_link) = self.links.get_mut(&link) else { continue };
+            streamer_link.link.wanted = state != StreamerState::Gone;
+            if state != StreamerState::Ready {
+                let attempts = self.withdraw_waiting(link);
+                self.end_unbegun(now, attempts, AttemptOutcome::NotSent);
             }
         }
     }
 
     /// Lets go of a streamer that is gone, once nothing is left of it.
-    pub(super) fn forget(&mut self, now: Point, at: &str) {
-        let Some(known) = self.known.get(at).filter(|known| known.entry.stage() == StreamerState::Gone)
+    pub(super) fn remove_if_gone(&mut self, now: Point, streamer: &str) {
+        let Some(known) =
+            self.streamers.get(streamer).filter(|known| known.entry.stage() == StreamerState::Gone)
         else {
             return;
         };
-        let up = |link: &u64| self.wires.get(link).is_some_and(|wire| wire.link.is_up());
-        let links = known.links.clone();
-        if !links.iter().any(up) {
+        let is_up = |link: &u64| self.links.get(link).is_some_and(|streamer_link| streamer_link.link.is_up());
+        let links = known.link_ids.clone();
+        if !links.iter().any(is_up) {
             // Its address may be another's by now: nobody is asked there, and nobody will tell.
-            self.cut(now, at, |_| true);
+            self.end_sessions_at(now, streamer, |_| true);
         }
-        if self
-            .held
-            .values()
-            .any(|held| &*held.at == at && (held.playing.is_some() || held.attempt.is_some()))
-        {
+        if self.sessions.values().any(|tracked| {
+            &*tracked.streamer == streamer && (tracked.playing_since.is_some() || tracked.attempt.is_some())
+        }) {
             return;
         }
         for link in links {
-            self.hang(now, link, Loss::Broke, CloseReason::StreamerGone);
-            self.wires.remove(&link);
+            self.close_link(now, link, ConnectionLoss::Disconnected, CloseReason::StreamerGone);
+            self.links.remove(&link);
         }
-        self.known.remove(at);
+        self.streamers.remove(streamer);
     }
 
     /// What stands at a streamer since a moment that `when` picks is over, though nobody could say so.
-    pub(super) fn cut(&mut self, now: Point, at: &str, when: impl Fn(Point) -> bool) {
-        let there = |held: &Held| &*held.at == at && held.playing.is_some_and(&when);
-        let ids: Vec<u32> = self.held.iter().filter(|(_, held)| there(held)).map(|(id, _)| *id).collect();
+    pub(super) fn end_sessions_at(&mut self, now: Point, streamer: &str, when: impl Fn(Point) -> bool) {
+        let is_there = |tracked: &TrackedSession| {
+            &*tracked.streamer == streamer && tracked.playing_since.is_some_and(&when)
+        };
+        let ids: Vec<u32> =
+            self.sessions.iter().filter(|(_, tracked)| is_there(tracked)).map(|(id, _)| *id).collect();
         for id in ids {
-            self.stream_over(now, id, AttemptOutcome::ConnectionLost, Load::default());
+            self.end_session(now, id, AttemptOutcome::ConnectionLost, Load::default());
         }
     }
 }
--- a/crates/lemontide-platform/src/dispatcher/unanswered.rs
+++ b/crates/lemontide-platform/src/dispatcher/unanswered.rs
@@ -18,84 +18,86 @@
 impl Dispatcher {
     /// Nothing more is read on a client's connection. What is open on it is answered without another attempt; where the
     /// client may still wait for it, an attempt that is out may end by itself.
-    pub fn input_over(&mut self, now: Point, conn: u64, why: InputEnd) {
-        let Some(from) = self.conns.get_mut(&conn) else { return };
-        from.is_draining = true;
+    pub fn on_input_end(&mut self, now: Point, conn: u64, why: InputEnd) {
+        let Some(viewer_connection) = self.viewer_connections.get_mut(&conn) else { return };
+        viewer_connection.is_draining = true;
         for reply in self.take_undecided_on(conn) {
-            let turned_back = viewers::turned_back(self.module.retry_after());
-            self.answer(reply, turned_back, None);
+            let rejection = viewers::rejection(self.controller.retry_after());
+            self.answer(reply, rejection, None);
         }
         for id in self.unanswered_on(conn) {
-            let attempt = self.held.get(&id).and_then(|held| held.attempt.as_ref());
+            let attempt = self.sessions.get(&id).and_then(|tracked| tracked.attempt.as_ref());
             let is_out =
                 attempt.is_some_and(|attempt| attempt.given_up.is_none() && attempt.permit.has_begun());
             if why == InputEnd::HalfClosed && is_out {
-                self.allow_no_other_attempt(now, id);
+                self.stop_retrying(now, id);
             } else {
-                self.conclude(now, id);
+                self.answer_at_once(now, id);
             }
         }
-        self.carry_out(now);
+        self.apply_actions(now);
     }
 
     /// Takes the requests of a connection that are not decided; their replies. What is handed over on it stays: it stands, and
     /// asks for no answer.
     pub(super) fn take_undecided_on(&mut self, conn: u64) -> Vec<PendingReply> {
-        let all = std::mem::take(&mut self.asked);
-        let is_request = |asked: &Asked| asked.conn == conn && asked.reply.is_some();
-        let (requests, others): (VecDeque<Asked>, _) = all.into_iter().partition(is_request);
-        self.asked = others;
-        if let Some(from) = self.conns.get_mut(&conn) {
-            from.asked = from.asked.saturating_sub(requests.len());
+        let all = std::mem::take(&mut self.undecided);
+        let is_request = |waiting: &UndecidedSetUp| waiting.conn == conn && waiting.reply.is_some();
+        let (requests, others): (VecDeque<UndecidedSetUp>, _) = all.into_iter().partition(is_request);
+        self.undecided = others;
+        if let Some(viewer_connection) = self.viewer_connections.get_mut(&conn) {
+            viewer_connection.undecided = viewer_connection.undecided.saturating_sub(requests.len());
         }
-        requests.into_iter().filter_map(|asked| asked.reply).collect()
+        requests.into_iter().filter_map(|waiting| waiting.reply).collect()
     }
 
     /// The requests in hand on a connection that are owed an answer.
     pub(super) fn unanswered_on(&self, conn: u64) -> Vec<u32> {
-        let on_it = |held: &Held| held.conn == conn && held.reply.is_some();
-        self.held.iter().filter(|(_, held)| on_it(held)).map(|(id, _)| *id).collect()
+        let on_it = |tracked: &TrackedSession| tracked.conn == conn && tracked.reply.is_some();
+        self.sessions.iter().filter(|(_, tracked)| on_it(tracked)).map(|(id, _)| *id).collect()
     }
 
-    fn allow_no_other_attempt(&mut self, now: Point, id: u32) {
-        if let Some(held) = self.held.get(&id) {
-            held.handle.stop_retrying(&mut self.module, now);
+    fn stop_retrying(&mut self, now: Point, id: u32) {
+        if let Some(tracked) = self.sessions.get(&id) {
+            tracked.handle.stop_retrying(&mut self.controller, now);
         }
     }
 
     /// Ends the attempt of a request in hand, if one is out, and gives the request its answer at once.
-    fn conclude(&mut self, now: Point, id: u32) {
-        self.allow_no_other_attempt(now, id);
-        let attempt = self.held.get_mut(&id).and_then(|held| held.attempt.take());
-        if let Some((attempt, held)) = attempt.and_then(|attempt| Some((attempt, self.held.remove(&id)?))) {
-            let ending = self.abandon(now, id, &held, attempt);
-            self.held.insert(id, held);
-            self.tell_ended(now, id, ending, Load::default());
+    fn answer_at_once(&mut self, now: Point, id: u32) {
+        self.stop_retrying(now, id);
+        let attempt = self.sessions.get_mut(&id).and_then(|tracked| tracked.attempt.take());
+        if let Some((attempt, tracked)) =
+            attempt.and_then(|attempt| Some((attempt, self.sessions.remove(&id)?)))
+        {
+            let ending = self.abandon(now, id, &tracked, attempt);
+            self.sessions.insert(id, tracked);
+            self.report_ended(now, id, ending, Load::default());
         }
-        self.carry_out(now);
-        if self.held.get(&id).is_some_and(|held| held.reply.is_some()) {
-            self.finish(now, id, Body::release(cause::BROKEN), Outcome::Failed);
+        self.apply_actions(now);
+        if self.sessions.get(&id).is_some_and(|tracked| tracked.reply.is_some()) {
+            self.answer_unserved(now, id, Body::release(cause::BROKEN), Outcome::Failed);
         }
     }
 
     /// Answers and logs requests whose cut-off has passed, and those whose reply was dropped.
     pub(super) fn answer_overdue(&mut self, now: Point) {
-        for reply in self.replies.recover() {
-            if self.conns.contains_key(&reply.conn()) {
+        for reply in self.replies.recover_dropped() {
+            if self.viewer_connections.contains_key(&reply.conn()) {
                 self.answer(reply, Body::release(cause::BROKEN), None);
             } else {
                 reply.client_gone(Departure::Closed);
             }
         }
-        for (conn, session) in self.replies.overdue(now) {
-            let is_it = |held: &Held| held.conn == conn && held.session == session;
-            let id = self.by_session.get(&session).copied();
-            let id = id.filter(|id| self.held.get(id).is_some_and(is_it));
+        for (conn, session) in self.replies.take_overdue(now) {
+            let is_it = |tracked: &TrackedSession| tracked.conn == conn && tracked.session == session;
+            let id = self.id_by_session.get(&session).copied();
+            let id = id.filter(|id| self.sessions.get(id).is_some_and(is_it));
             tracing::warn!(
                 target: "reply", session = format!("{session:016x}"), conn, in_hand = id.is_some(), "no answer by its cut-off"
             );
             if let Some(id) = id {
-                self.conclude(now, id);
+                self.answer_at_once(now, id);
             }
         }
     }
--- a/crates/lemontide-platform/src/permit.rs
+++ b/crates/lemontide-platform/src/permit.rs
@@ -18,7 +18,7 @@
 struct Inner {
     state: AtomicU8,
     /// The bits of the moment in which it began, in seconds.
-    begun: AtomicU64,
+    begun_at_bits: AtomicU64,
 }
 
 impl Permit {
@@ -28,24 +28,24 @@
 
     /// The writer's question in the moment of writing: false where it was taken back, and for good.
     pub fn begin(&self) -> bool {
-        self.settle(BEGUN)
+        self.transition(BEGUN)
     }
 
     /// The same, and keeps the moment.
     pub fn begin_at(&self, now: Point) -> bool {
-        self.0.begun.store(seconds(now).to_bits(), Ordering::Release);
+        self.0.begun_at_bits.store(seconds(now).to_bits(), Ordering::Release);
         self.begin()
     }
 
     /// When it began, if that was kept.
     pub fn begun_at(&self) -> Option<Point> {
-        let at = self.0.begun.load(Ordering::Acquire);
-        (at > 0 && self.has_begun()).then(|| Point::at(f64::from_bits(at)))
+        let bits = self.0.begun_at_bits.load(Ordering::Acquire);
+        (bits > 0 && self.has_begun()).then(|| Point::at(f64::from_bits(bits)))
     }
 
     /// Takes it back. True where it had not begun and now never will: proof that nothing of it was written.
     pub fn withdraw(&self) -> bool {
-        self.settle(WITHDRAWN)
+        self.transition(WITHDRAWN)
     }
 
     /// The socket took nothing after all: it has not begun.
@@ -57,10 +57,10 @@
         self.0.state.load(Ordering::Acquire) == BEGUN
     }
 
-    fn settle(&self, as_what: u8) -> bool {
-        match self.0.state.compare_exchange(OPEN, as_what, Ordering::AcqRel, Ordering::Acquire) {
+    fn transition(&self, target: u8) -> bool {
+        match self.0.state.compare_exchange(OPEN, target, Ordering::AcqRel, Ordering::Acquire) {
             Ok(_) => true,
-            Err(already) => already == as_what,
+            Err(current) => current == target,
         }
     }
 }
--- a/crates/lemontide-platform/src/replies.rs
+++ b/crates/lemontide-platform/src/replies.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// A request that can't be used has no time of its own and is answered within this.
-const UNUSABLE_WITHIN: Span = Span::of_millis(1000);
+const UNUSABLE_ANSWER_TIMEOUT: Span = Span::of_millis(1000);
 
 /// Why a client is owed no answer any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,12 +28,12 @@
 
 /// One open request.
 #[derive(Debug)]
-struct Open {
+struct OpenRequest {
     conn: u64,
     session: u64,
-    due: Point,
+    answer_due: Point,
     /// Its answer waits for the socket of its connection.
-    is_handed: bool,
+    is_queued: bool,
     /// Nobody holds its reply.
     is_dropped: bool,
     /// It was told that its cut-off has passed.
@@ -41,23 +41,23 @@
 }
 
 #[derive(Debug, Default)]
-struct Ledger {
-    last: u64,
-    open: BTreeMap<u64, Open>,
+struct OpenRequests {
+    last_number: u64,
+    open: BTreeMap<u64, OpenRequest>,
     by_conn: HashMap<u64, usize>,
 }
 
 /// All open requests of a process. Its clones are the same.
 #[derive(Clone, Debug, Default)]
-pub struct Replies(Arc<Mutex<Ledger>>);
+pub struct Replies(Arc<Mutex<OpenRequests>>);
 
 /// A message that was read on a client's connection.
 #[derive(Debug)]
-pub struct Heard {
+pub struct ReceivedMessage {
     pub conn: u64,
     pub message: Message,
     /// When its last byte was read.
-    pub read: Point,
+    pub read_at: Point,
     /// Where it is a request.
     pub reply: Option<PendingReply>,
 }
@@ -67,12 +67,12 @@
 #[must_use = "a request that was taken is owed one answer"]
 pub struct PendingReply {
     /// None once it is settled.
-    unsettled: Option<Box<Place>>,
+    unsettled: Option<Box<OpenRequestKey>>,
 }
 
 /// Where the request of a reply stands.
 #[derive(Debug)]
-struct Place {
+struct OpenRequestKey {
     number: u64,
     replies: Replies,
 }
@@ -87,66 +87,68 @@
 }
 
 impl Replies {
-    fn ledger(&self) -> MutexGuard<'_, Ledger> {
+    fn lock(&self) -> MutexGuard<'_, OpenRequests> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Takes a message that was read on a client's connection; a request is owed an answer from here on.
-    pub fn take(&self, conn: u64, message: Message, read: Point) -> Heard {
-        let within = match &message.body {
+    pub fn register(&self, conn: u64, message: Message, read_at: Point) -> ReceivedMessage {
+        let timeout = match &message.body {
             Body::SetUp(set_up) => Span::of(set_up.wait_ms as f64 / 1e3),
-            _ => UNUSABLE_WITHIN,
+            _ => UNUSABLE_ANSWER_TIMEOUT,
         };
-        let reply = is_request(&message.body).then(|| self.open_reply(conn, message.session, read + within));
-        Heard { conn, message, read, reply }
+        let reply =
+            is_request(&message.body).then(|| self.open_reply(conn, message.session, read_at + timeout));
+        ReceivedMessage { conn, message, read_at, reply }
     }
 
-    fn open_reply(&self, conn: u64, session: u64, due: Point) -> PendingReply {
-        let mut ledger = self.ledger();
-        ledger.last += 1;
-        let number = ledger.last;
-        ledger.open.insert(
+    fn open_reply(&self, conn: u64, session: u64, answer_due: Point) -> PendingReply {
+        let mut requests = self.lock();
+        requests.last_number += 1;
+        let number = requests.last_number;
+        requests.open.insert(
             number,
-            Open { conn, session, due, is_handed: false, is_dropped: false, is_overdue: false },
+            OpenRequest { conn, session, answer_due, is_queued: false, is_dropped: false, is_overdue: false },
         );
-        *ledger.by_conn.entry(conn).or_default() += 1;
+        *requests.by_conn.entry(conn).or_default() += 1;
         PendingReply::new(self, number)
     }
 
     /// Requests that are owed an answer.
-    pub fn open(&self) -> usize {
-        self.ledger().open.len()
+    pub fn open_count(&self) -> usize {
+        self.lock().open.len()
     }
 
     /// Those of one connection.
-    pub fn open_on(&self, conn: u64) -> usize {
-        self.ledger().by_conn.get(&conn).copied().unwrap_or_default()
+    pub fn open_count_on(&self, conn: u64) -> usize {
+        self.lock().by_conn.get(&conn).copied().unwrap_or_default()
     }
 
     /// The session of one of them.
     pub fn session_on(&self, conn: u64) -> Option<u64> {
-        self.ledger().open.values().find(|open| open.conn == conn).map(|open| open.session)
+        self.lock().open.values().find(|request| request.conn == conn).map(|request| request.session)
     }
 
     /// Connection and session of each request that nobody has answered by its cut-off, once.
-    pub fn overdue(&self, now: Point) -> Vec<(u64, u64)> {
-        let mut ledger = self.ledger();
-        let late =
-            |open: &&mut Open| !open.is_handed && !open.is_dropped && !open.is_overdue && now >= open.due;
-        let tell = |open: &mut Open| {
-            open.is_overdue = true;
-            (open.conn, open.session)
+    pub fn take_overdue(&self, now: Point) -> Vec<(u64, u64)> {
+        let mut requests = self.lock();
+        let is_late = |request: &&mut OpenRequest| {
+            !request.is_queued && !request.is_dropped && !request.is_overdue && now >= request.answer_due
         };
-        ledger.open.values_mut().filter(late).map(tell).collect()
+        let take = |request: &mut OpenRequest| {
+            request.is_overdue = true;
+            (request.conn, request.session)
+        };
+        requests.open.values_mut().filter(is_late).map(take).collect()
     }
 
     /// The replies that were dropped, to be answered after all.
-    pub fn recover(&self) -> Vec<PendingReply> {
-        let mut ledger = self.ledger();
-        let dropped = ledger.open.iter_mut().filter(|(_, open)| open.is_dropped);
+    pub fn recover_dropped(&self) -> Vec<PendingReply> {
+        let mut requests = self.lock();
+        let dropped = requests.open.iter_mut().filter(|(_, request)| request.is_dropped);
         dropped
-            .map(|(number, open)| {
-                (open.is_dropped, open.is_handed) = (false, false);
+            .map(|(number, request)| {
+                (request.is_dropped, request.is_queued) = (false, false);
                 PendingReply::new(self, *number)
             })
             .collect()
@@ -155,31 +157,31 @@
 
 impl PendingReply {
     fn new(replies: &Replies, number: u64) -> PendingReply {
-        PendingReply { unsettled: Some(Box::new(Place { number, replies: replies.clone() })) }
+        PendingReply { unsettled: Some(Box::new(OpenRequestKey { number, replies: replies.clone() })) }
     }
 
-    fn with_open<T: Default>(&self, of: impl FnOnce(&mut Open) -> T) -> T {
-        let Some(place) = &self.unsettled else { return T::default() };
-        place.replies.ledger().open.get_mut(&place.number).map(of).unwrap_or_default()
+    fn with_open<T: Default>(&self, access: impl FnOnce(&mut OpenRequest) -> T) -> T {
+        let Some(key) = &self.unsettled else { return T::default() };
+        key.replies.lock().open.get_mut(&key.number).map(access).unwrap_or_default()
     }
 
     /// The connection that the answer goes to.
     pub fn conn(&self) -> u64 {
-        self.with_open(|open| open.conn)
+        self.with_open(|request| request.conn)
     }
 
     pub fn session(&self) -> u64 {
-        self.with_open(|open| open.session)
+        self.with_open(|request| request.session)
     }
 
     /// The answer is due by then.
-    pub fn set_due(&self, due: Point) {
-        self.with_open(|open| (open.due, open.is_overdue) = (due, false));
+    pub fn set_answer_due(&self, answer_due: Point) {
+        self.with_open(|request| (request.answer_due, request.is_overdue) = (answer_due, false));
     }
 
     /// The answer is on its way to the connection's socket.
-    pub fn hand(&self) {
-        self.with_open(|open| open.is_handed = true);
+    pub fn mark_queued(&self) {
+        self.with_open(|request| request.is_queued = true);
     }
 
     /// The answer was written to a live connection.
@@ -195,13 +197,13 @@
     }
 
     fn settle(mut self) {
-        let Some(place) = self.unsettled.take() else { return };
-        let mut ledger = place.replies.ledger();
-        let Some(open) = ledger.open.remove(&place.number) else { return };
-        let Some(left) = ledger.by_conn.get_mut(&open.conn) else { return };
-        *left -= 1;
-        if *left == 0 {
-            ledger.by_conn.remove(&open.conn);
+        let Some(key) = self.unsettled.take() else { return };
+        let mut requests = key.replies.lock();
+        let Some(request) = requests.open.remove(&key.number) else { return };
+        let Some(count) = requests.by_conn.get_mut(&request.conn) else { return };
+        *count -= 1;
+        if *count == 0 {
+            requests.by_conn.remove(&request.conn);
         }
     }
 }
@@ -212,7 +214,7 @@
             return;
         }
         let (conn, session) = (self.conn(), self.session());
-        self.with_open(|open| open.is_dropped = true);
+        self.with_open(|request| request.is_dropped = true);
         tracing::error!(target: "reply", session = format!("{session:016x}"), conn, "its reply was dropped");
     }
 }
--- a/crates/lemontide-platform/src/serve.rs
+++ b/crates/lemontide-platform/src/serve.rs
@@ -2,7 +2,7 @@
 //! on one thread; what the dispatcher wants done goes out to the tasks that own the sockets.
 
 use crate::config::{Config, Environment, Hosts};
-use crate::dispatcher::{Dispatcher, Effect, Order, Terms};
+use crate::dispatcher::{Dispatcher, DispatcherSettings, Effect, OutboundMessage};
 use crate::replies::Departure;
 use crate::streamers::Close;
 use crate::viewers::{Command, Outgoing};
@@ -61,7 +61,7 @@
     sheet: &ControllerSettings,
     settings: &serde_json::Value,
     sockets: usize,
-) -> Result<Terms, String> {
+) -> Result<DispatcherSettings, String> {
     let named = |list: &'static str| {
         (0..).map_while(move |i| Some((i, get_text(sheet, &format!("{list}.{i}.name"))?.to_owned())))
     };
@@ -71,17 +71,17 @@
         let above = value.filter(|value| *value > 0.0);
         above.ok_or_else(|| format!("policy_limits.{name}: missing or not usable; give a number above 0"))
     };
-    Ok(Terms {
-        lanes: named("lanes").map(|(i, name)| (name, cut_off(i))).collect(),
+    Ok(DispatcherSettings {
+        classes: named("lanes").map(|(i, name)| (name, cut_off(i))).collect(),
         tenants: named("tenants").map(|(_, name)| name).collect(),
         cells: get_number(sheet, "cells").unwrap_or(1.0).max(1.0) as usize,
         rungs: lemontide::interface::get_numbers(sheet, "ladder.kb").len().max(1),
         dial_timeout: Span::of(limit("dial_timeout")?),
-        set_ups_a_link: limit("streams_per_conn")?.max(1.0) as usize,
+        max_set_ups_per_link: limit("streams_per_conn")?.max(1.0) as usize,
         // Viewers hold a third of the descriptors at most; as many again are for the streamers.
-        links_most: sockets / 3,
-        idle_most: Span::of(limit("conn_idle").unwrap_or(IDLE) * IDLE_PART),
-        held_most: HELD_MOST,
+        max_connections: sockets / 3,
+        max_idle: Span::of(limit("conn_idle").unwrap_or(IDLE) * IDLE_PART),
+        max_tracked: HELD_MOST,
     })
 }
 
@@ -103,7 +103,7 @@
 
 /// A streamer's connection: where batches for it go, and what closes it, at the latest when dropped.
 struct Orders {
-    batches: mpsc::Sender<Vec<Queued<Order>>>,
+    batches: mpsc::Sender<Vec<Queued<OutboundMessage>>>,
     close: oneshot::Sender<Close>,
 }
 
@@ -126,7 +126,7 @@
         while !dispatcher.effects.is_empty() {
             for effect in std::mem::take(&mut dispatcher.effects) {
                 match effect {
-                    Effect::Say { conn, message, stood, reply, steps } => {
+                    Effect::SendToViewer { conn, message, ends_session: stood, reply, steps } => {
                         let said = Box::new(Outgoing { message, stood, reply, steps });
                         let (full, said) = match self.viewers.get(&conn) {
                             None => (false, said),
@@ -145,10 +145,10 @@
                             self.viewers.remove(&conn);
                         }
                         let why = if full { Departure::NotReading } else { Departure::Closed };
-                        dispatcher.viewer_gone(now, conn, why);
-                        dispatcher.unsaid(now, vec![*said]);
+                        dispatcher.on_viewer_gone(now, conn, why);
+                        dispatcher.on_unsent(now, vec![*said]);
                     }
-                    Effect::Retire { conn, heard } => {
+                    Effect::CloseIfIdle { conn, messages_read: heard } => {
                         // One that does not read is not idle, and ends by itself.
                         if let Some(commands) = self.viewers.get(&conn) {
                             let _ = commands.try_send(Command::Retire { heard });
@@ -160,11 +160,11 @@
                         }
                     }
                     Effect::Dial { on, address } => self.dial(on, address),
-                    Effect::Write { on, orders } => {
+                    Effect::Write { on, messages: orders } => {
                         // The dispatcher hands over one batch at a time: there is always room, or nobody is left.
                         let _ = self.links.get(&on).map(|wire| wire.batches.try_send(orders));
                     }
-                    Effect::Hang { on, awaits_close } => {
+                    Effect::Close { on, awaits_close } => {
                         if let Some(wire) = self.links.remove(&on) {
                             let how = if awaits_close { Close::AwaitStreamer } else { Close::AtOnce };
                             let _ = wire.close.send(how);
@@ -186,21 +186,21 @@
 
     fn of_viewer(&mut self, now: Point, dispatcher: &mut Dispatcher, report: viewers::Report) {
         match report {
-            viewers::Report::Received(heard) => dispatcher.viewer_said(now, *heard),
-            viewers::Report::InputOver { conn, why } => dispatcher.input_over(now, conn, why),
+            viewers::Report::Received(heard) => dispatcher.on_viewer_message(now, *heard),
+            viewers::Report::InputOver { conn, why } => dispatcher.on_input_end(now, conn, why),
             viewers::Report::Gone { conn, why, unsaid } => {
                 self.viewers.remove(&conn);
-                dispatcher.viewer_gone(now, conn, why);
-                dispatcher.unsaid(now, unsaid);
+                dispatcher.on_viewer_gone(now, conn, why);
+                dispatcher.on_unsent(now, unsaid);
             }
-            viewers::Report::Unread { unread } => dispatcher.unsaid(now, unread),
+            viewers::Report::Unread { unread } => dispatcher.on_unsent(now, unread),
         }
     }
 
     fn viewer_comes(&mut self, now: Point, dispatcher: &mut Dispatcher, conn: u64, socket: TcpStream) {
         let (commands, said) = mpsc::channel(SAY_MOST);
         self.viewers.insert(conn, commands);
-        dispatcher.viewer_up(now, conn);
+        dispatcher.on_viewer_connected(now, conn);
         let (reports, replies) = (self.from_viewers.clone(), dispatcher.replies().clone());
         self.writing.spawn(viewers::run(self.clock, conn, socket, said, reports, replies));
     }
@@ -214,7 +214,7 @@
             let Some(report) = reports.recv().await else { break };
             let now = Point::at(self.clock.now());
             self.of_viewer(now, dispatcher, report);
-            while dispatcher.decide(now) {}
+            while dispatcher.decide_next(now) {}
             self.carry_out(now, dispatcher);
         }
         while self.writing.join_next().await.is_some() {}
@@ -222,13 +222,13 @@
 
     fn of_streamer(&mut self, now: Point, dispatcher: &mut Dispatcher, report: streamers::Report) {
         match report {
-            streamers::Report::Linked { on } => dispatcher.linked(now, on),
-            streamers::Report::Wrote { on, unsent } => dispatcher.wrote(now, on, unsent),
-            streamers::Report::Told { on, message } => dispatcher.told(now, on, message),
-            streamers::Report::Lost { on, loss } => dispatcher.lost(now, on, loss),
+            streamers::Report::Linked { on } => dispatcher.on_connected(now, on),
+            streamers::Report::Wrote { on, unsent } => dispatcher.on_batch_written(now, on, unsent),
+            streamers::Report::Told { on, message } => dispatcher.on_streamer_message(now, on, message),
+            streamers::Report::Lost { on, loss } => dispatcher.on_connection_lost(now, on, loss),
             streamers::Report::Closed { on, by_streamer } => {
                 self.links.remove(&on);
-                dispatcher.closed(now, on, by_streamer);
+                dispatcher.on_connection_closed(now, on, by_streamer);
             }
         }
     }
@@ -247,10 +247,10 @@
     let sheet = lemontide_settings::parse_settings(&config.settings).map_err(unusable)?;
     let terms = terms(&sheet, &config.settings, config.limits.sockets).map_err(unusable)?;
     let closing_most = (config.limits.sockets / CLOSING_PART).max(CLOSING_LEAST);
-    let others_most = OWN_SOCKETS + terms.links_most + closing_most - CLOSING_LEAST;
+    let others_most = OWN_SOCKETS + terms.max_connections + closing_most - CLOSING_LEAST;
     let viewers_most = config.limits.sockets.saturating_sub(others_most).max(1);
     // By then every set-up that was taken before the last call has its answer.
-    let stop_most = terms.lanes.iter().map(|lane| lane.1).fold(STOP_LEAST, Span::max) + STOP_LEAST;
+    let stop_most = terms.classes.iter().map(|lane| lane.1).fold(STOP_LEAST, Span::max) + STOP_LEAST;
     let (from_viewers, mut viewers_said) = mpsc::channel(REPORTS_MOST);
     let (from_streamers, mut streamers_said) = mpsc::channel(REPORTS_MOST);
     let (news, mut list) = mpsc::channel::<Hosts>(REPORTS_MOST);
@@ -263,14 +263,14 @@
         from_viewers,
         from_streamers,
     };
-    let mut dispatcher = Dispatcher::start(now(), config.seed(), &sheet, terms);
+    let mut dispatcher = Dispatcher::new(now(), config.seed(), &sheet, terms);
     for event in &config.known.entries {
-        dispatcher.learn(now(), &event.hosts);
+        dispatcher.update_list(now(), &event.hosts);
     }
     let (address, moved) = watch::channel(config.journal.clone());
     let journal = tokio::spawn(journal::follow(moved, config.known.pos, news));
     tracing::debug!(target: "config", settings = %config.settings, known = ?config.known);
-    tracing::info!(listen = %config.listen, streamers = dispatcher.streamers(), "serves");
+    tracing::info!(listen = %config.listen, streamers = dispatcher.streamer_count(), "serves");
     let mut next_conn = 0;
     // Accepted, and waiting for another to make room.
     let mut doorway: Option<TcpStream> = None;
@@ -284,75 +284,75 @@
     loop {
         sockets.carry_out(now(), &mut dispatcher);
         while sockets.writing.try_join_next().is_some() {}
-        empty = (dispatcher.in_hand() == 0).then(|| empty.unwrap_or(now()));
+        empty = (dispatcher.tracked_count() == 0).then(|| empty.unwrap_or(now()));
         if let Some(since) = stops {
             let gone = now() - since;
             let said = empty.is_some_and(|since| now() - since >= LAST_WORDS);
-            let owes_nothing = dispatcher.replies().open() == 0;
+            let owes_nothing = dispatcher.replies().open_count() == 0;
             if owes_nothing && (gone >= STOP_LEAST && said || gone >= stop_most) {
                 break;
             }
         }
         let awake = now();
-        let due = Instant::from_std(clock.instant(lemontide_front::core::seconds(dispatcher.next())));
+        let due = Instant::from_std(clock.instant(lemontide_front::core::seconds(dispatcher.next_tick())));
         let again = read_again.map_or(due, |(at, _)| at.min(due));
         let open = doorway.is_none() && no_descriptor.is_none_or(|until| Instant::now() >= until);
         let (mut said, mut told, mut hosts, mut accepted) = (None, None, None, None);
         tokio::select! {
             biased;
             Some(()) = terminate.recv() => {
-                tracing::info!(in_hand = dispatcher.in_hand(), "stops");
+                tracing::info!(in_hand = dispatcher.tracked_count(), "stops");
                 stops.get_or_insert(now());
                 dispatcher.stop(now());
             }
             Some(()) = hang_up.recv() => read_again = Some((Instant::now(), READ_AGAIN_MOST)),
-            Some(report) = viewers_said.recv(), if dispatcher.asked() < ROUND => said = Some(report),
+            Some(report) = viewers_said.recv(), if dispatcher.undecided_count() < ROUND => said = Some(report),
             Some(report) = streamers_said.recv() => told = Some(report),
             Some(news) = list.recv() => hosts = Some(news),
             came = listener.accept(), if open => accepted = Some(came),
             // What else there is to hear is heard before the next request is decided.
-            () = tokio::task::yield_now(), if dispatcher.asked() > 0 => {}
+            () = tokio::task::yield_now(), if dispatcher.undecided_count() > 0 => {}
             () = sleep_until(again) => {}
         }
-        let late = Some(now() - dispatcher.next().max(awake)).filter(|late| *late >= STOOD_STILL);
+        let late = Some(now() - dispatcher.next_tick().max(awake)).filter(|late| *late >= STOOD_STILL);
         if late.is_some() {
             // What came meanwhile is heard before anything is decided: a viewer that left, the end of an attempt, a
             // drain. The first turn of the runtime sees what the sockets hold, the second lets their tasks report it.
             tokio::task::yield_now().await;
             tokio::task::yield_now().await;
         }
-        dispatcher.stood_still(late.unwrap_or(Span::ZERO));
+        dispatcher.set_read_delay(late.unwrap_or(Span::ZERO));
         let mut handed = false;
         // Each source has its share of every turn, so that a flood from one keeps none of the others waiting.
         // Viewers come first, as they may leave what would else be sent on; the timer comes last, as what it would
         // call late may have been told.
         for _ in 0..ROUND {
             // Whoever asks for more than is decided waits in its own connection.
-            let more = dispatcher.asked() < ROUND;
+            let more = dispatcher.undecided_count() < ROUND;
             let next = said.take().or_else(|| more.then(|| viewers_said.try_recv().ok()).flatten());
             let Some(report) = next else { break };
             sockets.of_viewer(now(), &mut dispatcher, report);
         }
         for _ in 0..ROUND {
             let Some(news) = hosts.take().or_else(|| list.try_recv().ok()) else { break };
-            dispatcher.learn(now(), &news);
+            dispatcher.update_list(now(), &news);
         }
         for _ in 0..ROUND {
             let Some(report) = told.take().or_else(|| streamers_said.try_recv().ok()) else { break };
             sockets.of_streamer(now(), &mut dispatcher, report);
             handed |= sockets.carry_out(now(), &mut dispatcher);
         }
-        dispatcher.stood_still(Span::ZERO);
-        if now() >= dispatcher.next() {
+        dispatcher.set_read_delay(Span::ZERO);
+        if now() >= dispatcher.next_tick() {
             dispatcher.tick(now());
         }
         // An answer in hand leaves before a request is decided, and one request is decided a turn. Guards against
         // answers that wait in a full turn: a viewer may leave meanwhile, and its time runs.
-        if dispatcher.asked() > 0 {
+        if dispatcher.undecided_count() > 0 {
             if sockets.carry_out(now(), &mut dispatcher) || handed {
                 tokio::task::yield_now().await;
             }
-            dispatcher.decide(now());
+            dispatcher.decide_next(now());
         }
         for _ in 0..ROUND {
             if let Some(socket) = doorway.take() {
@@ -360,7 +360,7 @@
                 if held >= viewers_most || closing >= viewers_most + closing_most {
                     // Nobody is turned away while another has room to make, and nobody who is owed an answer is cut.
                     if held >= viewers_most {
-                        dispatcher.make_room();
+                        dispatcher.close_idle_connection();
                     }
                     doorway = Some(socket);
                     break;
@@ -373,7 +373,7 @@
                 Some(Err(e)) => {
                     // Out of descriptors: one that is idle makes room, and others get time to end.
                     tracing::warn!(error = %e, "can't accept");
-                    dispatcher.make_room();
+                    dispatcher.close_idle_connection();
                     no_descriptor = Some(Instant::now() + ACCEPT_REST);
                     break;
                 }
--- a/crates/lemontide-platform/src/steps.rs
+++ b/crates/lemontide-platform/src/steps.rs
@@ -23,15 +23,15 @@
     /// How long its viewer waits, in milliseconds.
     pub wait_ms: u64,
     /// Its last byte was read from the viewer's connection.
-    pub read: Point,
+    pub read_at: Point,
     /// The first streamer was chosen.
-    pub decided: Option<Point>,
+    pub decided_at: Option<Point>,
     /// The last attempt began to be written.
-    pub begun: Option<Point>,
+    pub begun_at: Option<Point>,
     /// The streamer's answer was read.
-    pub answered: Option<Point>,
+    pub answered_at: Option<Point>,
     /// The final answer was handed to the viewer's connection.
-    pub said: Option<Point>,
+    pub reply_queued_at: Option<Point>,
 }
 
 impl Steps {
@@ -41,8 +41,9 @@
     }
 
     /// Logs the line, in milliseconds since the request was read; `written` is when the socket had taken the answer.
-    pub fn log(&self, written: Option<Point>) {
-        let since = |at: Option<Point>| at.map(|at| ((at - self.read).seconds() * 1e6).round() / 1e3);
+    pub fn log(&self, written_at: Option<Point>) {
+        let ms_since_read =
+            |at: Option<Point>| at.map(|at| ((at - self.read_at).seconds() * 1e6).round() / 1e3);
         tracing::debug!(
             target: "request",
             session = format!("{:016x}", self.session),
@@ -50,12 +51,12 @@
             outcome = ?self.outcome,
             attempts = self.attempts,
             wait_ms = self.wait_ms,
-            read_s = seconds(self.read),
-            decided_ms = since(self.decided),
-            begun_ms = since(self.begun),
-            answered_ms = since(self.answered),
-            said_ms = since(self.said),
-            written_ms = since(written),
+            read_s = seconds(self.read_at),
+            decided_ms = ms_since_read(self.decided_at),
+            begun_ms = ms_since_read(self.begun_at),
+            answered_ms = ms_since_read(self.answered_at),
+            said_ms = ms_since_read(self.reply_queued_at),
+            written_ms = ms_since_read(written_at),
         );
     }
 }
--- a/crates/lemontide-platform/src/streamers.rs
+++ b/crates/lemontide-platform/src/streamers.rs
@@ -2,7 +2,7 @@
 //! decided here; every report carries the number of the dial that it belongs to.
 
 use crate::codec::{Codec, Message};
-use crate::dispatcher::{Loss, Order};
+use crate::dispatcher::{ConnectionLoss, OutboundMessage};
 use crate::permit::Permit;
 use crate::reader::Reader;
 use bytes::{Buf, BytesMut};
@@ -43,7 +43,7 @@
     /// It is of no more use; `Closed` follows.
     Lost {
         on: Connection,
-        loss: Loss,
+        loss: ConnectionLoss,
     },
     /// Its socket is closed. `by_streamer` says that the streamer closed or reset it, having read what it read.
     Closed {
@@ -70,7 +70,7 @@
 /// How the use of a connection ended.
 enum End {
     /// The dial did not come through.
-    NoDial(Loss),
+    NoDial(ConnectionLoss),
     /// The streamer closed or reset it.
     ByStreamer,
     /// It can't be read or written any more; its reading half.
@@ -89,7 +89,7 @@
     /// Writes a message whole; false where it may no longer begin. `not_after` is asked of the clock when the socket
     /// takes its first bytes. Guards against set-ups that leave after their viewer did, or after they were sent
     /// elsewhere, as they waited in a batch on a slow connection.
-    async fn write(&mut self, clock: Clock, queued: &Queued<Order>) -> io::Result<bool> {
+    async fn write(&mut self, clock: Clock, queued: &Queued<OutboundMessage>) -> io::Result<bool> {
         let attempt = queued.order.permit.as_ref().filter(|_| queued.shot.is_some());
         self.bytes.clear();
         Codec.encode(queued.order.message.clone(), &mut self.bytes)?;
@@ -118,7 +118,11 @@
     }
 
     /// Writes a batch; the attempts in it whose time was over, which never ran.
-    async fn write_all(&mut self, clock: Clock, batch: Vec<Queued<Order>>) -> io::Result<Vec<(u32, u32)>> {
+    async fn write_all(
+        &mut self,
+        clock: Clock,
+        batch: Vec<Queued<OutboundMessage>>,
+    ) -> io::Result<Vec<(u32, u32)>> {
         let mut unsent = Vec::new();
         for queued in batch {
             let written = self.write(clock, &queued).await?;
@@ -143,7 +147,7 @@
 pub async fn run(
     clock: Clock,
     to: Dial,
-    orders: mpsc::Receiver<Vec<Queued<Order>>>,
+    orders: mpsc::Receiver<Vec<Queued<OutboundMessage>>>,
     mut close: oneshot::Receiver<Close>,
     reports: mpsc::Sender<Report>,
 ) {
@@ -153,11 +157,11 @@
         End::Told(Close::AwaitStreamer, reader) => (None, reader),
         End::NoDial(loss) => (Some(loss), None),
         End::ByStreamer => {
-            let _ = reports.send(Report::Lost { on, loss: Loss::Broke }).await;
+            let _ = reports.send(Report::Lost { on, loss: ConnectionLoss::Disconnected }).await;
             let _ = reports.send(Report::Closed { on, by_streamer: true }).await;
             return;
         }
-        End::Unusable(reader) => (Some(Loss::Broke), reader),
+        End::Unusable(reader) => (Some(ConnectionLoss::Disconnected), reader),
     };
     let mut awaits_streamer = loss.is_none();
     if let Some(loss) = loss {
@@ -203,7 +207,7 @@
 async fn attend(
     clock: Clock,
     to: Dial,
-    mut orders: mpsc::Receiver<Vec<Queued<Order>>>,
+    mut orders: mpsc::Receiver<Vec<Queued<OutboundMessage>>>,
     close: &mut oneshot::Receiver<Close>,
     reports: &mpsc::Sender<Report>,
 ) -> End {
@@ -212,8 +216,8 @@
     let socket = tokio::select! {
         dialled = dial => match dialled {
             Ok(Ok(socket)) => socket,
-            Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => return End::NoDial(Loss::Refused),
-            _ => return End::NoDial(Loss::Dark),
+            Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => return End::NoDial(ConnectionLoss::Refused),
+            _ => return End::NoDial(ConnectionLoss::DialTimedOut),
         },
         told = &mut *close => return End::Told(told.unwrap_or(Close::AtOnce), None),
     };
--- a/crates/lemontide-platform/src/viewers.rs
+++ b/crates/lemontide-platform/src/viewers.rs
@@ -6,7 +6,7 @@
 use crate::dispatcher::InputEnd;
 use crate::outbox::Outbox;
 use crate::reader::Reader;
-use crate::replies::{Departure, Heard, PendingReply, Replies};
+use crate::replies::{Departure, PendingReply, ReceivedMessage, Replies};
 use crate::steps::Steps;
 use futures::FutureExt;
 use lemontide::clock::Point;
@@ -34,7 +34,7 @@
 
 /// What a viewers' connection reports.
 pub enum Report {
-    Received(Box<Heard>),
+    Received(Box<ReceivedMessage>),
     /// Nothing more is read on it; what is owed on it can still be said.
     InputOver {
         conn: u64,
@@ -108,7 +108,7 @@
 
 impl ClientConnection {
     fn owes_nothing(&self) -> bool {
-        self.replies.open_on(self.conn) == 0
+        self.replies.open_count_on(self.conn) == 0
     }
 
     /// Takes a command and all that wait behind it.
@@ -200,7 +200,7 @@
                 if control.drains.load(Ordering::Acquire) {
                     return End::Input(InputEnd::Unusable);
                 }
-                if control.retires_at.load(Ordering::Acquire) != said + 1 || replies.open_on(conn) > 0 {
+                if control.retires_at.load(Ordering::Acquire) != said + 1 || replies.open_count_on(conn) > 0 {
                     continue;
                 }
                 // What the socket holds by now is seen after one turn of the runtime.
@@ -216,13 +216,13 @@
             Ok(message) => {
                 due = None;
                 said += 1;
-                let heard = replies.take(conn, message, Point::at(clock.now()));
+                let heard = replies.register(conn, message, Point::at(clock.now()));
                 if reports.send(Report::Received(Box::new(heard))).await.is_err() {
                     return End::Ours;
                 }
             }
             Err(e) => {
-                tracing::debug!(target: "viewers", conn, error = %e, owed = replies.open_on(conn), "input over");
+                tracing::debug!(target: "viewers", conn, error = %e, owed = replies.open_count_on(conn), "input over");
                 return match e.kind() {
                     io::ErrorKind::UnexpectedEof => End::Input(InputEnd::HalfClosed),
                     _ if frames.is_over() => End::RESET,
--- a/crates/lemontide-platform/tests/common/mod.rs
+++ b/crates/lemontide-platform/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use lemontide_front::core::{Connection, Queued};
 use lemontide_platform::codec::{cause, Body, Figures, Message, SetUp};
 use lemontide_platform::config::{Entry, Hosts};
-use lemontide_platform::dispatcher::{Dispatcher, Effect, Loss, Order};
+use lemontide_platform::dispatcher::{ConnectionLoss, Dispatcher, Effect, OutboundMessage};
 use lemontide_platform::permit::Permit;
 use lemontide_platform::replies::PendingReply;
 use lemontide_platform::serve;
@@ -75,10 +75,10 @@
     /// Links that were told to hang up.
     pub hung: Vec<u64>,
     /// How dials of these addresses end; the rest come through.
-    pub away: HashMap<String, Loss>,
+    pub away: HashMap<String, ConnectionLoss>,
     /// Connections that take nothing for now and do not close, and the batches that wait for them.
     pub slow: BTreeSet<u64>,
-    pub batches: Vec<(Connection, Vec<Queued<Order>>)>,
+    pub batches: Vec<(Connection, Vec<Queued<OutboundMessage>>)>,
     /// Links whose streamer reads nothing for now, and the tests that it has not read.
     pub unread: BTreeSet<u64>,
     pub unread_tests: Vec<(Connection, u64)>,
@@ -102,7 +102,7 @@
         let sheet = lemontide_settings::parse_settings(&settings).expect("usable settings");
         let terms = serve::terms(&sheet, &settings, 256).expect("usable settings");
         let mut world = World {
-            dispatcher: Dispatcher::start(now, 7, &sheet, terms),
+            dispatcher: Dispatcher::new(now, 7, &sheet, terms),
             now,
             written: Vec::new(),
             said: Vec::new(),
@@ -123,13 +123,13 @@
         };
         let servers = (0..STREAMERS).map(|at| entry(at, "in_service")).collect();
         world.learn(&Hosts { full: true, servers });
-        world.dispatcher.viewer_up(now, VIEWERS);
+        world.dispatcher.on_viewer_connected(now, VIEWERS);
         world.pass(20.0);
         world
     }
 
     pub fn learn(&mut self, hosts: &Hosts) {
-        self.dispatcher.learn(self.now, hosts);
+        self.dispatcher.update_list(self.now, hosts);
         self.perform();
     }
 
@@ -150,14 +150,14 @@
 
     pub fn say(&mut self, conn: u64, session: u64, body: Body) {
         self.hears(conn, Message { session, body }, self.now);
-        while self.dispatcher.decide(self.now) {}
+        while self.dispatcher.decide_next(self.now) {}
         self.perform();
     }
 
     /// The dispatcher hears what was read on a connection.
     pub fn hears(&mut self, conn: u64, message: Message, read: Point) {
-        let heard = self.dispatcher.replies().take(conn, message, read);
-        self.dispatcher.viewer_said(self.now, heard);
+        let heard = self.dispatcher.replies().register(conn, message, read);
+        self.dispatcher.on_viewer_message(self.now, heard);
     }
 
     /// A subscription that plays, and the link that it was set up on.
@@ -194,7 +194,7 @@
     }
 
     pub fn tell_on(&mut self, link: u64, session: u64, body: Body) {
-        self.dispatcher.told(self.now, self.on(link), Message { session, body });
+        self.dispatcher.on_streamer_message(self.now, self.on(link), Message { session, body });
         self.perform();
     }
 
@@ -213,10 +213,10 @@
     }
 
     /// The streamer closes a connection, or a dial ends.
-    pub fn loses(&mut self, link: u64, loss: Loss) {
+    pub fn loses(&mut self, link: u64, loss: ConnectionLoss) {
         let on = self.on(link);
-        self.dispatcher.lost(self.now, on, loss);
-        self.dispatcher.closed(self.now, on, loss == Loss::Broke);
+        self.dispatcher.on_connection_lost(self.now, on, loss);
+        self.dispatcher.on_connection_closed(self.now, on, loss == ConnectionLoss::Disconnected);
         self.perform();
     }
 
@@ -234,7 +234,7 @@
 
     fn passes(&mut self, on: Connection, test: u64) {
         let passed = Message { session: test, body: Body::Tested { passed: true } };
-        self.dispatcher.told(self.now, on, passed);
+        self.dispatcher.on_streamer_message(self.now, on, passed);
     }
 
     /// Whether the streamer at the other end of a link reads what comes.
@@ -268,10 +268,10 @@
             for (link, dial) in self.dials.clone() {
                 if self.is_read(link) {
                     let word = Message { session: 0, body: Body::Progress };
-                    self.dispatcher.told(self.now, Connection { link, dial }, word);
+                    self.dispatcher.on_streamer_message(self.now, Connection { link, dial }, word);
                 }
             }
-            if self.now >= self.dispatcher.next() {
+            if self.now >= self.dispatcher.next_tick() {
                 self.dispatcher.tick(self.now);
             }
             self.perform();
@@ -282,12 +282,12 @@
         while !self.dispatcher.effects.is_empty() {
             for effect in std::mem::take(&mut self.dispatcher.effects) {
                 match effect {
-                    Effect::Say { conn, message, reply, .. } => {
+                    Effect::SendToViewer { conn, message, reply, .. } => {
                         reply.into_iter().for_each(PendingReply::answered);
                         self.said.push((conn, message));
                     }
                     Effect::Drain { conn } => self.parted.push(conn),
-                    Effect::Retire { conn, heard } => self.retired.push((conn, heard)),
+                    Effect::CloseIfIdle { conn, messages_read: heard } => self.retired.push((conn, heard)),
                     Effect::Dial { on, address } => {
                         self.dials.insert(on.link, on.dial);
                         let away = self.away.get(&address).copied();
@@ -295,13 +295,13 @@
                         match away {
                             _ if self.stuck => {}
                             Some(loss) => {
-                                self.dispatcher.lost(self.now, on, loss);
-                                self.dispatcher.closed(self.now, on, false);
+                                self.dispatcher.on_connection_lost(self.now, on, loss);
+                                self.dispatcher.on_connection_closed(self.now, on, false);
                             }
-                            None => self.dispatcher.linked(self.now, on),
+                            None => self.dispatcher.on_connected(self.now, on),
                         }
                     }
-                    Effect::Write { on, orders } => {
+                    Effect::Write { on, messages: orders } => {
                         assert_eq!(self.dials.get(&on.link), Some(&on.dial), "written on what is up");
                         if self.slow.contains(&on.link) {
                             self.batches.push((on, orders));
@@ -309,13 +309,17 @@
                             self.write(on, orders);
                         }
                     }
-                    Effect::Hang { on, awaits_close } => {
+                    Effect::Close { on, awaits_close } => {
                         self.hung.push(on.link);
                         self.batches.retain(|batch| batch.0 != on);
                         if self.late_close {
                             self.closing.push((on, awaits_close));
                         } else {
-                            self.dispatcher.closed(self.now, on, awaits_close && self.is_read(on.link));
+                            self.dispatcher.on_connection_closed(
+                                self.now,
+                                on,
+                                awaits_close && self.is_read(on.link),
+                            );
                         }
                     }
                 }
@@ -324,13 +328,13 @@
     }
 
     /// What a connection's task does with a batch, and the streamer with what it reads of it.
-    pub fn write(&mut self, on: Connection, orders: Vec<Queued<Order>>) {
-        let may = |queued: &Queued<Order>| queued.order.permit.as_ref().is_none_or(Permit::begin);
+    pub fn write(&mut self, on: Connection, orders: Vec<Queued<OutboundMessage>>) {
+        let may = |queued: &Queued<OutboundMessage>| queued.order.permit.as_ref().is_none_or(Permit::begin);
         let written: Vec<Message> =
             orders.into_iter().filter(may).map(|queued| queued.order.message).collect();
         let tests: Vec<u64> = written.iter().filter(|m| m.body == Body::Test).map(|m| m.session).collect();
         self.written.extend(written.into_iter().map(|message| (on.link, message)));
-        self.dispatcher.wrote(self.now, on, Vec::new());
+        self.dispatcher.on_batch_written(self.now, on, Vec::new());
         for test in tests {
             if self.is_read(on.link) {
                 self.passes(on, test);
@@ -343,7 +347,7 @@
     /// The connections that were told to close are closed, by their streamers as well where that is awaited.
     pub fn close_all(&mut self, by_streamer: bool) {
         for (on, awaits_close) in std::mem::take(&mut self.closing) {
-            self.dispatcher.closed(self.now, on, awaits_close && by_streamer);
+            self.dispatcher.on_connection_closed(self.now, on, awaits_close && by_streamer);
         }
         self.perform();
     }
--- a/crates/lemontide-platform/tests/crossings.rs
+++ b/crates/lemontide-platform/tests/crossings.rs
@@ -6,7 +6,7 @@
 use lemontide_front::core::Connection;
 use lemontide_platform::codec::{cause, Body, Message, Note, SetUp};
 use lemontide_platform::config::Hosts;
-use lemontide_platform::dispatcher::Loss;
+use lemontide_platform::dispatcher::ConnectionLoss;
 use lemontide_platform::replies::Departure;
 
 /// All of the session's set-ups and releases as they were written: true for a set-up.
@@ -41,7 +41,7 @@
         let session = world.ask("paid");
         assert!(!world.batches.is_empty(), "it waits to be written");
         match closes {
-            true => world.dispatcher.viewer_gone(world.now, VIEWERS, Departure::Closed),
+            true => world.dispatcher.on_viewer_gone(world.now, VIEWERS, Departure::Closed),
             false => world.say(VIEWERS, session, Body::release(cause::NORMAL)),
         }
         world.perform();
@@ -78,7 +78,7 @@
         };
         world.batches.clear();
         world.slow.clear();
-        world.loses(link, Loss::Broke);
+        world.loses(link, ConnectionLoss::Disconnected);
         let failed = written.then_some(cause::BROKEN);
         assert_eq!((world.answered(session), world.shots(session)), (failed, 1), "written: {written}");
     }
@@ -151,11 +151,11 @@
         let address = world.address[&link].clone();
         let at: usize = address[10..].parse::<usize>().expect("a port") - 9000;
         if is_listed {
-            world.away.insert(address, Loss::Refused);
+            world.away.insert(address, ConnectionLoss::Refused);
         } else {
             world.news(entry(at, "terminated"));
         }
-        world.loses(link, Loss::Broke);
+        world.loses(link, ConnectionLoss::Disconnected);
         world.pass(0.3);
         assert_eq!(order_of(&world, session), [true, true], "listed: {is_listed}");
     }
@@ -183,10 +183,10 @@
     let mut world = World::new();
     let session = world.ask("free");
     let (link, _) = world.shot(session).expect("it was sent");
-    world.away.insert(world.address[&link].clone(), Loss::Dark);
+    world.away.insert(world.address[&link].clone(), ConnectionLoss::DialTimedOut);
     world.pass(3.0);
     assert_eq!((world.shots(session), world.answered(session)), (1, Some(cause::TURNED_BACK)));
-    world.dispatcher.viewer_up(world.now, 2);
+    world.dispatcher.on_viewer_connected(world.now, 2);
     world.say(2, session, Body::SetUp(wish("free")));
     assert_eq!(world.shots(session), 1, "its attempt may still be out");
     assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::UNUSABLE, .. }]));
@@ -232,7 +232,7 @@
     assert_eq!(order_of(&world, session), [true], "it waits to be written");
     world.batches.clear();
     world.slow.clear();
-    world.loses(link, Loss::Broke);
+    world.loses(link, ConnectionLoss::Disconnected);
     world.pass(1.0);
     assert_eq!(order_of(&world, session), [true, false], "once, on the next connection");
 }
@@ -252,7 +252,7 @@
         if read {
             world.tell_on(link, session, Body::Heard);
         }
-        world.loses(link, Loss::Broke);
+        world.loses(link, ConnectionLoss::Disconnected);
         world.unread.clear();
         world.pass(0.5);
         let words = if read { vec![true, false] } else { vec![true, false, false] };
@@ -267,7 +267,7 @@
     let (session, link) = world.playing("free");
     world.unread = [link].into();
     world.say(VIEWERS, session, Body::release(cause::NORMAL));
-    world.dispatcher.viewer_up(world.now, 2);
+    world.dispatcher.on_viewer_connected(world.now, 2);
     world.say(2, session, Body::SetUp(wish("free")));
     assert_eq!(order_of(&world, session), [true, false], "its stream may still stand");
     assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::UNUSABLE, .. }]));
@@ -275,7 +275,7 @@
     world.unread.clear();
     for (conn, wait, is_taken) in [(3, 0.0, false), (4, 7.9, false), (5, 0.2, true)] {
         world.pass(wait);
-        world.dispatcher.viewer_up(world.now, conn);
+        world.dispatcher.on_viewer_connected(world.now, conn);
         world.say(conn, session, Body::SetUp(wish("free")));
         assert_eq!(world.shots(session) == 2, is_taken, "{wait} s later");
     }
@@ -292,7 +292,7 @@
         world.say(VIEWERS, *session, Body::release(cause::NORMAL));
     }
     for (link, dial) in world.dials.clone() {
-        world.dispatcher.linked(world.now, Connection { link, dial });
+        world.dispatcher.on_connected(world.now, Connection { link, dial });
     }
     world.perform();
     for (n, session) in asked.iter().enumerate() {
@@ -308,13 +308,13 @@
         let message = |body| Message { session, body };
         world.hears(VIEWERS, message(asks), world.now);
         match closes {
-            true => world.dispatcher.viewer_gone(world.now, VIEWERS, Departure::Closed),
+            true => world.dispatcher.on_viewer_gone(world.now, VIEWERS, Departure::Closed),
             false => world.hears(VIEWERS, message(Body::release(cause::NORMAL)), world.now),
         }
-        assert!(!world.dispatcher.decide(world.now), "nothing is left to decide");
+        assert!(!world.dispatcher.decide_next(world.now), "nothing is left to decide");
         world.perform();
         assert!(order_of(&world, session).is_empty() && world.said.is_empty());
-        assert_eq!(world.dispatcher.in_hand(), 0);
+        assert_eq!(world.dispatcher.tracked_count(), 0);
     }
 }
 
@@ -326,7 +326,7 @@
     world.hears(VIEWERS, message, read);
     // It waits two of its three seconds for a decision.
     world.now = world.now + lemontide::clock::Span::of(2.0);
-    assert!(world.dispatcher.decide(world.now));
+    assert!(world.dispatcher.decide_next(world.now));
     world.perform();
     let mut sent_on = world.written.iter().filter(|(_, message)| message.session == session);
     let Some((_, Message { body: Body::SetUp(set_up), .. })) = sent_on.next() else {
@@ -338,27 +338,33 @@
 #[test]
 fn what_is_asked_and_not_decided_keeps_its_connection_and_its_process() {
     let mut world = World::new();
-    let (in_hand, open) = (world.dispatcher.in_hand(), world.dispatcher.open());
-    assert_eq!(world.dispatcher.spare(), Some(VIEWERS), "nothing is open on it");
+    let (in_hand, open) = (world.dispatcher.tracked_count(), world.dispatcher.unanswered_count());
+    assert_eq!(world.dispatcher.idle_connection(), Some(VIEWERS), "nothing is open on it");
     let message = |body| Message { session: 0xabc, body };
     world.hears(VIEWERS, message(Body::SetUp(wish("free"))), world.now);
-    assert_eq!((world.dispatcher.in_hand(), world.dispatcher.open()), (in_hand + 1, open + 1));
-    world.dispatcher.make_room();
+    assert_eq!(
+        (world.dispatcher.tracked_count(), world.dispatcher.unanswered_count()),
+        (in_hand + 1, open + 1)
+    );
+    world.dispatcher.close_idle_connection();
     world.perform();
-    assert!(world.dispatcher.spare().is_none() && world.retired.is_empty(), "it is not idle");
+    assert!(world.dispatcher.idle_connection().is_none() && world.retired.is_empty(), "it is not idle");
     world.hears(VIEWERS, message(Body::release(cause::NORMAL)), world.now);
-    assert_eq!((world.dispatcher.in_hand(), world.dispatcher.spare()), (in_hand, Some(VIEWERS)));
+    assert_eq!(
+        (world.dispatcher.tracked_count(), world.dispatcher.idle_connection()),
+        (in_hand, Some(VIEWERS))
+    );
 }
 
 /// A newcomer that needs a place takes the place of one idle connection, not of several.
 #[test]
 fn one_idle_connection_makes_room_at_a_time() {
     let mut world = World::new();
-    (2..40).for_each(|conn| world.dispatcher.viewer_up(world.now, conn));
+    (2..40).for_each(|conn| world.dispatcher.on_viewer_connected(world.now, conn));
     let asks = 2;
     world.ask_on(asks, wish("free"));
     for _ in 0..8 {
-        world.dispatcher.make_room();
+        world.dispatcher.close_idle_connection();
     }
     world.perform();
     assert_eq!(world.retired.len(), 1, "{:?}", world.retired);
@@ -421,7 +427,7 @@
     world.answer(session);
     world.tell_on(link, session, Body::release(cause::NORMAL));
     assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::NORMAL, .. }]));
-    assert_eq!((world.released(session), world.dispatcher.in_hand()), (2, 0));
+    assert_eq!((world.released(session), world.dispatcher.tracked_count()), (2, 0));
     let (session, _) = world.playing("free");
     world.ends(session, cause::NORMAL);
     assert_eq!(world.released(session), 0, "the release of a first attempt is its own");
@@ -433,7 +439,7 @@
     let mut world = World::new();
     let (session, _) = world.playing("free");
     world.ends(session, cause::NORMAL);
-    world.dispatcher.viewer_up(world.now, 2);
+    world.dispatcher.on_viewer_connected(world.now, 2);
     world.say(2, session, Body::SetUp(wish("free")));
     assert_eq!(world.shots(session), 1);
     assert!(matches!(world.said.last(), Some((2, Message { body: Body::Release { .. }, .. }))), "refused");
@@ -455,11 +461,19 @@
     world.late_close = true;
     world.pass(1.1);
     assert_eq!(world.closing, [(on, true)], "the streamer's own close is awaited");
-    world.dispatcher.told(world.now, on, Message { session, body: Body::release(cause::NORMAL) });
+    world.dispatcher.on_streamer_message(
+        world.now,
+        on,
+        Message { session, body: Body::release(cause::NORMAL) },
+    );
     world.perform();
     assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::NORMAL, .. }]));
     world.close_all(true);
-    world.dispatcher.told(world.now, on, Message { session: 99, body: Body::release(cause::NORMAL) });
+    world.dispatcher.on_streamer_message(
+        world.now,
+        on,
+        Message { session: 99, body: Body::release(cause::NORMAL) },
+    );
 }
 
 /// The answer of an attempt may be lost with its connection, and its request gets no other: what may stand is ended on
@@ -477,7 +491,7 @@
             world.say(VIEWERS, session, Body::release(cause::NORMAL));
         }
         let before = world.released(session);
-        world.loses(link, Loss::Broke);
+        world.loses(link, ConnectionLoss::Disconnected);
         world.unread.clear();
         world.pass(0.5);
         assert_eq!((world.shots(session), world.released(session)), (1, before + 1), "leaves: {leaves}");
--- a/crates/lemontide-platform/tests/dispatcher.rs
+++ b/crates/lemontide-platform/tests/dispatcher.rs
@@ -6,7 +6,7 @@
 use common::{entry, settings, wish, World, STREAMERS, VIEWERS};
 use lemontide_platform::codec::{cause, Body, SetUp};
 use lemontide_platform::config::Hosts;
-use lemontide_platform::dispatcher::Loss;
+use lemontide_platform::dispatcher::ConnectionLoss;
 use lemontide_platform::replies::Departure;
 use proptest::prelude::*;
 use serde_json::{json, Value as Json};
@@ -25,7 +25,7 @@
     assert_eq!(world.answered(session), Some(0));
     world.ends(session, cause::NORMAL);
     assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::NORMAL, .. }]));
-    assert_eq!(world.dispatcher.in_hand(), 0);
+    assert_eq!(world.dispatcher.tracked_count(), 0);
 }
 
 /// A set-up may be shot again, or refused, only where no shot of a paid lane may have run.
@@ -75,13 +75,13 @@
     let mut world = World::new();
     let session = world.ask("free");
     world.say(VIEWERS, session, Body::release(cause::NORMAL));
-    assert_eq!((world.released(session), world.dispatcher.in_hand()), (1, 0));
+    assert_eq!((world.released(session), world.dispatcher.tracked_count()), (1, 0));
     world.answer(session);
     assert!(world.heard(session).is_empty());
     let gone = world.ask("paid");
-    world.dispatcher.viewer_gone(world.now, VIEWERS, Departure::Closed);
+    world.dispatcher.on_viewer_gone(world.now, VIEWERS, Departure::Closed);
     world.perform();
-    assert_eq!((world.released(gone), world.dispatcher.in_hand()), (1, 0));
+    assert_eq!((world.released(gone), world.dispatcher.tracked_count()), (1, 0));
 }
 
 /// What stands belongs to no connection, of neither side.
@@ -89,11 +89,11 @@
 fn a_standing_subscription_outlives_its_connections() {
     let mut world = World::new();
     let (session, link) = world.playing("paid");
-    world.loses(link, Loss::Broke);
-    world.dispatcher.viewer_gone(world.now, VIEWERS, Departure::Closed);
+    world.loses(link, ConnectionLoss::Disconnected);
+    world.dispatcher.on_viewer_gone(world.now, VIEWERS, Departure::Closed);
     world.pass(3.0);
-    assert_eq!(world.dispatcher.in_hand(), 1);
-    world.dispatcher.viewer_up(world.now, 2);
+    assert_eq!(world.dispatcher.tracked_count(), 1);
+    world.dispatcher.on_viewer_connected(world.now, 2);
     let other = world.ask_on(2, wish("free"));
     world.answer(other);
     let at = world.address[&link].clone();
@@ -101,7 +101,7 @@
     world.tell_on(again, session, Body::release(cause::NORMAL));
     assert!(world.said.iter().any(|(conn, m)| *conn == 2 && m.session == session), "on any connection");
     world.say(2, other, Body::release(cause::NORMAL));
-    assert_eq!((world.released(other), world.dispatcher.in_hand()), (1, 0), "ended by its viewer");
+    assert_eq!((world.released(other), world.dispatcher.tracked_count()), (1, 0), "ended by its viewer");
 }
 
 /// Hundreds of controllers by hundreds of streamers: a connection is there for what needs it and for nobody else.
@@ -134,7 +134,7 @@
             world.ends(session, cause::NORMAL);
             world.pass(0.2);
         }
-        world.loses(link, Loss::Broke);
+        world.loses(link, ConnectionLoss::Disconnected);
         world.pass(1.0);
         assert_eq!(world.dials[&link], if stands { 2 } else { 1 });
     }
@@ -145,23 +145,23 @@
 fn a_release_dials_for_itself() {
     let mut world = World::new();
     let (session, link) = world.playing("free");
-    world.away.insert(world.address[&link].clone(), Loss::Dark);
-    world.loses(link, Loss::Broke);
+    world.away.insert(world.address[&link].clone(), ConnectionLoss::DialTimedOut);
+    world.loses(link, ConnectionLoss::Disconnected);
     world.pass(0.15);
     world.away.clear();
     world.say(VIEWERS, session, Body::release(cause::NORMAL));
-    assert_eq!((world.released(session), world.dispatcher.in_hand()), (1, 0));
+    assert_eq!((world.released(session), world.dispatcher.tracked_count()), (1, 0));
 }
 
 #[test]
 fn a_release_that_no_connection_takes_waits_for_one() {
     let mut world = World::new();
     let (session, link) = world.playing("free");
-    world.dispatcher.viewer_gone(world.now, VIEWERS, Departure::Closed);
+    world.dispatcher.on_viewer_gone(world.now, VIEWERS, Departure::Closed);
     world.tell_on(link, session, Body::release(cause::BROKEN));
     assert_eq!(world.heard(session).len(), 1);
     world.pass(1.0);
-    world.dispatcher.viewer_up(world.now, 2);
+    world.dispatcher.on_viewer_connected(world.now, 2);
     let next = world.ask_on(2, wish("free"));
     world.answer(next);
     assert_eq!(world.heard(session).len(), 2);
@@ -170,7 +170,7 @@
 /// The process is gone where nobody listens any more; a broken connection alone proves nothing.
 #[test]
 fn what_stood_is_released_when_nobody_listens_or_nobody_is_reached() {
-    for (loss, within) in [(Loss::Refused, 0.5), (Loss::Dark, 3.0)] {
+    for (loss, within) in [(ConnectionLoss::Refused, 0.5), (ConnectionLoss::DialTimedOut, 3.0)] {
         let mut world = World::new();
         let (session, link) = world.playing("free");
         world.away.insert(world.address[&link].clone(), loss);
@@ -181,7 +181,7 @@
             .filter(|l| world.address[l] == world.address[&link])
             .collect::<Vec<_>>()
         {
-            world.loses(link, Loss::Broke);
+            world.loses(link, ConnectionLoss::Disconnected);
         }
         world.pass(within);
         assert!(
@@ -196,7 +196,7 @@
 fn a_silent_streamer_is_found_by_a_test_within_the_platforms_time() {
     let mut world = World::new();
     let (session, link) = world.playing("free");
-    world.away.insert(world.address[&link].clone(), Loss::Dark);
+    world.away.insert(world.address[&link].clone(), ConnectionLoss::DialTimedOut);
     world.pass(7.5);
     assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::BROKEN, .. }]));
 }
@@ -206,7 +206,7 @@
     let mut world = World::new();
     let session = world.ask("free");
     let (link, _) = world.shot(session).expect("it was sent");
-    world.away.insert(world.address[&link].clone(), Loss::Dark);
+    world.away.insert(world.address[&link].clone(), ConnectionLoss::DialTimedOut);
     world.pass(0.5 + 0.5);
     assert!(world.hung.contains(&link));
 }
@@ -227,10 +227,10 @@
     }
     world.news(entry(at, "terminated"));
     assert_eq!(world.heard(session).len(), 1, "it may still play");
-    world.loses(link, Loss::Broke);
+    world.loses(link, ConnectionLoss::Disconnected);
     assert_eq!(world.heard(session).len(), 2, "nobody will tell any more");
-    assert_eq!(world.dispatcher.streamers(), STREAMERS - 1);
-    assert!(world.dispatcher.links() < STREAMERS, "none of them is its own");
+    assert_eq!(world.dispatcher.streamer_count(), STREAMERS - 1);
+    assert!(world.dispatcher.link_count() < STREAMERS, "none of them is its own");
 }
 
 #[test]
@@ -238,7 +238,7 @@
     let mut world = World::new();
     world.stuck = true;
     for link in world.dials.clone().into_keys() {
-        world.loses(link, Loss::Broke);
+        world.loses(link, ConnectionLoss::Disconnected);
     }
     let session = world.ask("paid");
     assert_eq!((world.answered(session), world.shots(session)), (None, 0), "it waits");
@@ -273,9 +273,9 @@
     let mut new = entry(at, "in_service");
     new.id = "new".into();
     world.learn(&Hosts { full: false, servers: vec![entry(at, "terminated"), new] });
-    world.loses(link, Loss::Broke);
+    world.loses(link, ConnectionLoss::Disconnected);
     assert_eq!(world.heard(session).len(), 2, "the new one does not know it");
-    assert_eq!(world.dispatcher.streamers(), STREAMERS);
+    assert_eq!(world.dispatcher.streamer_count(), STREAMERS);
 }
 
 #[test]
@@ -309,11 +309,11 @@
 fn two_set_ups_under_one_number_end_their_connection_and_not_anothers() {
     let mut world = World::new();
     let session = world.ask("free");
-    world.dispatcher.viewer_up(world.now, 2);
+    world.dispatcher.on_viewer_connected(world.now, 2);
     world.say(2, session, Body::SetUp(wish("free")));
     assert!(world.said.iter().any(|(conn, m)| *conn == 2 && m.session == session));
     world.say(VIEWERS, session, Body::SetUp(wish("free")));
-    assert_eq!((world.parted.clone(), world.dispatcher.in_hand()), (vec![VIEWERS], 0));
+    assert_eq!((world.parted.clone(), world.dispatcher.tracked_count()), (vec![VIEWERS], 0));
 }
 
 /// One connection sent the same wish two hundred times, and the module counted each for its tenant.
@@ -339,7 +339,7 @@
     let shot = asked.iter().filter(|session| world.shots(**session) > 0).count();
     assert!((1..100).contains(&shot), "{shot} of 200 were shot");
     assert!(asked.iter().all(|s| world.shots(*s) > 0 || world.answered(*s).is_some_and(World::is_refusal)));
-    world.dispatcher.viewer_up(world.now, 2);
+    world.dispatcher.on_viewer_connected(world.now, 2);
     let other = world.ask_on(2, wish("free"));
     assert_eq!(world.shots(other), 1);
 }
@@ -351,11 +351,11 @@
     handed.figures.as_mut().expect("some").at = Some("s1".into());
     world.say(VIEWERS, 7, Body::SetUp(handed.clone()));
     world.say(VIEWERS, 7, Body::SetUp(handed.clone()));
-    assert_eq!((world.dispatcher.in_hand(), world.heard(7).len()), (1, 0));
+    assert_eq!((world.dispatcher.tracked_count(), world.heard(7).len()), (1, 0));
     world.pass(0.2);
     let link = *world.address.iter().find(|(_, a)| *a == "127.0.0.1:9001").expect("it is linked").0;
     world.tell_on(link, 7, Body::release(cause::NORMAL));
-    assert_eq!((world.dispatcher.in_hand(), world.heard(7).len()), (0, 1));
+    assert_eq!((world.dispatcher.tracked_count(), world.heard(7).len()), (0, 1));
     handed.figures.as_mut().expect("some").at = Some("nowhere".into());
     world.say(VIEWERS, 8, Body::SetUp(handed));
     assert_eq!(world.heard(8).len(), 1, "nobody will ever tell of it");
@@ -368,19 +368,19 @@
         world.ask("free");
         world.pass(0.01);
     }
-    assert!(world.dispatcher.links() > STREAMERS && world.dispatcher.links() <= 256 / 3);
+    assert!(world.dispatcher.link_count() > STREAMERS && world.dispatcher.link_count() <= 256 / 3);
     world.pass(10.0);
-    assert_eq!(world.dispatcher.in_hand(), 0, "every one has its answer");
+    assert_eq!(world.dispatcher.tracked_count(), 0, "every one has its answer");
 }
 
 /// New numbers, connections and streamers all day long: what is over leaves nothing behind.
 #[test]
 fn thousands_of_lives_leave_the_tables_empty() {
     let mut world = World::new();
-    world.dispatcher.viewer_gone(world.now, VIEWERS, Departure::Closed);
+    world.dispatcher.on_viewer_gone(world.now, VIEWERS, Departure::Closed);
     for life in 0..3000u64 {
         let conn = 1000 + life;
-        world.dispatcher.viewer_up(world.now, conn);
+        world.dispatcher.on_viewer_connected(world.now, conn);
         let session = world.ask_on(conn, wish(if life % 2 == 0 { "free" } else { "paid" }));
         if world.shot(session).is_some() {
             world.answer(session);
@@ -401,16 +401,23 @@
             world.learn(&Hosts { full: false, servers: vec![old, new] });
             world.pass(0.1);
         }
-        world.dispatcher.viewer_gone(world.now, conn, Departure::Closed);
+        world.dispatcher.on_viewer_gone(world.now, conn, Departure::Closed);
         world.perform();
     }
     for link in world.dials.clone().into_keys() {
-        world.loses(link, Loss::Broke);
+        world.loses(link, ConnectionLoss::Disconnected);
     }
     world.pass(1.0);
-    assert_eq!((world.dispatcher.in_hand(), world.dispatcher.open(), world.dispatcher.spare()), (0, 0, None));
-    assert_eq!(world.dispatcher.streamers(), STREAMERS);
-    assert!(world.dispatcher.links() <= STREAMERS, "{} links", world.dispatcher.links());
+    assert_eq!(
+        (
+            world.dispatcher.tracked_count(),
+            world.dispatcher.unanswered_count(),
+            world.dispatcher.idle_connection()
+        ),
+        (0, 0, None)
+    );
+    assert_eq!(world.dispatcher.streamer_count(), STREAMERS);
+    assert!(world.dispatcher.link_count() <= STREAMERS, "{} links", world.dispatcher.link_count());
 }
 
 #[test]
@@ -430,7 +437,7 @@
     Tell { pick: usize, cause: u8 },
     Answer { pick: usize },
     GiveUp { pick: usize },
-    Lose { pick: usize, loss: Loss },
+    Lose { pick: usize, loss: ConnectionLoss },
     State { at: usize, state: &'static str },
     Away { at: usize, away: bool },
     Pass { tenths: u32 },
@@ -438,7 +445,11 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let cause = prop_oneof![Just(16u8), Just(31), Just(34), Just(41), Just(47), Just(102), any::<u8>()];
-    let loss = prop_oneof![Just(Loss::Refused), Just(Loss::Dark), Just(Loss::Broke)];
+    let loss = prop_oneof![
+        Just(ConnectionLoss::Refused),
+        Just(ConnectionLoss::DialTimedOut),
+        Just(ConnectionLoss::Disconnected)
+    ];
     let state = prop_oneof![3 => Just("in_service"), 1 => Just("terminating"), 1 => Just("terminated")];
     prop_oneof![
         6 => any::<bool>().prop_map(|paid| Step::Ask { paid }),
@@ -493,7 +504,7 @@
                 Step::Away { at, away } => {
                     let address = entry(at, "").addr;
                     if away {
-                        world.away.insert(address, Loss::Dark);
+                        world.away.insert(address, ConnectionLoss::DialTimedOut);
                     } else {
                         world.away.remove(&address);
                     }
@@ -502,7 +513,7 @@
             }
         }
         world.pass(3.0);
-        prop_assert_eq!(world.dispatcher.open(), 0, "every wish has its answer by its cut-off");
+        prop_assert_eq!(world.dispatcher.unanswered_count(), 0, "every wish has its answer by its cut-off");
         for (session, paid) in asked {
             let heard = world.heard(session);
             if given_up.contains(&session) {
@@ -574,7 +585,7 @@
     }
     world.pass(30.0);
     world.news(entry(0, "terminating"));
-    assert_eq!((world.dispatcher.in_hand(), world.said.len()), (21, 21), "nobody is told anything");
+    assert_eq!((world.dispatcher.tracked_count(), world.said.len()), (21, 21), "nobody is told anything");
 }
 
 /// Where looks are allowed a wish waited three quarters of a second for looks that the platform has no message for.
--- a/crates/lemontide-platform/tests/settings.rs
+++ b/crates/lemontide-platform/tests/settings.rs
@@ -27,38 +27,38 @@
     let mut now = Point::at(1000.0);
     let sheet = lemontide_settings::parse_settings(settings)?;
     let terms = serve::terms(&sheet, settings, 256)?;
-    let mut dispatcher = Dispatcher::start(now, 7, &sheet, terms);
+    let mut dispatcher = Dispatcher::new(now, 7, &sheet, terms);
     let servers = (0..STREAMERS).map(|at| entry(at, "in_service")).collect();
-    dispatcher.learn(now, &Hosts { full: true, servers });
-    dispatcher.viewer_up(now, 1);
+    dispatcher.update_list(now, &Hosts { full: true, servers });
+    dispatcher.on_viewer_connected(now, 1);
     for session in 1..100 {
         now = now + Span::of_millis(50);
         let lane = if session % 2 == 0 { "free" } else { "paid" };
         let message = Message { session, body: Body::SetUp(wish(lane)) };
-        let heard = dispatcher.replies().take(1, message, now);
-        dispatcher.viewer_said(now, heard);
-        assert!(dispatcher.decide(now));
+        let heard = dispatcher.replies().register(1, message, now);
+        dispatcher.on_viewer_message(now, heard);
+        assert!(dispatcher.decide_next(now));
         while !dispatcher.effects.is_empty() {
             for effect in std::mem::take(&mut dispatcher.effects) {
                 match effect {
-                    Effect::Dial { on, .. } => dispatcher.linked(now, on),
-                    Effect::Write { on, orders } => {
+                    Effect::Dial { on, .. } => dispatcher.on_connected(now, on),
+                    Effect::Write { on, messages: orders } => {
                         for queued in orders {
                             let Message { session, body } = queued.order.message;
                             queued.order.permit.map(|permit| permit.begin());
                             if matches!(body, Body::SetUp(_)) {
                                 let answer =
                                     Body::Answer { description: Bytes::new(), load: Default::default() };
-                                dispatcher.told(now, on, Message { session, body: answer });
+                                dispatcher.on_streamer_message(now, on, Message { session, body: answer });
                             }
                         }
-                        dispatcher.wrote(now, on, Vec::new());
+                        dispatcher.on_batch_written(now, on, Vec::new());
                     }
                     _ => {}
                 }
             }
         }
-        if now >= dispatcher.next() {
+        if now >= dispatcher.next_tick() {
             dispatcher.tick(now);
         }
     }
--- a/crates/lemontide-standin/tests/crossings.rs
+++ b/crates/lemontide-standin/tests/crossings.rs
@@ -5,7 +5,7 @@
 use lemontide_front::core::{Connection, Queued};
 use lemontide_platform::codec::{Body, Message, SetUp};
 use lemontide_platform::config::Hosts;
-use lemontide_platform::dispatcher::Order;
+use lemontide_platform::dispatcher::OutboundMessage;
 use lemontide_platform::journal;
 use lemontide_platform::permit::Permit;
 use lemontide_platform::streamers::{run, Close, Dial, Report};
@@ -22,7 +22,7 @@
 
 /// A connection to a streamer as the loop runs it; the test plays the streamer.
 struct Line {
-    orders: mpsc::Sender<Vec<Queued<Order>>>,
+    orders: mpsc::Sender<Vec<Queued<OutboundMessage>>>,
     close: Option<oneshot::Sender<Close>>,
     reports: mpsc::Receiver<Report>,
     streamer: TcpStream,
@@ -41,14 +41,14 @@
     Line { orders, close: Some(close), reports, streamer }
 }
 
-fn set_up(session: u64, permit: &Permit) -> Queued<Order> {
+fn set_up(session: u64, permit: &Permit) -> Queued<OutboundMessage> {
     let body = Body::SetUp(SetUp {
         lane: "paid".into(),
         title: "t".into(),
         description: Bytes::from(vec![7; 15_000]),
         ..SetUp::default()
     });
-    let order = Order { message: Message { session, body }, permit: Some(permit.clone()) };
+    let order = OutboundMessage { message: Message { session, body }, permit: Some(permit.clone()) };
     Queued { order, shot: Some((session as u32, 0)), not_after: None }
 }
 
