--- a/crates/lemontide-platform/src/dispatcher.rs
+++ b/crates/lemontide-platform/src/dispatcher.rs
@@ -1,7 +1,8 @@
-//! The dispatcher: what happens on the platform's sockets becomes calls on the decision module, and what the module
-//! decides becomes messages. It owns the subscriptions in hand, their shots, which link a shot was written to, and
-//! the duty of one answer. No sockets, no files, no clock: time comes from outside, what has to be done is left in
-//! `effects`. It tells the module the truth of every shot by the table in `docs/design/controller.md`.
+//! The dispatcher, the core of the event loop without I/O. It turns events on the platform's sockets into calls on the
+//! decision module (`Controller`), and the decisions of the module into messages. It owns the tracked sessions, their
+//! attempts, the connection that each attempt was written to, and the duty to answer each request exactly once. It uses
+//! no sockets, files or clock: the time is an argument, and the work for the caller is left in `effects`. It reports
+//! the outcome of each attempt to the module by the table in `docs/design/controller.md`.
 
 mod attempts;
 mod connections;
@@ -33,56 +34,56 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Kept back of a viewer's time, so that the final answer is there before the viewer goes.
+/// Subtracted from the time that a viewer waits, so that the final answer arrives before the viewer gives up.
 const ANSWER_MARGIN: Span = Span::of_millis(40);
-/// The links are looked after this often.
+/// Interval between checks of all links to streamers.
 const LINK_CHECK_INTERVAL: Span = Span::of_millis(100);
-/// A release that no connection could take is kept for so long.
+/// How long a release is kept that no connection could take or that its streamer is not known to have read.
 const RELEASE_RETENTION: Span = Span::of_millis(8000);
-/// An attempt that was never proven over is remembered for so long after its request.
+/// How long an attempt that was not proven over is remembered after its request ended.
 const UNPROVEN_RETENTION: Span = Span::of_millis(8000);
-/// Ends of what nobody has handed over yet that are remembered, releases that wait for a streamer, and attempts that
-/// are not proven over, at most of each.
+/// Maximum number of entries of each of these: ends of sessions that were not handed over yet, releases that a streamer
+/// is not known to have read, and attempts that are not proven over.
 const MAX_REMEMBERED: usize = 1024;
 
-/// What the platform states and the dispatcher itself needs; the rest is the module's, in the sheet.
+/// The settings that the dispatcher itself needs. The module has its own, in `ControllerSettings`.
 #[derive(Clone, Debug, Default)]
 pub struct DispatcherSettings {
-    /// Name and cut-off of each lane.
+    /// Name of each class, and the longest time that its requests may wait for an answer.
     pub classes: Vec<(String, Span)>,
     pub tenants: Vec<String>,
     pub cells: usize,
     pub rungs: usize,
     pub dial_timeout: Span,
-    /// Set-ups that one connection to a streamer carries at a time.
+    /// Maximum number of set-ups that wait or are out on one connection to a streamer.
     pub max_set_ups_per_link: usize,
-    /// Connections to all streamers together.
+    /// Maximum number of connections to all streamers together.
     pub max_connections: usize,
-    /// A connection that nothing needs is closed after so long.
+    /// A connection to a streamer that nothing needs is closed after this time.
     pub max_idle: Span,
-    /// Subscriptions and wishes in hand at most.
+    /// Maximum number of tracked requests and sessions.
     pub max_tracked: usize,
 }
 
-/// Something that has to be done.
+/// Work for the caller.
 #[derive(Debug)]
 pub enum Effect {
     SendToViewer {
         conn: u64,
         message: Message,
-        /// It ends what stood: any viewers' connection may carry it.
+        /// It releases an established session: any viewer connection can carry it.
         ends_session: bool,
-        /// Where it is the final answer of a request.
+        /// Set if it is the final answer of a request.
         reply: Option<PendingReply>,
-        /// Of the request that it answers, where they are logged.
+        /// The steps of the request that it answers, if they are logged.
         steps: Option<Box<Steps>>,
     },
-    /// Close a viewers' connection on which nothing is open, unless more than so many messages came on it.
+    /// Close a viewer connection on which no answer is owed, unless more than `messages_read` messages were read on it.
     CloseIfIdle {
         conn: u64,
         messages_read: u64,
     },
-    /// Read nothing more on a viewers' connection, and close it once nothing on it is owed an answer.
+    /// Read nothing more on a viewer connection, and close it once no answer is owed on it.
     Drain {
         conn: u64,
     },
@@ -94,8 +95,9 @@
         on: Connection,
         messages: Vec<Queued<OutboundMessage>>,
     },
-    /// Close a connection to a streamer. Where `awaits_close`, only this end's half of it at first, and the streamer's
-    /// own close is awaited for a while: it proves what was out there over.
+    /// Close a connection to a streamer. With `awaits_close`, only this end's half is closed at first, and the
+    /// streamer's own close is awaited for a while: after it the streamer reads nothing more of that connection, and
+    /// has given up the set-ups on it that had not finished.
     Close {
         on: Connection,
         awaits_close: bool,
@@ -105,20 +107,20 @@
 /// How a connection or a dial ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionLoss {
-    /// Nobody listens there: proof that the process is gone.
+    /// The dial was refused: no process listens at the address, which proves that the streamer's process is gone.
     Refused,
-    /// The dial did not come through in time.
-    DialTimedOut,
-    /// It was up and broke, or could not be read any more.
+    /// The dial timed out or failed in another way.
+    DialFailed,
+    /// The connection was up and broke, could not be read any more, or was closed by this end.
     Disconnected,
 }
 
-/// The value of the log field `loss`.
+/// The value of the log field `loss`, which keeps its first names.
 impl fmt::Display for ConnectionLoss {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         to.write_str(match self {
             ConnectionLoss::Refused => "Refused",
-            ConnectionLoss::DialTimedOut => "Dark",
+            ConnectionLoss::DialFailed => "Dark",
             ConnectionLoss::Disconnected => "Broke",
         })
     }
@@ -128,69 +130,69 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseReason {
     Idle,
-    /// Nothing was heard on it for too long, or an order stayed unwritten.
+    /// Nothing was received on it for too long, or a message stayed unwritten.
     Silent,
-    /// A set-up got no answer on it, and then nothing else came.
+    /// A set-up got no answer on it, and nothing else was received within the test timeout.
     Unanswered,
-    /// Too many orders wait for it.
+    /// Too many messages wait to be written.
     QueueFull,
     AddressChanged,
     StreamerGone,
     MakesRoom,
 }
 
-/// An attempt that is out.
+/// An attempt whose outcome is not known.
 struct Attempt {
     number: u32,
-    /// The connection that carries it; none has these numbers before it is on one.
+    /// The connection that carries it. Link and dial are 0 until it has one; no connection has these numbers.
     on: Connection,
     deadline: Point,
     not_after: Point,
-    /// From the moment in which it begins it may have run.
+    /// Decides whether it may begin to be written. From the moment in which it begins it may have run.
     permit: Permit,
-    /// No earlier attempt of its request began at its streamer.
+    /// No earlier attempt of its request may have set up a session at its streamer.
     is_first: bool,
-    /// It is given up, and the next attempt waits for a proof that it is over.
+    /// Set once it is given up: the next attempt waits for a proof that this one is over.
     given_up: Option<GivenUp>,
 }
 
-/// An attempt whose request is over and that may still be out: nothing may be begun under its session.
+/// An attempt whose request is over and that may still run: no other may begin under its session.
 struct UnprovenAttempt {
     session: u64,
     attempt: GivenUp,
     until: Point,
 }
 
-/// A message for a streamer. One with a permit is written only where that may still begin.
+/// A message for a streamer. One with a permit is written only if the permit lets it begin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutboundMessage {
     pub message: Message,
     pub permit: Option<Permit>,
 }
 
-/// What a viewer asks for and nobody has decided yet.
+/// A set-up of a viewer that is not decided yet.
 struct UndecidedSetUp {
     conn: u64,
     session: u64,
     body: Body,
-    /// When it was read, and how long it may have waited unread.
+    /// When it was read, and how long it may have waited unread before.
     read_at: Point,
     read_delay: Span,
-    /// Where an answer is owed.
+    /// Set if it is owed an answer, which a hand-over is not.
     reply: Option<PendingReply>,
 }
 
-/// A wish or subscription in hand.
+/// A request that is not answered finally yet, or a session that plays.
 struct TrackedSession {
     session: u64,
     handle: SessionHandle,
     conn: u64,
-    /// Until it is answered.
+    /// Set until the request is answered.
     reply: Option<PendingReply>,
-    /// What is passed on with a shot; given up once it plays.
+    /// What is passed on with each attempt. Its description is dropped once the session plays.
     set_up: SetUp,
     streamer: Arc<str>,
-    /// Until when it may be sent.
+    /// The deadline of the request.
     deadline: Point,
     rung: usize,
     attempt_count: u32,
@@ -199,16 +201,17 @@
     /// When its last attempt began.
     begun_at: Option<Point>,
     attempt: Option<Attempt>,
-    /// Streamers that may have set it up in an earlier attempt, and may still release that.
+    /// Streamers at which an earlier attempt may have set up a session, which they may still release.
     previous_streamers: Vec<Arc<str>>,
-    /// Since when it plays.
+    /// Since when the session plays.
     playing_since: Option<Point>,
-    /// The connection that carries what is said of it to its streamer while it plays: order holds within one only.
+    /// The connection that carries the messages about the session to its streamer while it plays: messages keep their
+    /// order only within one connection.
     control_connection: Option<Connection>,
 }
 
 impl TrackedSession {
-    /// A request or session of this connection and number, read then and to be sent on until then.
+    /// A request or session with this connection and session number, when it was read, and its deadline.
     fn new(
         (conn, session): (u64, u64),
         handle: SessionHandle,
@@ -236,12 +239,12 @@
         }
     }
 
-    /// Whether what a streamer says of this session can concern no earlier attempt.
+    /// Whether a message of the streamer about this session can't concern an earlier attempt.
     fn is_first_attempt_at(&self, streamer: &Arc<str>) -> bool {
         !self.previous_streamers.contains(streamer)
     }
 
-    /// Whether a streamer may know of this session.
+    /// Whether a streamer may know this session.
     fn has_begun(&self) -> bool {
         let is_out = self.attempt.as_ref().is_some_and(|attempt| attempt.permit.has_begun());
         is_out || self.begun_at.is_some() || self.playing_since.is_some()
@@ -255,39 +258,40 @@
     unreachable_since: Option<Point>,
 }
 
-/// One connection to a streamer.
+/// A link to a streamer, with one connection at a time.
 struct StreamerLink {
     streamer: Arc<str>,
     link: Link<OutboundMessage>,
     /// Set-ups that wait on it or are out on it.
     pending_set_ups: usize,
-    /// A set-up got no answer on it: it must say something until then.
+    /// Set if a set-up got no answer on it: it is closed if nothing is received on it until then.
     suspect_until: Option<Point>,
 }
 
-/// How something ended that this controller did not hold.
+/// How a session ended that this controller did not track.
 #[derive(Clone, Copy)]
 enum UntrackedEnd {
-    /// Its streamer said so.
+    /// Its streamer released it, with this cause.
     ByStreamer(u8),
     /// Its viewer ended it.
     ByViewer,
 }
 
-/// A release that a streamer must get.
+/// A release that a streamer has to read.
 struct PendingRelease {
     streamer: Arc<str>,
     session: u64,
     until: Point,
     sent: Option<SentRelease>,
-    /// A connection is dialled for it where none is up: it is known that something stands.
+    /// Whether a connection is dialled for it if none is up, as the session is known to be established.
     may_dial: bool,
 }
 
-/// A release that is on its way to a streamer.
+/// The last sending of a release to a streamer.
 struct SentRelease {
     on: Connection,
-    /// Number of the last test before it on its connection: the streamer has read it once it passes a later one.
+    /// Number of the last test that was sent before it. Once the streamer passes a later test on the same connection,
+    /// it has read the release.
     after_test: u64,
 }
 
@@ -300,39 +304,39 @@
             Evidence::EndAcknowledged | Evidence::SetUpRefused | Evidence::Released => {
                 session == Some(self.session)
             }
-            // What stands belongs to no connection, and stands on.
+            // An established session belongs to no connection and outlives it.
             Evidence::ClosedByStreamer | Evidence::Refused => false,
         }
     }
 }
 
-/// A viewers' connection.
+/// A connection from viewers.
 struct ViewerConnection {
-    /// Set-ups on it that are owed an answer.
+    /// Requests on it that are decided and owed an answer.
     unanswered: usize,
-    /// What was asked on it and is not decided.
+    /// Set-ups that were read on it and are not decided.
     undecided: usize,
-    /// A subscription was set up on it.
+    /// Whether a session was set up on it.
     has_set_up: bool,
     last_message_at: Point,
-    /// Messages heard on it.
+    /// Number of messages read on it.
     messages_read: u64,
-    /// It was asked to close, and has not said anything since.
+    /// It was asked to close if it is idle, and nothing was read on it since.
     closes_if_idle: bool,
-    /// Nothing more is read on it, and nothing more is begun for it; what is owed on it is still answered.
+    /// Nothing more is read on it, and no new request of it is started; the requests on it are still answered.
     is_draining: bool,
-    /// The last set-ups that were turned away on it.
+    /// Session numbers of the last set-ups that were rejected or failed on it.
     rejected_sessions: VecDeque<u64>,
 }
 
 impl ViewerConnection {
-    /// Whether nothing that came on it is owed an answer.
+    /// Whether no answer is owed on it and nothing is undecided.
     fn is_idle(&self) -> bool {
         self.unanswered == 0 && self.undecided == 0
     }
 }
 
-/// Decides and remembers for all connections of one process.
+/// The requests, sessions and connections of one process.
 pub struct Dispatcher {
     controller: Controller,
     settings: DispatcherSettings,
@@ -343,7 +347,7 @@
     id_by_session: HashMap<u64, u32>,
     viewer_connections: BTreeMap<u64, ViewerConnection>,
     timers: BinaryHeap<Reverse<(Point, u32, u32)>>,
-    /// Releases that no connection could take yet.
+    /// Releases to viewers that no connection could take yet, each with its end of retention.
     unsent_releases: VecDeque<(Point, Message)>,
     next_tick_at: Option<Point>,
     links_checked_at: Point,
@@ -351,19 +355,19 @@
     last_id: u32,
     last_link: u64,
     stopping_since: Option<Point>,
-    /// How long this process stood still before what it hears now.
+    /// How long this process did not run before the messages that are being handled.
     read_delay: Span,
-    /// Heard in this turn and not decided, in order.
+    /// Set-ups that were read and are not decided, in order.
     undecided: VecDeque<UndecidedSetUp>,
-    /// Ends of what stood that were heard before anybody handed it over, by their session.
+    /// Ends of sessions that arrived before their hand-over.
     untracked_ends: VecDeque<(u64, UntrackedEnd)>,
-    /// Releases for streamers that are not known to be read.
+    /// Releases that their streamer is not known to have read.
     pending_releases: VecDeque<PendingRelease>,
     unproven: VecDeque<UnprovenAttempt>,
-    /// Sessions under which an attempt began, and which are not in hand any more.
+    /// Sessions under which an attempt began and which are not tracked any more.
     ended: EndedSessions,
-    /// Connections that this end has done with, whose streamer's close is awaited, with that streamer. They hold a
-    /// descriptor, and what is said on them is still heard.
+    /// Connections that this end does not use any more and whose close by the streamer is awaited, with that streamer.
+    /// They hold a descriptor, and messages on them are still handled.
     closing: BTreeMap<Connection, Arc<str>>,
     /// Number of the last test that was sent to a streamer.
     last_test: u64,
@@ -378,7 +382,8 @@
         controller_settings: &ControllerSettings,
         settings: DispatcherSettings,
     ) -> Dispatcher {
-        // No message here brings what a look would. Guards against wishes that wait for looks that never come back.
+        // The platform has no message for probes, so they are switched off. Guards against requests that wait for the
+        // result of a probe that never arrives.
         let mut controller_settings = controller_settings.clone();
         controller_settings.insert("looks.allowed".to_owned(), SettingValue::Flag(false));
         Dispatcher {
@@ -410,30 +415,30 @@
         }
     }
 
-    /// When `tick` wants to be called next.
+    /// When `tick` is to be called next.
     pub fn next_tick(&self) -> Point {
         let timer = self.timers.peek().map(|Reverse((at, ..))| *at);
         let next_link_check = self.links_checked_at + LINK_CHECK_INTERVAL;
         [timer, self.next_tick_at].into_iter().flatten().fold(next_link_check, Point::min)
     }
 
-    /// Subscriptions and wishes in hand, also those that are only asked for.
+    /// Number of tracked requests and sessions, with set-ups that are not decided.
     pub fn tracked_count(&self) -> usize {
         self.sessions.len() + self.undecided.len()
     }
 
-    /// Wishes that are owed an answer.
+    /// Number of requests that are owed an answer, with set-ups that are not decided.
     pub fn unanswered_count(&self) -> usize {
         self.sessions.values().filter(|tracked| tracked.playing_since.is_none()).count()
             + self.undecided.len()
     }
 
-    /// What viewers ask for that is not decided yet.
+    /// Number of set-ups that are not decided.
     pub fn undecided_count(&self) -> usize {
         self.undecided.len()
     }
 
-    /// The answers that are owed, which those who read from clients' connections add to.
+    /// The open requests. The tasks that read from viewer connections register theirs here.
     pub fn replies(&self) -> &Replies {
         &self.replies
     }
@@ -446,18 +451,18 @@
         self.streamers.len()
     }
 
-    /// What is heard from now on may have come as long ago as this process stood still. Guards against answers that
-    /// come when the viewer's own time is over.
+    /// Messages that are handled from now on may have waited unread for up to this time, as this process did not run.
+    /// Their deadlines are earlier by it. Guards against answers that arrive when the viewer does not wait any more.
     pub fn set_read_delay(&mut self, read_delay: Span) {
         self.read_delay = read_delay;
     }
 
-    /// Set-ups that come from now on are taken for a moment only: the platform is about to stop this process.
+    /// The platform is about to stop this process: set-ups are accepted only for a short time more.
     pub fn stop(&mut self, now: Point) {
         self.stopping_since.get_or_insert(now);
     }
 
-    /// When `next` says so.
+    /// Does what is due. To be called at the time that `next_tick` gives.
     pub fn tick(&mut self, now: Point) {
         if now - self.links_checked_at >= LINK_CHECK_INTERVAL {
             self.check_links(now, now - self.links_checked_at);
--- a/crates/lemontide-platform/src/dispatcher/attempts.rs
+++ b/crates/lemontide-platform/src/dispatcher/attempts.rs
@@ -1,14 +1,14 @@
-//! The dispatcher's part of attempts: each is sent, ends once, and the module is told the truth of it. The module places a
-//! request anew only from `attempt_over`, which takes the proof that the last attempt is over, and from `out_of_time`,
-//! after which there is no other.
+//! The dispatcher's part of attempts: each is sent, ends once, and its outcome is reported to the module. A request
+//! gets another attempt only after `attempt_over`, which needs a proof that the last attempt is over. After
+//! `end_without_proof` it gets no other attempt.
 
 use super::*;
 
-/// A connection on which a set-up got no answer must pass a test within this time, or it is of no more use.
+/// Time within which a connection on which a set-up got no answer must pass a test; otherwise it is closed.
 const TEST_TIMEOUT: Span = Span::of_millis(400);
 
 impl Dispatcher {
-    /// Takes back an attempt that has not begun, wherever it waits; true where it now never will.
+    /// Withdraws an attempt that has not begun, wherever it waits. True if it now never will begin.
     fn withdraw(&mut self, id: u32, attempt: &Attempt) -> bool {
         if !attempt.permit.withdraw() {
             return false;
@@ -20,7 +20,7 @@
         true
     }
 
-    /// Gives up an attempt that has begun; what is known of its end. Nothing is written yet.
+    /// Marks an attempt that has begun as given up, and returns what is known of its end. Nothing is sent yet.
     fn give_up(&mut self, attempt: &mut Attempt, ending: AttemptOutcome) -> GivenUp {
         let (on, is_first) = (attempt.on, attempt.is_first);
         if let Some(streamer_link) = self.links.get_mut(&on.link).filter(|_| attempt.given_up.is_none()) {
@@ -29,8 +29,9 @@
         *attempt.given_up.get_or_insert(GivenUp { on, is_closed: false, is_first, ending, test: None })
     }
 
-    /// Tells a streamer that an attempt is given up, and sends a test behind it, whose number is returned: once it is
-    /// passed, the streamer has read that far. Where the connection takes no more, its close gives the attempt up.
+    /// Releases an attempt that is given up, and sends a test behind the release, whose number is returned: once the
+    /// streamer passes the test, it has read the release. If the connection takes no more messages it is closed, and
+    /// the close makes the streamer give up the attempt.
     fn send_release_and_test(&mut self, now: Point, session: u64, on: Connection) -> Option<u64> {
         if !self.is_current(on) {
             return None;
@@ -39,7 +40,7 @@
         self.is_current(on).then(|| self.send_test(now, on.link))
     }
 
-    /// Remembers an attempt that may still be out though its request is over, and to end it.
+    /// Remembers an attempt that may still run though its request is over, and the release that it needs.
     fn remember_unproven(&mut self, now: Point, streamer: Arc<str>, session: u64, attempt: GivenUp) {
         self.release_unproven(now, streamer, session, &attempt);
         if self.unproven.len() >= MAX_REMEMBERED {
@@ -48,15 +49,15 @@
         self.unproven.push_back(UnprovenAttempt { session, attempt, until: now + UNPROVEN_RETENTION });
     }
 
-    /// Whether an attempt under this session may still be out, its stream may still stand, or its streamer may still
-    /// release it, though nothing in hand has it.
+    /// Whether, though no tracked session has this number, an attempt under it may still run, its stream may still
+    /// play, or its streamer may still release it.
     pub(super) fn is_in_doubt(&self, session: u64) -> bool {
         self.unproven.iter().any(|unproven| unproven.session == session)
             || self.ended.contains(session)
             || self.pending_releases.iter().any(|release| release.session == session)
     }
 
-    /// Ends what is out of a request whose viewer is gone; how it is told to the module.
+    /// Ends the attempt of a request that nobody waits for any more, and returns its outcome for the module.
     pub(super) fn abandon(
         &mut self,
         now: Point,
@@ -130,8 +131,8 @@
         }
     }
 
-    /// An attempt's moment came: it was not written in time, or not answered in time, or the request's time is over
-    /// before it is proven over.
+    /// A time limit of an attempt has passed: it was not written in time, was not answered in time, or was not proven
+    /// over by the deadline of its request.
     pub(super) fn on_attempt_timer(&mut self, now: Point, id: u32, number: u32) {
         let Some(tracked) = self.sessions.get_mut(&id) else { return };
         let (session, deadline) = (tracked.session, tracked.deadline);
@@ -157,7 +158,7 @@
         }
     }
 
-    /// A set-up got no answer on a connection: it must say something soon.
+    /// A set-up got no answer on this connection: it is closed if nothing is received on it within the test timeout.
     fn suspect_connection(&mut self, now: Point, on: Connection) {
         if !self.is_current(on) {
             return;
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Gives up the attempt of a request in hand; nothing is written yet.
+    /// Gives up the attempt of a tracked request. Nothing is sent yet.
     pub(super) fn give_up_tracked(&mut self, id: u32, ending: AttemptOutcome) {
         let Some(mut attempt) = self.sessions.get_mut(&id).and_then(|tracked| tracked.attempt.take()) else {
             return;
@@ -178,8 +179,8 @@
         }
     }
 
-    /// An attempt is given up and may still be out. The module may place the request anew once it is proven over; where
-    /// it would not do so anyway, the request is decided at once.
+    /// An attempt is given up and may still run. The module may place the request again once the attempt is proven
+    /// over; if it would not do so anyway, the request is decided at once.
     pub(super) fn attempt_in_doubt(&mut self, now: Point, id: u32) {
         let Some(tracked) = self.sessions.get(&id) else { return };
         let (handle, session, deadline) = (tracked.handle, tracked.session, tracked.deadline);
@@ -194,7 +195,8 @@
         self.timers.push(Reverse((deadline, id, number)));
     }
 
-    /// A request gets no other attempt, though its last is not proven over: the module gives its final answer.
+    /// The request gets no other attempt, though its last one is not proven over: the module decides on the final
+    /// answer.
     fn end_without_proof(&mut self, now: Point, id: u32) {
         let Some(tracked) = self.sessions.get_mut(&id) else { return };
         let Some(given_up) = tracked.attempt.take().and_then(|attempt| attempt.given_up) else { return };
@@ -203,7 +205,8 @@
         self.report_ended(now, id, given_up.ending, Load::default());
     }
 
-    /// Something was heard of a connection that may prove attempts over: of one session, or of all that were there.
+    /// Applies what was learnt on a connection and may prove that attempts are over: those of one session, or all on
+    /// that connection.
     pub(super) fn apply_evidence(
         &mut self,
         now: Point,
@@ -226,9 +229,9 @@
         }
     }
 
-    /// A streamer closed a connection: it reads nothing more that came on it, and has given up what was being set up
-    /// there. What it had set up may stand all the same, as its answer may be lost with the connection; so the ends go
-    /// to it once more, on another.
+    /// A streamer closed a connection: it reads nothing more of it, and has given up the set-ups on it that had not
+    /// finished. A session that it had set up may play all the same, as its answer may be lost with the connection. So
+    /// the releases are sent to it again, on another connection.
     pub(super) fn on_closed_by_streamer(&mut self, now: Point, on: Connection) {
         for tracked in self.sessions.values_mut() {
             let given_up = tracked.attempt.as_mut().and_then(|attempt| attempt.given_up.as_mut());
@@ -239,8 +242,8 @@
         self.release_on_other_connections(now);
     }
 
-    /// Sends the ends of attempts whose streamer closed their connection on another one, where they are not on their
-    /// way on one that is up.
+    /// Releases given-up attempts whose streamer closed their connection on another connection, unless the last release
+    /// is on a connection that is still up.
     pub(super) fn release_on_other_connections(&mut self, now: Point) {
         let waits = |tracked: &TrackedSession| {
             let given_up = tracked.attempt.as_ref()?.given_up?;
@@ -252,7 +255,7 @@
         for (id, (session, streamer)) in waiting {
             let state = self.streamers.get(&streamer).map(|known| known.entry.stage());
             if state.is_none_or(|state| state == StreamerState::Gone) {
-                // It closed its connections, and the list says that it is no more.
+                // The streamer closed its connection, and the list does not contain it any more or marks it as gone.
                 let attempt = self.sessions.get(&id).and_then(|tracked| tracked.attempt.as_ref());
                 let Some(given_up) = attempt.and_then(|attempt| attempt.given_up) else { continue };
                 self.attempt_over(now, id, given_up.ending, Load::default(), Proof::ProcessGone);
@@ -273,7 +276,7 @@
         }
     }
 
-    /// Takes back the attempts of a connection that have not begun.
+    /// Withdraws the attempts on a link that have not begun, and returns them.
     pub(super) fn withdraw_waiting(&mut self, link: u64) -> Vec<(u32, u32)> {
         let streamer_link = self.links.get_mut(&link);
         let _ = streamer_link.map(|streamer_link| streamer_link.link.withdraw_set_ups());
@@ -287,7 +290,7 @@
         self.sessions.iter().filter_map(|(id, tracked)| Some((*id, waits(tracked)?))).collect()
     }
 
-    /// These attempts never began, and never will: they are ended as such, where they are still waited for.
+    /// These attempts have not begun and are withdrawn for good. Those that are still current end with this outcome.
     pub(super) fn end_unbegun(&mut self, now: Point, attempts: Vec<(u32, u32)>, ending: AttemptOutcome) {
         for (id, number) in attempts {
             let attempt = self.sessions.get(&id).and_then(|tracked| tracked.attempt.as_ref());
@@ -303,7 +306,7 @@
         }
     }
 
-    /// An attempt is proven over: the module is told, and may place the request anew.
+    /// An attempt is proven over: its outcome is reported to the module, which may place the request again.
     pub(super) fn attempt_over(
         &mut self,
         now: Point,
@@ -330,7 +333,7 @@
         self.report_ended(now, id, ending, load);
     }
 
-    /// What plays is over: the module is told, and so is its viewer, where it is owed a release.
+    /// A playing session is over: its end is reported to the module, and to its viewer if that is owed a release.
     pub(super) fn end_session(&mut self, now: Point, id: u32, ending: AttemptOutcome, load: Load) {
         self.report_ended(now, id, ending, load);
         let Some(tracked) = self.remove(now, id) else { return };
@@ -338,13 +341,13 @@
             AttemptOutcome::Served => {
                 self.release_to_viewer(now, tracked.conn, tracked.session, cause::NORMAL)
             }
-            // Its viewer ended it and is owed nothing.
+            // The viewer ended the session and is owed nothing.
             AttemptOutcome::Cancelled => {}
             _ => self.release_to_viewer(now, tracked.conn, tracked.session, cause::BROKEN),
         }
     }
 
-    /// Tells the module how an attempt, or what plays, ended.
+    /// Reports to the module how an attempt or a playing session ended.
     pub(super) fn report_ended(&mut self, now: Point, id: u32, ending: AttemptOutcome, load: Load) {
         let Some(tracked) = self.sessions.get(&id) else { return };
         let (handle, plays) = (tracked.handle, tracked.playing_since.is_some());
@@ -355,7 +358,7 @@
         handle.attempt_ended(&mut self.controller, now, ending, plays, load);
     }
 
-    /// Does what the module left to be done, until nothing is left.
+    /// Carries out the actions that the module decided on, until there are none left.
     pub(super) fn apply_actions(&mut self, now: Point) {
         loop {
             let mut actions = std::mem::take(&mut self.controller.actions);
@@ -391,7 +394,7 @@
         }
     }
 
-    /// The one answer of a wish that came to nothing.
+    /// Sends the one answer of a request that did not lead to a session.
     pub(super) fn answer_unserved(&mut self, now: Point, id: u32, body: Body, outcome: Outcome) {
         let Some(mut tracked) = self.remove(now, id) else { return };
         self.remember_rejected(tracked.conn, tracked.session);
@@ -428,14 +431,14 @@
     pub(super) fn start_attempt(&mut self, now: Point, new_attempt: &NewAttempt) {
         let id = new_attempt.session;
         let Some((streamer, known)) = self.streamers.get_key_value(&*new_attempt.streamer) else {
-            // Guards against a request that waits for ever for an attempt at somebody who is not there.
+            // Guards against a request that waits for ever for an attempt at a streamer that is not known.
             return self.report_ended(now, id, AttemptOutcome::NotSent, Load::default());
         };
         let (streamer, is_ready) = (streamer.clone(), known.entry.stage() == StreamerState::Ready);
         let link = self.best_link(&streamer);
         let Some(tracked) = self.sessions.get_mut(&id) else { return };
         let deadline = now + new_attempt.timeout;
-        // A decision is of its moment: a set-up that can't leave soon goes back to the module.
+        // A decision holds only for a moment: a set-up that can't be written soon goes back to the module.
         let not_after = deadline.min(now + self.settings.dial_timeout);
         let number = tracked.attempt_count;
         tracked.attempt_count += 1;
@@ -457,7 +460,7 @@
             session = format!("{:016x}", tracked.session), lane = tracked.set_up.lane, shot = number,
             streamer = &*streamer, rung = tracked.rung, within_s = new_attempt.timeout.seconds()
         );
-        // No link has this number: it is not on one yet.
+        // No link has the number 0: the attempt is not on one yet.
         let on = Connection { link: 0, dial: 0 };
         let is_first = tracked.is_first_attempt_at(&streamer);
         tracked.attempt = Some(Attempt { number, on, deadline, not_after, permit, is_first, given_up: None });
@@ -465,7 +468,7 @@
             return self.end_unbegun(now, vec![(id, number)], AttemptOutcome::NotSent);
         }
         let Some(link) = link.or_else(|| self.dial_now(now, &streamer)) else {
-            // Where this process has no descriptor left, that tells nothing of the streamer.
+            // If this process has no descriptor left, that proves nothing about the streamer.
             let outcome =
                 if self.can_dial() { AttemptOutcome::NoConnection } else { AttemptOutcome::NotSent };
             return self.end_unbegun(now, vec![(id, number)], outcome);
--- a/crates/lemontide-platform/src/dispatcher/connections.rs
+++ b/crates/lemontide-platform/src/dispatcher/connections.rs
@@ -1,18 +1,19 @@
-//! The dispatcher's part of connections to streamers: when one is dialled, what is written on it, what is heard on it.
+//! The dispatcher's part of connections to streamers: when one is dialled or closed, what is written on it, and what
+//! its messages mean.
 
 use super::*;
 
-/// Connections to one streamer at most: what breaks one takes few set-ups with it.
+/// Maximum number of connections to one streamer. With several, the loss of one affects few set-ups.
 pub(super) const MAX_LINKS_PER_STREAMER: usize = 4;
-/// A streamer that can't be reached for so long no longer plays what stood there; the platform gives 8 s in all,
-/// of which a silent connection takes three.
+/// A streamer that could not be reached for this long is taken not to play its sessions any more. The platform allows 8
+/// s in all, of which the detection of a silent connection takes three.
 const UNREACHABLE_LIMIT: Span = Span::of_millis(1200);
-/// Connections whose streamer's close is awaited at a time, at most.
+/// Maximum number of connections whose close by the streamer is awaited at a time.
 const MAX_CLOSING_CONNECTIONS: usize = 32;
 
 impl Dispatcher {
-    /// Tells a streamer that what stands there is over; again, where the connection goes before the streamer is known
-    /// to have read it. Guards against streams that nobody watches.
+    /// Releases a session at its streamer, and again if the connection is lost before the streamer is known to have
+    /// read the release. Guards against streams that nobody watches.
     pub(super) fn release_at_streamer(&mut self, now: Point, streamer: &Arc<str>, session: u64) {
         let mut release = PendingRelease {
             streamer: streamer.clone(),
@@ -25,8 +26,9 @@
         self.remember_release(release);
     }
 
-    /// Remembers to end an attempt that was given up and may stand, though its request is over: its end may not be
-    /// written yet, and is written again where its connection goes before the streamer is known to have read it.
+    /// Remembers the release of an attempt that was given up and whose session may be established, though its request
+    /// is over. The release may not be written yet, and is sent again if its connection is lost before the streamer is
+    /// known to have read it.
     pub(super) fn release_unproven(
         &mut self,
         now: Point,
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Sends again what may not have been read before its connection went.
+    /// Sends releases again that may not have been read before their connection was lost.
     pub(super) fn resend_releases(&mut self, now: Point) {
         for mut release in std::mem::take(&mut self.pending_releases) {
             if now > release.until || !self.streamers.contains_key(&release.streamer) {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Sends a test; its number.
+    /// Sends a test and returns its number.
     pub(super) fn send_test(&mut self, now: Point, link: u64) -> u64 {
         self.last_test += 1;
         let test = self.last_test;
@@ -94,7 +96,7 @@
         link.is_some_and(|link| link.dial == on.dial && (link.is_up() || link.is_dialling()))
     }
 
-    /// A dial came through.
+    /// A dial has succeeded.
     pub fn on_connected(&mut self, now: Point, on: Connection) {
         if !self.is_current(on) {
             return;
@@ -109,7 +111,7 @@
         self.write_next_batch(now, link);
     }
 
-    /// A connection or a dial is of no more use; `closed` follows when its socket is closed.
+    /// A connection or a dial is of no more use. `on_connection_closed` follows when its socket is closed.
     pub fn on_connection_lost(&mut self, now: Point, on: Connection, loss: ConnectionLoss) {
         if !self.is_current(on) {
             return;
@@ -132,8 +134,9 @@
         }
     }
 
-    /// Whether a streamer's close of this connection is worth awaiting, as an attempt may be out there or, where it was
-    /// heard of lately, a release on its way. It keeps its descriptor meanwhile.
+    /// Begins to await the streamer's close of this connection if that is worth a descriptor, and returns whether it is
+    /// awaited. It is if an attempt may be out on the connection or, where the streamer was active lately (`is_alive`),
+    /// if a session plays there, whose release may be on its way.
     fn await_close_if_useful(&mut self, on: Connection, is_alive: bool) -> bool {
         let Some(streamer_link) = self.links.get(&on.link).filter(|streamer_link| streamer_link.link.is_up())
         else {
@@ -197,9 +200,9 @@
         if !is_kept {
             self.links.remove(&link);
         }
-        // Standing subscriptions belong to no connection. They are over where nobody listens any more, where
-        // nobody was reached for too long, and where nobody will be asked again.
-        let unreached = loss == ConnectionLoss::DialTimedOut
+        // Established sessions belong to no connection. They are over if no process listens at the address any more, if
+        // the streamer could not be reached for too long, or if it is gone and will not be dialled again.
+        let unreached = loss == ConnectionLoss::DialFailed
             && unreachable_since.is_some_and(|since| now - since >= UNREACHABLE_LIMIT);
         if is_last && (loss == ConnectionLoss::Refused || unreached || is_gone) {
             self.end_sessions_at(now, &streamer, |_| true);
@@ -214,7 +217,7 @@
         }
     }
 
-    /// The orders of the last batch are written, but for these set-ups, whose time was over: they never ran.
+    /// The messages of the last batch are written, except for these set-ups, whose time was over: they never ran.
     pub fn on_batch_written(&mut self, now: Point, on: Connection, unsent: Vec<(u32, u32)>) {
         if !self.is_current(on) {
             return;
@@ -227,7 +230,7 @@
         self.write_next_batch(now, on.link);
     }
 
-    /// What a streamer's message proves of attempts that were given up on its connection.
+    /// What a message of a streamer proves about attempts that were given up on its connection.
     fn evidence_of(message: &Message) -> Option<(Option<u64>, Evidence)> {
         match message.body {
             Body::Tested { .. } => Some((None, Evidence::TestPassed { test: message.session })),
@@ -240,13 +243,13 @@
         }
     }
 
-    /// The streamer at the other end of a connection that is up, or closed by half.
+    /// The streamer at the other end of a connection that is up, or whose close is awaited.
     fn streamer_on(&self, on: Connection) -> Option<Arc<str>> {
         let current = self.links.get(&on.link).filter(|_| self.is_current(on));
         current.map(|streamer_link| &streamer_link.streamer).or_else(|| self.closing.get(&on)).cloned()
     }
 
-    /// A streamer's word.
+    /// Handles a message of a streamer.
     pub fn on_streamer_message(&mut self, now: Point, on: Connection, message: Message) {
         let Some(streamer) = self.streamer_on(on) else { return };
         if let Some((session, evidence)) = Self::evidence_of(&message) {
@@ -259,7 +262,8 @@
                 streamer_link.suspect_until = None;
             }
         }
-        // What is said under a number that is not in hand at this streamer is somebody else's, or over.
+        // A message about a session that is not tracked at this streamer belongs to another controller, or the session
+        // is over.
         let id = self.id_by_session.get(&message.session).copied();
         let own = id.and_then(|id| {
             Some((id, self.sessions.get(&id).filter(|tracked| tracked.streamer == streamer)?))
@@ -277,7 +281,7 @@
         });
         let is_first = tracked.is_first_attempt_at(&streamer);
         if let Body::Release { cause, .. } = &message.body {
-            // Of a session that its viewer ended at once its streamer's news is in `playing_ms`.
+            // `playing_ms` shows how soon the release came for a session that its viewer ended at once.
             let playing_ms = tracked.playing_since.map(|since| ((now - since).seconds() * 1e6).round() / 1e3);
             tracing::debug!(
                 target: "streamers", session = format!("{:016x}", message.session), streamer = &*streamer, cause, plays, playing_ms
@@ -287,7 +291,7 @@
             Body::Answer { description, load } if waits => {
                 self.on_attempt_answered(now, id, description, load)
             }
-            // It may be about an earlier attempt, whose answer was lost: the end of this one is still awaited.
+            // It may concern an earlier attempt, whose answer was lost: the outcome of this one is still awaited.
             Body::Release { cause, .. } if waits && !is_first && !cause::ends_a_set_up(cause) => {}
             Body::Release { cause, load, .. } if waits => {
                 let ending = match cause {
@@ -295,7 +299,8 @@
                     cause::ERROR => AttemptOutcome::Errored,
                     cause::MOOT => AttemptOutcome::NotSent,
                     cause::BROKEN => AttemptOutcome::ConnectionLost,
-                    // It may have run, and the process that says so is well: nothing is told of its health.
+                    // It may have run, and the process that reports it works: this outcome says nothing about the
+                    // health of the streamer.
                     _ => AttemptOutcome::Unknown,
                 };
                 let is_refusal = cause::ends_a_set_up(cause);
@@ -309,7 +314,8 @@
                     _ => AttemptOutcome::ConnectionLost,
                 };
                 if !is_first {
-                    // It may be about what an earlier attempt had set up there, and what plays must not stand on.
+                    // It may concern what an earlier attempt had set up there, and the session that plays must not go
+                    // on.
                     self.release_at_streamer(now, &streamer, message.session);
                 }
                 self.end_session(now, id, ending, load);
@@ -328,7 +334,8 @@
     }
 
     pub(super) fn check_links(&mut self, now: Point, gap: Span) {
-        // What plays or is out at a streamer needs a link there; a shot and a release dial for themselves.
+        // A streamer needs a link if a session plays or an attempt is out there. New attempts and releases dial by
+        // themselves.
         let is_out = |tracked: &TrackedSession| {
             tracked.attempt.as_ref().is_some_and(|attempt| attempt.given_up.is_none())
         };
@@ -346,19 +353,21 @@
             streamer_link.link.idle =
                 streamer_link.link.idle.or(Some(now)).filter(|_| !needed.contains(&streamer_link.streamer));
             if let Some(since) = streamer_link.link.idle {
-                // Kept well short of the other end's own close, which a set-up could cross.
+                // Well below the idle timeout of the other end, whose close could cross a set-up.
                 if now - since >= self.settings.max_idle {
                     self.close_link(now, link, ConnectionLoss::Disconnected, CloseReason::Idle);
                     continue;
                 }
-                // Nobody asks there: what was not reached then proves nothing of what plays there later.
+                // Nothing needs this streamer now, so failed dials of this time prove nothing about sessions that play
+                // there later.
                 if let Some(known) = self.streamers.get_mut(&streamer_link.streamer) {
                     known.unreachable_since = None;
                 }
             }
             let verdict = streamer_link.link.look(now, gap);
             if gap >= LINK_CHECK_INTERVAL + LINK_CHECK_INTERVAL {
-                // This process stood still itself: what it did not read is no silence.
+                // This process itself did not run for a while, so the messages that it did not read do not count as
+                // silence.
                 streamer_link.suspect_until = streamer_link.suspect_until.map(|until| until + gap);
             }
             let is_silent = streamer_link.suspect_until.is_some_and(|until| now >= until);
@@ -407,16 +416,16 @@
         self.effects.push(Effect::Dial { on, address: known.entry.addr.clone() });
     }
 
-    /// Whether one more connection stays within the descriptors that are set apart for streamers. Guards against
-    /// more streamers than descriptors: the list and the viewers have theirs, whatever plays.
+    /// Whether one more connection stays within the descriptors that are reserved for streamers. Guards against more
+    /// streamers than descriptors: the list and the viewers have their own.
     pub(super) fn can_dial(&self) -> bool {
         let is_live =
             |streamer_link: &&StreamerLink| streamer_link.link.is_up() || streamer_link.link.is_dialling();
         self.links.values().filter(is_live).count() + self.closing.len() < self.settings.max_connections
     }
 
-    /// Closes a connection that nothing needs, the one that is idle for longest first, or else one of several to the
-    /// same streamer.
+    /// Closes a connection that nothing needs, the longest idle first, or otherwise one of several to the same
+    /// streamer.
     fn close_spare_connection(&mut self, now: Point) {
         let has_several =
             |streamer: &Arc<str>| self.streamers.get(streamer).is_some_and(|known| known.link_ids.len() > 1);
@@ -433,7 +442,7 @@
         }
     }
 
-    /// Closes a connection from this end.
+    /// Closes the connection of a link from this end.
     pub(super) fn close_link(&mut self, now: Point, link: u64, loss: ConnectionLoss, reason: CloseReason) {
         let Some(streamer_link) = self.links.get(&link) else { return };
         if streamer_link.link.is_up() || streamer_link.link.is_dialling() {
@@ -446,7 +455,8 @@
         }
     }
 
-    /// The link of a streamer that carries least, of those that are up and not under suspicion if there is one.
+    /// Of the links of a streamer that are up or being dialled, prefers one that is not suspect, then one that is up,
+    /// then the one with the fewest pending set-ups.
     pub(super) fn best_link(&self, streamer: &str) -> Option<u64> {
         let links = &self.streamers.get(streamer)?.link_ids;
         let usable = links.iter().filter_map(|link| Some((*link, self.links.get(link)?)));
@@ -463,7 +473,7 @@
             .map(|(link, _)| link)
     }
 
-    /// Puts an order that is no set-up on a link; one that takes none any more is of no use.
+    /// Queues a message that is no set-up on a link. A link that takes no more messages is closed.
     pub(super) fn send_to_streamer(&mut self, now: Point, link: u64, message: Message) {
         let Some(streamer_link) = self.links.get_mut(&link) else { return };
         if !streamer_link.link.is_up() && !streamer_link.link.is_dialling() {
@@ -480,7 +490,7 @@
         }
     }
 
-    /// Hands the next orders of a link to the I/O.
+    /// Passes the next messages of a link to the I/O.
     pub(super) fn write_next_batch(&mut self, now: Point, link: u64) {
         let Some(streamer_link) = self.links.get_mut(&link) else { return };
         let messages = streamer_link.link.batch(now);
@@ -491,7 +501,8 @@
         self.effects.push(Effect::Write { on, messages });
     }
 
-    /// Dials a streamer that something is to be sent to at once, whatever wait is left.
+    /// Dials a streamer that a message is to be sent to at once, without waiting for the redial delay, and returns the
+    /// link if the dial began.
     pub(super) fn dial_now(&mut self, now: Point, streamer: &Arc<str>) -> Option<u64> {
         let links = &self.streamers.get(streamer)?.link_ids;
         if links.is_empty() {
--- a/crates/lemontide-platform/src/dispatcher/ended.rs
+++ b/crates/lemontide-platform/src/dispatcher/ended.rs
@@ -1,15 +1,15 @@
-//! Sessions that ended lately. Their streamers may still release them, or say a release again, so a new attempt under
-//! one of them could be taken for over.
+//! Sessions that ended lately. Their streamers may still release them, or repeat a release, which would be taken for
+//! the end of a new attempt under the same number.
 
 use lemontide::clock::{Point, Span};
 use std::collections::{HashSet, VecDeque};
 
-/// A streamer may say a release again for so long.
+/// How long a streamer may repeat a release.
 const REPEATED_RELEASE_PERIOD: Span = Span::of_millis(8000);
-/// Sessions that are remembered at most.
+/// Maximum number of sessions that are remembered.
 const MAX_SESSIONS: usize = 8192;
 
-/// The sessions that ended within the last 8 s, 8,192 at most: the oldest is forgotten first.
+/// The sessions that ended within the last 8 s, at most 8,192. If there are more, the oldest is removed.
 #[derive(Default)]
 pub(super) struct EndedSessions {
     by_age: VecDeque<(Point, u64)>,
@@ -31,7 +31,7 @@
         self.sessions.contains(&session)
     }
 
-    /// Forgets the sessions whose streamers say nothing of them any more.
+    /// Removes sessions that their streamers do not release any more.
     pub(super) fn remove_expired(&mut self, now: Point) {
         while self.by_age.front().is_some_and(|(since, _)| now > *since + REPEATED_RELEASE_PERIOD) {
             self.remove_oldest();
--- a/crates/lemontide-platform/src/dispatcher/list.rs
+++ b/crates/lemontide-platform/src/dispatcher/list.rs
@@ -1,9 +1,10 @@
-//! The dispatcher's part of the list of streamers: what is told of them, and what follows for what waits or plays there.
+//! The dispatcher's part of the list of streamers: what changes for attempts that wait for a streamer and sessions that
+//! play there.
 
 use super::*;
 
 impl Dispatcher {
-    /// Takes news of the list. What waits for a streamer that drains or is gone is taken back at once.
+    /// Applies a change of the list. Attempts that wait for a streamer that drains or is gone are withdrawn at once.
     pub fn update_list(&mut self, now: Point, hosts: &Hosts) {
         let mut entries: Vec<StreamerEntry> = hosts.servers.iter().map(Entry::line).collect();
         for entry in &hosts.servers {
@@ -48,12 +49,12 @@
             }
         }
         if let Some(started) = entry.started().filter(|_| before.started() != entry.started()) {
-            // A new process: what stood in the old one is over.
+            // The streamer was started again: sessions of the old process are over.
             self.end_sessions_at(now, &entry.id, |since| since < started);
         }
     }
 
-    /// Takes back what waits for a streamer that gets nothing new any more.
+    /// Withdraws attempts that wait for a streamer that gets nothing new any more.
     pub(super) fn withdraw_waiting_at(&mut self, now: Point, streamer: &str) {
         let Some(known) = self.streamers.get(streamer) else { return };
         let state = known.entry.stage();
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Lets go of a streamer that is gone, once nothing is left of it.
+    /// Removes a streamer that is gone, once no session plays and no attempt is out there.
     pub(super) fn remove_if_gone(&mut self, now: Point, streamer: &str) {
         let Some(known) =
             self.streamers.get(streamer).filter(|known| known.entry.stage() == StreamerState::Gone)
@@ -77,7 +78,8 @@
         let is_up = |link: &u64| self.links.get(link).is_some_and(|streamer_link| streamer_link.link.is_up());
         let links = known.link_ids.clone();
         if !links.iter().any(is_up) {
-            // Its address may be another's by now: nobody is asked there, and nobody will tell.
+            // Its address may belong to another streamer by now. It is not dialled any more, so it will not report the
+            // end of its sessions.
             self.end_sessions_at(now, streamer, |_| true);
         }
         if self.sessions.values().any(|tracked| {
@@ -92,7 +94,8 @@
         self.streamers.remove(streamer);
     }
 
-    /// What stands at a streamer since a moment that `when` picks is over, though nobody could say so.
+    /// Ends the sessions at a streamer whose start of play `when` selects: they are over, though the streamer could not
+    /// report it.
     pub(super) fn end_sessions_at(&mut self, now: Point, streamer: &str, when: impl Fn(Point) -> bool) {
         let is_there = |tracked: &TrackedSession| {
             &*tracked.streamer == streamer && tracked.playing_since.is_some_and(&when)
--- a/crates/lemontide-platform/src/dispatcher/unanswered.rs
+++ b/crates/lemontide-platform/src/dispatcher/unanswered.rs
@@ -1,23 +1,24 @@
-//! The dispatcher's part of requests that would otherwise end without an answer: their connection takes no more
-//! input, their reply was dropped, or their cut-off has passed.
+//! The dispatcher's part of requests that would otherwise end without an answer: their connection takes no more input,
+//! their reply was dropped, or their deadline has passed.
 
 use super::*;
 
-/// So long after its cut-off an unanswered request is answered here; the ordinary answer comes at the cut-off.
+/// A request that is unanswered this long after its deadline is answered here. The ordinary answer is sent at the
+/// deadline.
 pub(super) const ANSWER_GRACE: Span = Span::of_millis(20);
 
 /// Why nothing more is read on a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InputEnd {
-    /// The client has closed its half, and may wait for answers.
+    /// The client has closed its half of the connection and may wait for answers.
     HalfClosed,
-    /// What came can't be read or used, or was never finished.
+    /// The input can't be read or used, or a message was never finished.
     Unusable,
 }
 
 impl Dispatcher {
-    /// Nothing more is read on a client's connection. What is open on it is answered without another attempt; where the
-    /// client may still wait for it, an attempt that is out may end by itself.
+    /// Nothing more is read on a client's connection. The open requests on it are answered without another attempt. If
+    /// the client may still wait for the answer, an attempt that is out may end by itself.
     pub fn on_input_end(&mut self, now: Point, conn: u64, why: InputEnd) {
         let Some(viewer_connection) = self.viewer_connections.get_mut(&conn) else { return };
         viewer_connection.is_draining = true;
@@ -38,8 +39,8 @@
         self.apply_actions(now);
     }
 
-    /// Takes the requests of a connection that are not decided; their replies. What is handed over on it stays: it stands, and
-    /// asks for no answer.
+    /// Takes the undecided requests of a connection and returns their replies. Hand-overs on it stay: their sessions
+    /// are established, and they are owed no answer.
     pub(super) fn take_undecided_on(&mut self, conn: u64) -> Vec<PendingReply> {
         let all = std::mem::take(&mut self.undecided);
         let is_request = |waiting: &UndecidedSetUp| waiting.conn == conn && waiting.reply.is_some();
@@ -51,7 +52,7 @@
         requests.into_iter().filter_map(|waiting| waiting.reply).collect()
     }
 
-    /// The requests in hand on a connection that are owed an answer.
+    /// The tracked requests on a connection that are owed an answer.
     pub(super) fn unanswered_on(&self, conn: u64) -> Vec<u32> {
         let on_it = |tracked: &TrackedSession| tracked.conn == conn && tracked.reply.is_some();
         self.sessions.iter().filter(|(_, tracked)| on_it(tracked)).map(|(id, _)| *id).collect()
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Ends the attempt of a request in hand, if one is out, and gives the request its answer at once.
+    /// Ends the attempt of a tracked request, if there is one, and answers the request at once.
     fn answer_at_once(&mut self, now: Point, id: u32) {
         self.stop_retrying(now, id);
         let attempt = self.sessions.get_mut(&id).and_then(|tracked| tracked.attempt.take());
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Answers and logs requests whose cut-off has passed, and those whose reply was dropped.
+    /// Answers requests whose reply was dropped, and answers and logs those whose deadline has passed.
     pub(super) fn answer_overdue(&mut self, now: Point) {
         for reply in self.replies.recover_dropped() {
             if self.viewer_connections.contains_key(&reply.conn()) {
--- a/crates/lemontide-platform/src/dispatcher/viewers.rs
+++ b/crates/lemontide-platform/src/dispatcher/viewers.rs
@@ -1,15 +1,15 @@
-//! The dispatcher's part of viewers: their connections, their set-ups, and the one answer that each is owed.
+//! The dispatcher's part of viewers: their connections, their set-ups, and the one answer that each request is owed.
 
 use super::unanswered::{InputEnd, ANSWER_GRACE};
 use super::*;
 
-/// Set-ups owed an answer on one viewers' connection at most. Guards against hundreds at once on one: a usual one
-/// carries a few, and some forty while every streamer stands still.
+/// Maximum number of requests on one viewer connection that are owed an answer. Guards against hundreds at a time on
+/// one: an ordinary connection carries a few, and about forty while every streamer stands still.
 const MAX_UNANSWERED_PER_CONNECTION: usize = 64;
-/// So many of the last numbers are remembered on each viewers' connection. Guards against those who send the same
-/// set-up again as soon as it is turned away: the platform gives every set-up a new number.
+/// Number of rejected session numbers that are remembered on each viewer connection. Guards against clients that send a
+/// set-up again as soon as it is rejected: the platform gives every set-up a new number.
 const REJECTED_SESSIONS_KEPT: usize = 32;
-/// After SIGTERM set-ups are taken as usual for so long; what comes later is turned back.
+/// How long set-ups are accepted as usual after SIGTERM; later ones are rejected.
 const STOP_GRACE: Span = Span::of_millis(600);
 const MAX_UNSENT_RELEASES: usize = 4096;
 
@@ -28,7 +28,7 @@
         self.viewer_connections.insert(conn, connection);
     }
 
-    /// The client of a connection is proven gone: what was asked on it and not answered is owed to nobody.
+    /// The client of a connection is proven gone: its unanswered requests are owed no answer.
     pub fn on_viewer_gone(&mut self, now: Point, conn: u64, why: Departure) {
         if self.viewer_connections.remove(&conn).is_none() {
             return;
@@ -40,7 +40,8 @@
         self.apply_actions(now);
     }
 
-    /// The connection to end first where there are too many: idle for longest, before those that were of use.
+    /// The connection to close first if there are too many. Of the idle ones, those on which no session was set up are
+    /// taken first, and of these the longest idle.
     pub fn idle_connection(&self) -> Option<u64> {
         let idle = self.viewer_connections.iter().filter(|(_, connection)| {
             connection.is_idle() && !connection.closes_if_idle && !connection.is_draining
@@ -49,7 +50,8 @@
             .map(|(conn, _)| *conn)
     }
 
-    /// Asks the spare connection to close, one at a time. What it says meanwhile is heard, and keeps it.
+    /// Asks the idle connection to close, one connection at a time. A message that is read on it meanwhile is handled,
+    /// and keeps it open.
     pub fn close_idle_connection(&mut self) {
         if self.viewer_connections.values().any(|connection| connection.closes_if_idle) {
             return;
@@ -61,8 +63,8 @@
         }
     }
 
-    /// What was to be said on a connection that is over. What stood is told of elsewhere; what a viewer never heard
-    /// is set up is ended.
+    /// Messages that were not sent when a connection ended. Releases are sent over another connection; a session whose
+    /// set-up its viewer did not learn of is ended.
     pub fn on_unsent(&mut self, now: Point, all: Vec<Outgoing>) {
         for Outgoing { message, stood, reply, .. } in all {
             reply.into_iter().for_each(|reply| reply.client_gone(Departure::Closed));
@@ -85,7 +87,7 @@
         self.apply_actions(now);
     }
 
-    /// Ends a viewers' connection from this side, once all that is owed on it is answered.
+    /// Closes a viewer connection from this end, once all requests on it are answered.
     pub fn close_when_answered(&mut self, now: Point, conn: u64) {
         if self.viewer_connections.contains_key(&conn) {
             self.on_input_end(now, conn, InputEnd::Unusable);
@@ -93,8 +95,9 @@
         }
     }
 
-    /// Hears a viewer. What it asks for waits for `decide`, so that all that was heard beside it counts: who leaves
-    /// or cancels in the same moment is not sent on, and what streamers said leaves first.
+    /// Handles a message of a viewer. Set-ups wait for `decide_next`, so that everything that was read beside them
+    /// counts: a set-up whose viewer leaves or cancels in the same moment is not sent to a streamer, and messages of
+    /// streamers are passed on before.
     pub fn on_viewer_message(&mut self, now: Point, received: ReceivedMessage) {
         let ReceivedMessage { conn, message, read_at, reply } = received;
         let Some(viewer_connection) = self.viewer_connections.get_mut(&conn) else {
@@ -129,7 +132,7 @@
                     (waiting.conn, waiting.session, is_request) == (conn, session, true)
                 };
                 if let Some(index) = self.undecided.iter().position(is_it) {
-                    // Cancelled before anything was decided: no answer is owed.
+                    // Cancelled before it was decided: no answer is owed.
                     viewer_connection.undecided = viewer_connection.undecided.saturating_sub(1);
                     let reply = self.undecided.remove(index).and_then(|waiting| waiting.reply);
                     reply.into_iter().for_each(|reply| reply.client_gone(Departure::Cancelled));
@@ -141,14 +144,14 @@
                 {
                     Some((id, true, _)) => self.on_viewer_ended(now, id),
                     Some((id, false, true)) => self.on_viewer_gave_up(now, id, Departure::Cancelled),
-                    // Another connection's set-up is not theirs to give up.
+                    // A connection can't cancel a request of another.
                     Some(_) => {}
-                    // It may be handed over yet, on another connection.
+                    // The session may still be handed over, on another connection.
                     None => self.remember_untracked_end(session, UntrackedEnd::ByViewer),
                 }
             }
             Body::Heard | Body::Progress | Body::Tested { .. } => {}
-            // Only streamers and controllers say these.
+            // Only streamers and controllers send these.
             Body::Answer { .. } | Body::Note(_) | Body::OtherNote | Body::Move | Body::Rung(_) => {
                 self.close_when_answered(now, conn);
             }
@@ -156,7 +159,7 @@
         self.apply_actions(now);
     }
 
-    /// Decides the first of what viewers asked for; false where nothing waits.
+    /// Decides the first undecided set-up; false if there is none.
     pub fn decide_next(&mut self, now: Point) -> bool {
         let Some(UndecidedSetUp { conn, session, body, read_at, read_delay, reply }) =
             self.undecided.pop_front()
@@ -183,7 +186,7 @@
         true
     }
 
-    /// Says what only this connection may carry, and what is no answer.
+    /// Sends a message that only this connection can carry and that is no answer.
     pub(super) fn send_to_viewer(&mut self, conn: u64, session: u64, body: Body) {
         let message = Message { session, body };
         self.effects.push(Effect::SendToViewer {
@@ -195,7 +198,7 @@
         });
     }
 
-    /// Gives a request its final answer.
+    /// Sends a request its final answer.
     pub(super) fn answer(&mut self, reply: PendingReply, body: Body, steps: Option<Box<Steps>>) {
         reply.mark_queued();
         let (conn, message) = (reply.conn(), Message { session: reply.session(), body });
@@ -208,7 +211,7 @@
         });
     }
 
-    /// The steps of a request that ends now, if anybody reads them.
+    /// The steps of a request that ends now, if they are logged.
     pub(super) fn steps(tracked: &TrackedSession, outcome: Outcome, now: Point) -> Option<Box<Steps>> {
         Steps::are_logged().then(|| {
             Box::new(Steps {
@@ -226,7 +229,7 @@
         })
     }
 
-    /// Remembers an end that nobody here waits for.
+    /// Remembers the end of a session that is not tracked here.
     pub(super) fn remember_untracked_end(&mut self, session: u64, how: UntrackedEnd) {
         if self.untracked_ends.len() >= MAX_REMEMBERED {
             self.untracked_ends.pop_front();
@@ -234,8 +237,8 @@
         self.untracked_ends.push_back((session, how));
     }
 
-    /// A set-up that can't be taken. Under the number of one that is in hand on the same connection no answer can
-    /// be told from the other's: the connection ends.
+    /// Refuses a set-up that can't be accepted. If its session number belongs to a tracked request on the same
+    /// connection, the client could not tell the answers apart, so the connection is closed.
     pub(super) fn refuse(&mut self, now: Point, reply: PendingReply) {
         let (conn, session) = (reply.conn(), reply.session());
         let other = self.id_by_session.get(&session).and_then(|id| self.sessions.get(id));
@@ -246,7 +249,7 @@
         self.answer(reply, Body::release(cause::UNUSABLE), None);
     }
 
-    /// Remembers a number that was turned away on a connection.
+    /// Remembers a session number that was rejected on a connection.
     pub(super) fn remember_rejected(&mut self, conn: u64, session: u64) {
         let Some(viewer_connection) = self.viewer_connections.get_mut(&conn) else { return };
         if viewer_connection.rejected_sessions.len() >= REJECTED_SESSIONS_KEPT {
@@ -255,7 +258,7 @@
         viewer_connection.rejected_sessions.push_back(session);
     }
 
-    /// What is wrong with a set-up, as far as the settings tell.
+    /// The part of a set-up that the settings show to be unusable.
     pub(super) fn unusable_part(&self, set_up: &SetUp) -> Option<&'static str> {
         let Some(figures) = &set_up.figures else { return Some("no figures") };
         let settings = &self.settings;
@@ -273,12 +276,13 @@
         }
     }
 
-    /// What the module is asked for with a set-up. `read` is when it was read, with how long it may have waited unread:
-    /// its time runs from then.
+    /// The request to the module for a set-up. `read` is when the set-up was read, and how long it may have waited
+    /// unread before: its time runs from then.
     fn build_request<'a>(&self, id: u32, set_up: &'a SetUp, read: (Point, Span)) -> Request<'a> {
         let figures = set_up.figures.clone().unwrap_or_default();
         let class = self.settings.classes.iter().find(|(name, _)| *name == set_up.lane);
-        // The viewer's word counts up to the lane's cut-off: a time far ahead would be kept for ever.
+        // The time that the viewer states counts up to the maximum of the class: otherwise a deadline far ahead would
+        // be kept for ever.
         let wait = Span::of((set_up.wait_ms as f64 / 1e3).min(class.map_or(0.0, |class| class.1.seconds())));
         Request {
             id,
@@ -299,7 +303,7 @@
         self.last_id
     }
 
-    /// What is wrong with a set-up, its number included; it is logged.
+    /// Why a set-up is unusable, its session number included. The reason is logged.
     fn why_unusable(&self, (conn, session): (u64, u64), set_up: &SetUp) -> Option<&'static str> {
         tracing::debug!(target: "decision", session = format!("{session:016x}"), conn, ?set_up);
         let why = if session == 0 { Some("no id") } else { self.unusable_part(set_up) };
@@ -309,15 +313,15 @@
         why
     }
 
-    /// Takes over a session that plays already. What can't be used is passed over: nobody waits for an answer.
+    /// Takes over a session that plays already. One that can't be used is ignored, as it is owed no answer.
     fn hand_over(&mut self, now: Point, of: (u64, u64), mut set_up: SetUp, read: (Point, Span)) {
         let (conn, session) = of;
         let Some(streamer) = set_up.plays_at().cloned() else { return };
-        // It may name what is in hand already.
+        // The session may be tracked already.
         if self.why_unusable(of, &set_up).is_some() || self.id_by_session.contains_key(&session) {
             return;
         }
-        // Its end may have been heard before it.
+        // The end of the session may have arrived before its hand-over.
         let ended = self.untracked_ends.iter().rev().find(|(of, _)| *of == session).map(|(_, how)| *how);
         match ended {
             Some(UntrackedEnd::ByStreamer(cause::CANCELLED)) => return,
@@ -345,10 +349,10 @@
         self.apply_actions(now);
     }
 
-    /// Takes a request.
+    /// Handles a new request.
     fn handle_request(&mut self, now: Point, reply: PendingReply, set_up: SetUp, read: (Point, Span)) {
         let (conn, session) = (reply.conn(), reply.session());
-        // An attempt under this number may be out: nobody could tell two apart.
+        // An attempt under the same number may still run, and messages about the two could not be told apart.
         if self.why_unusable((conn, session), &set_up).is_some()
             || self.id_by_session.contains_key(&session)
             || self.is_in_doubt(session)
@@ -387,7 +391,7 @@
         self.apply_actions(now);
     }
 
-    /// A viewer stops waiting: no answer is owed, and what is out is given up.
+    /// A viewer stops waiting: no answer is owed, and the attempt is given up.
     pub(super) fn on_viewer_gave_up(&mut self, now: Point, id: u32, why: Departure) {
         let Some(mut tracked) = self.remove(now, id) else { return };
         tracked.reply.take().into_iter().for_each(|reply| reply.client_gone(why));
@@ -402,7 +406,7 @@
         self.apply_actions(now);
     }
 
-    /// The viewer ends what plays; it is owed no release.
+    /// The viewer ends a playing session; it is owed no release.
     pub(super) fn on_viewer_ended(&mut self, now: Point, id: u32) {
         let Some(tracked) = self.remove(now, id) else { return };
         self.release_at_streamer(now, &tracked.streamer, tracked.session);
@@ -416,7 +420,7 @@
         self.apply_actions(now);
     }
 
-    /// Tells a viewer that what stood is over, on its own connection or on any that viewers use.
+    /// Releases a session to its viewer, on the viewer's own connection or on any other viewer connection.
     pub(super) fn release_to_viewer(&mut self, now: Point, conn: u64, session: u64, why: u8) {
         let own = self.viewer_connections.contains_key(&conn).then_some(conn);
         let good = self
@@ -445,7 +449,7 @@
     }
 }
 
-/// The answer to a wish that is turned back, with the time to come again where there is one.
+/// The answer to a rejected request, with the time after which it may be repeated, if there is one.
 pub(super) fn rejection(after: Option<Span>) -> Body {
     let stay_away_ms = after.map(|after| (after.seconds() * 1e3).round() as u64);
     Body::Release { cause: cause::TURNED_BACK, stay_away_ms, load: Load::default() }
--- a/crates/lemontide-platform/src/permit.rs
+++ b/crates/lemontide-platform/src/permit.rs
@@ -1,5 +1,5 @@
-//! Whether something may still be begun on a socket. The dispatcher, which may take it back, and the task that writes it
-//! share one permit, so that there is one place in which it is decided: whoever comes first.
+//! Whether a message may still begin to be written to a socket. The dispatcher, which can withdraw it, and the task
+//! that writes it share one permit, so that the decision is made in one place: the first of the two decides.
 
 use lemontide::clock::Point;
 use lemontide_front::core::seconds;
@@ -10,14 +10,14 @@
 const BEGUN: u8 = 1;
 const WITHDRAWN: u8 = 2;
 
-/// Shared by its clones; equal only to them.
+/// The clones of a permit share its state, and only they are equal to it.
 #[derive(Clone, Debug, Default)]
 pub struct Permit(Arc<Inner>);
 
 #[derive(Debug, Default)]
 struct Inner {
     state: AtomicU8,
-    /// The bits of the moment in which it began, in seconds.
+    /// When it began, in seconds, as the bits of an `f64`.
     begun_at_bits: AtomicU64,
 }
 
@@ -26,24 +26,24 @@
         Permit::default()
     }
 
-    /// The writer's question in the moment of writing: false where it was taken back, and for good.
+    /// Called by the writer at the moment of writing. False if the permit was withdrawn, which is final.
     pub fn begin(&self) -> bool {
         self.transition(BEGUN)
     }
 
-    /// The same, and keeps the moment.
+    /// Like `begin`, and stores when it began.
     pub fn begin_at(&self, now: Point) -> bool {
         self.0.begun_at_bits.store(seconds(now).to_bits(), Ordering::Release);
         self.begin()
     }
 
-    /// When it began, if that was kept.
+    /// When it began, if that was stored.
     pub fn begun_at(&self) -> Option<Point> {
         let bits = self.0.begun_at_bits.load(Ordering::Acquire);
         (bits > 0 && self.has_begun()).then(|| Point::at(f64::from_bits(bits)))
     }
 
-    /// Takes it back. True where it had not begun and now never will: proof that nothing of it was written.
+    /// Withdraws it. True if it had not begun and now never will: proof that nothing of the message was written.
     pub fn withdraw(&self) -> bool {
         self.transition(WITHDRAWN)
     }
--- a/crates/lemontide-platform/src/replies.rs
+++ b/crates/lemontide-platform/src/replies.rs
@@ -1,28 +1,28 @@
 //! The final answers that clients are owed. A request that is read from a client's connection becomes a `PendingReply`
-//! in the same step. It passes from the connection to the dispatcher and back with the answer, and ends in one of
-//! two ways: the answer is written to a live connection, or the client is proven gone. `Replies` knows all that are
-//! open, so that a connection is not closed and a process does not end before them. One that is dropped on its way, or
-//! is not answered by its cut-off, is logged and recovered.
+//! in the same step. It passes from the connection to the dispatcher and back with the answer, and ends in one of two
+//! ways: the answer is written to a live connection, or the client is proven gone. `Replies` knows all open requests,
+//! so that no connection is closed and no process ends before they are settled. A reply that is dropped on its way is
+//! logged and recovered, and so is a request that is not answered by its deadline.
 
 use crate::codec::{Body, Message};
 use lemontide::clock::{Point, Span};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A request that can't be used has no time of its own and is answered within this.
+/// A request that can't be used states no time of its own and is answered within this.
 const UNUSABLE_ANSWER_TIMEOUT: Span = Span::of_millis(1000);
 
-/// Why a client is owed no answer any more.
+/// Why a client is owed no answer any more. The names are values of the log field `why`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Departure {
     /// It cancelled the request on the connection of the request.
     Cancelled,
     /// It closed both halves of the connection, or reset it.
     Closed,
-    /// It takes nothing that is written to it.
+    /// It reads nothing of what is written to it.
     NotReading,
-    /// It used the number of an open request again on the same connection, which closes: no answer could be told from the
-    /// other's.
+    /// It used the session number of an open request again on the same connection, which is closed: the client could
+    /// not tell the two answers apart.
     NumberReused,
 }
 
@@ -34,9 +34,9 @@
     answer_due: Point,
     /// Its answer waits for the socket of its connection.
     is_queued: bool,
-    /// Nobody holds its reply.
+    /// Its `PendingReply` was dropped.
     is_dropped: bool,
-    /// It was told that its cut-off has passed.
+    /// It was reported as overdue.
     is_overdue: bool,
 }
 
@@ -47,7 +47,7 @@
     by_conn: HashMap<u64, usize>,
 }
 
-/// All open requests of a process. Its clones are the same.
+/// All open requests of a process. Clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Replies(Arc<Mutex<OpenRequests>>);
 
@@ -58,7 +58,7 @@
     pub message: Message,
     /// When its last byte was read.
     pub read_at: Point,
-    /// Where it is a request.
+    /// Set if it is a request.
     pub reply: Option<PendingReply>,
 }
 
@@ -70,7 +70,7 @@
     unsettled: Option<Box<OpenRequestKey>>,
 }
 
-/// Where the request of a reply stands.
+/// The number of an open request, and where it is kept.
 #[derive(Debug)]
 struct OpenRequestKey {
     number: u64,
@@ -91,7 +91,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a message that was read on a client's connection; a request is owed an answer from here on.
+    /// Registers a message that was read on a client's connection. If it is a request, it is owed an answer from now
+    /// on.
     pub fn register(&self, conn: u64, message: Message, read_at: Point) -> ReceivedMessage {
         let timeout = match &message.body {
             Body::SetUp(set_up) => Span::of(set_up.wait_ms as f64 / 1e3),
@@ -114,22 +115,22 @@
         PendingReply::new(self, number)
     }
 
-    /// Requests that are owed an answer.
+    /// Number of requests that are owed an answer.
     pub fn open_count(&self) -> usize {
         self.lock().open.len()
     }
 
-    /// Those of one connection.
+    /// Number of those on one connection.
     pub fn open_count_on(&self, conn: u64) -> usize {
         self.lock().by_conn.get(&conn).copied().unwrap_or_default()
     }
 
-    /// The session of one of them.
+    /// The session of one of them, if there are any.
     pub fn session_on(&self, conn: u64) -> Option<u64> {
         self.lock().open.values().find(|request| request.conn == conn).map(|request| request.session)
     }
 
-    /// Connection and session of each request that nobody has answered by its cut-off, once.
+    /// Connection and session of each request that was not answered by its deadline. Each is returned once.
     pub fn take_overdue(&self, now: Point) -> Vec<(u64, u64)> {
         let mut requests = self.lock();
         let is_late = |request: &&mut OpenRequest| {
@@ -142,7 +143,7 @@
         requests.open.values_mut().filter(is_late).map(take).collect()
     }
 
-    /// The replies that were dropped, to be answered after all.
+    /// The replies that were dropped, so that they can be answered after all.
     pub fn recover_dropped(&self) -> Vec<PendingReply> {
         let mut requests = self.lock();
         let dropped = requests.open.iter_mut().filter(|(_, request)| request.is_dropped);
@@ -165,7 +166,7 @@
         key.replies.lock().open.get_mut(&key.number).map(access).unwrap_or_default()
     }
 
-    /// The connection that the answer goes to.
+    /// The connection that the answer is sent on.
     pub fn conn(&self) -> u64 {
         self.with_open(|request| request.conn)
     }
@@ -174,12 +175,12 @@
         self.with_open(|request| request.session)
     }
 
-    /// The answer is due by then.
+    /// Sets the time by which the answer is due.
     pub fn set_answer_due(&self, answer_due: Point) {
         self.with_open(|request| (request.answer_due, request.is_overdue) = (answer_due, false));
     }
 
-    /// The answer is on its way to the connection's socket.
+    /// The answer waits for the socket of the connection.
     pub fn mark_queued(&self) {
         self.with_open(|request| request.is_queued = true);
     }
@@ -189,7 +190,7 @@
         self.settle();
     }
 
-    /// Nobody is there to be answered.
+    /// The client is gone or does not want the answer any more.
     pub fn client_gone(self, why: Departure) {
         let (conn, session) = (self.conn(), self.session());
         tracing::debug!(target: "reply", session = format!("{session:016x}"), conn, ?why, "owed no answer");
--- a/crates/lemontide-platform/src/steps.rs
+++ b/crates/lemontide-platform/src/steps.rs
@@ -1,9 +1,9 @@
-//! When a request came through each step on its way, for the one line that is logged at its end.
+//! The times at which a request passed each step, for one log line at its end.
 
 use lemontide::clock::Point;
 use lemontide_front::core::seconds;
 
-/// How a request ended.
+/// How a request ended. The names are values of the log field `outcome`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Plays,
@@ -13,7 +13,7 @@
     ViewerLeft,
 }
 
-/// The steps of one request; one that was not reached is missing.
+/// The steps of one request. A step that was not reached has no time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Steps {
     pub session: u64,
@@ -22,25 +22,25 @@
     pub attempts: u32,
     /// How long its viewer waits, in milliseconds.
     pub wait_ms: u64,
-    /// Its last byte was read from the viewer's connection.
+    /// When its last byte was read from the viewer connection.
     pub read_at: Point,
-    /// The first streamer was chosen.
+    /// When the first streamer was chosen.
     pub decided_at: Option<Point>,
-    /// The last attempt began to be written.
+    /// When the last attempt began to be written.
     pub begun_at: Option<Point>,
-    /// The streamer's answer was read.
+    /// When the streamer's answer was read.
     pub answered_at: Option<Point>,
-    /// The final answer was handed to the viewer's connection.
+    /// When the final answer was passed to the viewer connection.
     pub reply_queued_at: Option<Point>,
 }
 
 impl Steps {
-    /// Whether anybody reads the line.
+    /// Whether the log line is enabled.
     pub fn are_logged() -> bool {
         tracing::enabled!(target: "request", tracing::Level::DEBUG)
     }
 
-    /// Logs the line, in milliseconds since the request was read; `written` is when the socket had taken the answer.
+    /// Logs the line, in milliseconds since the request was read. `written_at` is when the socket had taken the answer.
     pub fn log(&self, written_at: Option<Point>) {
         let ms_since_read =
             |at: Option<Point>| at.map(|at| ((at - self.read_at).seconds() * 1e6).round() / 1e3);
--- a/crates/lemontide-platform/src/streamers.rs
+++ b/crates/lemontide-platform/src/streamers.rs
@@ -217,7 +217,7 @@
         dialled = dial => match dialled {
             Ok(Ok(socket)) => socket,
             Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => return End::NoDial(ConnectionLoss::Refused),
-            _ => return End::NoDial(ConnectionLoss::DialTimedOut),
+            _ => return End::NoDial(ConnectionLoss::DialFailed),
         },
         told = &mut *close => return End::Told(told.unwrap_or(Close::AtOnce), None),
     };
--- a/crates/lemontide-platform/tests/crossings.rs
+++ b/crates/lemontide-platform/tests/crossings.rs
@@ -183,7 +183,7 @@
     let mut world = World::new();
     let session = world.ask("free");
     let (link, _) = world.shot(session).expect("it was sent");
-    world.away.insert(world.address[&link].clone(), ConnectionLoss::DialTimedOut);
+    world.away.insert(world.address[&link].clone(), ConnectionLoss::DialFailed);
     world.pass(3.0);
     assert_eq!((world.shots(session), world.answered(session)), (1, Some(cause::TURNED_BACK)));
     world.dispatcher.on_viewer_connected(world.now, 2);
--- a/crates/lemontide-platform/tests/dispatcher.rs
+++ b/crates/lemontide-platform/tests/dispatcher.rs
@@ -145,7 +145,7 @@
 fn a_release_dials_for_itself() {
     let mut world = World::new();
     let (session, link) = world.playing("free");
-    world.away.insert(world.address[&link].clone(), ConnectionLoss::DialTimedOut);
+    world.away.insert(world.address[&link].clone(), ConnectionLoss::DialFailed);
     world.loses(link, ConnectionLoss::Disconnected);
     world.pass(0.15);
     world.away.clear();
@@ -170,7 +170,7 @@
 /// The process is gone where nobody listens any more; a broken connection alone proves nothing.
 #[test]
 fn what_stood_is_released_when_nobody_listens_or_nobody_is_reached() {
-    for (loss, within) in [(ConnectionLoss::Refused, 0.5), (ConnectionLoss::DialTimedOut, 3.0)] {
+    for (loss, within) in [(ConnectionLoss::Refused, 0.5), (ConnectionLoss::DialFailed, 3.0)] {
         let mut world = World::new();
         let (session, link) = world.playing("free");
         world.away.insert(world.address[&link].clone(), loss);
@@ -196,7 +196,7 @@
 fn a_silent_streamer_is_found_by_a_test_within_the_platforms_time() {
     let mut world = World::new();
     let (session, link) = world.playing("free");
-    world.away.insert(world.address[&link].clone(), ConnectionLoss::DialTimedOut);
+    world.away.insert(world.address[&link].clone(), ConnectionLoss::DialFailed);
     world.pass(7.5);
     assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::BROKEN, .. }]));
 }
@@ -206,7 +206,7 @@
     let mut world = World::new();
     let session = world.ask("free");
     let (link, _) = world.shot(session).expect("it was sent");
-    world.away.insert(world.address[&link].clone(), ConnectionLoss::DialTimedOut);
+    world.away.insert(world.address[&link].clone(), ConnectionLoss::DialFailed);
     world.pass(0.5 + 0.5);
     assert!(world.hung.contains(&link));
 }
@@ -447,7 +447,7 @@
     let cause = prop_oneof![Just(16u8), Just(31), Just(34), Just(41), Just(47), Just(102), any::<u8>()];
     let loss = prop_oneof![
         Just(ConnectionLoss::Refused),
-        Just(ConnectionLoss::DialTimedOut),
+        Just(ConnectionLoss::DialFailed),
         Just(ConnectionLoss::Disconnected)
     ];
     let state = prop_oneof![3 => Just("in_service"), 1 => Just("terminating"), 1 => Just("terminated")];
@@ -504,7 +504,7 @@
                 Step::Away { at, away } => {
                     let address = entry(at, "").addr;
                     if away {
-                        world.away.insert(address, ConnectionLoss::DialTimedOut);
+                        world.away.insert(address, ConnectionLoss::DialFailed);
                     } else {
                         world.away.remove(&address);
                     }
