--- a/crates/lemontide-platform/src/dispatcher/connections.rs
+++ b/crates/lemontide-platform/src/dispatcher/connections.rs
@@ -449,7 +449,7 @@
             let on = Connection { link, dial: streamer_link.link.dial };
             let is_alive = matches!(reason, CloseReason::Unanswered | CloseReason::QueueFull);
             let awaits_close = self.await_close_if_useful(on, is_alive);
-            tracing::debug!(target: "attempt", ?on, ?reason, awaits_close, "closes");
+            tracing::debug!(target: "attempt", ?on, ?reason, awaits_close, "closes a connection to a streamer");
             self.effects.push(Effect::Close { on, awaits_close });
             self.handle_loss(now, link, loss);
         }
--- a/crates/lemontide-platform/src/dispatcher/unanswered.rs
+++ b/crates/lemontide-platform/src/dispatcher/unanswered.rs
@@ -95,7 +95,7 @@
             let id = self.id_by_session.get(&session).copied();
             let id = id.filter(|id| self.sessions.get(id).is_some_and(is_it));
             tracing::warn!(
-                target: "reply", session = format!("{session:016x}"), conn, in_hand = id.is_some(), "no answer by its cut-off"
+                target: "reply", session = format!("{session:016x}"), conn, in_hand = id.is_some(), "no answer by its deadline"
             );
             if let Some(id) = id {
                 self.answer_at_once(now, id);
--- a/crates/lemontide-platform/src/dispatcher/viewers.rs
+++ b/crates/lemontide-platform/src/dispatcher/viewers.rs
@@ -177,7 +177,7 @@
                 self.hand_over(now, (conn, session), set_up, (read_at, read_delay))
             }
             (Body::Unusable(why), Some(reply)) => {
-                tracing::info!(target: "viewers", why, "a set-up that can't be used");
+                tracing::info!(target: "viewers", why, "set-up is not usable");
                 self.refuse(now, reply);
             }
             _ => {}
@@ -266,7 +266,7 @@
         let is_known_tenant = settings.tenants.is_empty() || settings.tenants.contains(&set_up.tenant);
         let has_cells = (1..=settings.cells).contains(&figures.copies) && figures.home < settings.cells;
         match () {
-            () if !is_known_class => Some("no such lane"),
+            () if !is_known_class => Some("no such class"),
             () if !is_known_tenant => Some("no such tenant"),
             () if !has_cells => Some("no such cells"),
             () if figures.top >= settings.rungs => Some("no such rung"),
@@ -308,7 +308,7 @@
         tracing::debug!(target: "decision", session = format!("{session:016x}"), conn, ?set_up);
         let why = if session == 0 { Some("no id") } else { self.unusable_part(set_up) };
         if let Some(why) = why {
-            tracing::info!(target: "viewers", why, "a set-up that can't be used");
+            tracing::info!(target: "viewers", why, "set-up is not usable");
         }
         why
     }
--- a/crates/lemontide-platform/src/replies.rs
+++ b/crates/lemontide-platform/src/replies.rs
@@ -64,7 +64,7 @@
 
 /// The duty to answer one request. It ends with `answered` or `client_gone`.
 #[derive(Debug)]
-#[must_use = "a request that was taken is owed one answer"]
+#[must_use = "a registered request is owed one answer"]
 pub struct PendingReply {
     /// None once it is settled.
     unsettled: Option<Box<OpenRequestKey>>,
@@ -193,7 +193,7 @@
     /// The client is gone or does not want the answer any more.
     pub fn client_gone(self, why: Departure) {
         let (conn, session) = (self.conn(), self.session());
-        tracing::debug!(target: "reply", session = format!("{session:016x}"), conn, ?why, "owed no answer");
+        tracing::debug!(target: "reply", session = format!("{session:016x}"), conn, ?why, "request is owed no answer");
         self.settle();
     }
 
@@ -216,6 +216,6 @@
         }
         let (conn, session) = (self.conn(), self.session());
         self.with_open(|request| request.is_dropped = true);
-        tracing::error!(target: "reply", session = format!("{session:016x}"), conn, "its reply was dropped");
+        tracing::error!(target: "reply", session = format!("{session:016x}"), conn, "reply was dropped before it was settled");
     }
 }
