--- a/crates/lemontide-platform/src/dispatcher.rs
+++ b/crates/lemontide-platform/src/dispatcher.rs
@@ -284,7 +284,7 @@
     until: Point,
     sent: Option<SentRelease>,
     /// Whether a connection is dialled for it if none is up, as the session is known to be established.
-    may_dial: bool,
+    dials_if_needed: bool,
 }
 
 /// The last sending of a release to a streamer.
--- a/crates/lemontide-platform/src/dispatcher/connections.rs
+++ b/crates/lemontide-platform/src/dispatcher/connections.rs
@@ -20,7 +20,7 @@
             session,
             until: now + RELEASE_RETENTION,
             sent: None,
-            may_dial: true,
+            dials_if_needed: true,
         };
         self.send_release(now, &mut release);
         self.remember_release(release);
@@ -43,7 +43,7 @@
             session,
             until: now + RELEASE_RETENTION,
             sent,
-            may_dial: false,
+            dials_if_needed: false,
         });
     }
 
@@ -57,7 +57,7 @@
     fn send_release(&mut self, now: Point, release: &mut PendingRelease) {
         release.sent = None;
         let link = match self.best_link(&release.streamer) {
-            None if release.may_dial => self.dial_now(now, &release.streamer),
+            None if release.dials_if_needed => self.dial_now(now, &release.streamer),
             link => link,
         };
         let Some(link) = link else { return };
