--- a/crates/lemontide-platform/tests/crossings.rs
+++ b/crates/lemontide-platform/tests/crossings.rs
@@ -1,4 +1,4 @@
-//! Two events that cross, in the dispatcher: every pair in an order that is forced, in virtual time.
+//! Pairs of events that cross in the dispatcher, each in a forced order in virtual time.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use lemontide_platform::dispatcher::ConnectionLoss;
 use lemontide_platform::replies::Departure;
 
-/// All of the session's set-ups and releases as they were written: true for a set-up.
+/// The session's set-ups and releases in the order in which they were written: true for a set-up.
 fn order_of(world: &World, session: u64) -> Vec<bool> {
     let of = world.written.iter().filter(|(_, message)| message.session == session);
     of.filter_map(|(_, message)| match message.body {
@@ -20,7 +20,7 @@
     .collect()
 }
 
-/// A world in which connections to all streamers are up and one more set-up waits in a batch on each.
+/// Brings up connections to all streamers, which from now on take nothing: what is sent waits in a batch on each.
 fn with_slow_connections(world: &mut World) {
     for at in 0..STREAMERS {
         for _ in 0..40 {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_waits_in_a_batch_is_not_written_once_its_viewer_left() {
+fn a_set_up_in_a_batch_is_not_written_once_its_viewer_left() {
     for closes in [true, false] {
         let mut world = World::new();
         with_slow_connections(&mut world);
@@ -46,12 +46,15 @@
         }
         world.perform();
         world.catch_up();
-        assert!(order_of(&world, session).is_empty(), "nothing of it left, and nothing has to be given up");
+        assert!(
+            order_of(&world, session).is_empty(),
+            "nothing of it was written, so nothing has to be released"
+        );
     }
 }
 
 #[test]
-fn what_waits_in_a_batch_is_not_written_once_its_streamer_drains() {
+fn a_set_up_in_a_batch_is_not_written_once_its_streamer_drains() {
     let mut world = World::new();
     with_slow_connections(&mut world);
     let session = world.ask("paid");
@@ -62,9 +65,10 @@
     assert!(order_of(&world, session).is_empty());
 }
 
-/// A paid set-up whose connection broke before it was written may be sent again; one that was written may not.
+/// A set-up of an at-most-once class whose connection broke before it was written may be sent again; one that was
+/// written may not.
 #[test]
-fn a_connection_lost_under_a_batch_proves_what_was_not_written() {
+fn a_connection_lost_before_its_batch_is_written_proves_that_attempts_never_ran() {
     for written in [false, true] {
         let mut world = World::new();
         with_slow_connections(&mut world);
@@ -84,14 +88,14 @@
     }
 }
 
-/// The word that gives up an attempt waits behind a batch, and then unread at its streamer; the next attempt begins
-/// when the streamer passes the test behind it, and no sooner.
+/// The release of a given-up attempt waits behind a batch, and then unread at its streamer. The next attempt begins
+/// when the streamer passes the test behind the release, and not before.
 #[test]
-fn the_next_attempt_leaves_only_after_the_end_of_the_last_is_read() {
+fn the_next_attempt_is_sent_only_after_the_release_of_the_last_is_read() {
     let mut world = World::new();
     let session = world.ask("free");
     let (link, _) = world.shot(session).expect("it was sent");
-    // Another set-up on the same connection is being written when the first is given up.
+    // Another set-up on the same connection is being written when the first attempt is given up.
     world.slow = [link].into();
     let title = SetUp { title: "t".into(), ..wish("free") };
     for _ in 0..40 {
@@ -102,7 +106,7 @@
     }
     assert!(!world.batches.is_empty(), "a batch is being written there");
     world.pass(0.46);
-    assert_eq!(order_of(&world, session), [true], "given up, but nobody can know it yet");
+    assert_eq!(order_of(&world, session), [true], "given up, and its release is not written yet");
     world.unread = [link].into();
     world.catch_up();
     assert_eq!(order_of(&world, session), [true, false], "written, and not read");
@@ -112,10 +116,10 @@
     assert_eq!(order_of(&world, session), [true, false, true]);
 }
 
-/// A connection that is closed by this end proves nothing of what its streamer has read; nor does the streamer's close
-/// prove that the session does not stand: the end goes to it on another connection, and must be read there.
+/// That this end closes a connection does not prove what its streamer has read, and the streamer's close does not prove
+/// that the session is not established: the release goes to the streamer on another connection, and must be read there.
 #[test]
-fn the_next_attempt_leaves_only_after_the_end_of_one_on_a_closed_connection_is_read_elsewhere() {
+fn after_a_closed_connection_the_next_attempt_waits_until_a_release_is_read_on_another() {
     for by_streamer in [false, true] {
         let mut world = World::new();
         let session = world.ask("free");
@@ -132,18 +136,18 @@
         world.unread = (0..1000).collect();
         world.close_all(by_streamer);
         world.pass(0.2);
-        let words = if by_streamer { vec![true, false] } else { vec![true] };
-        assert_eq!(order_of(&world, session), words, "closed by its streamer: {by_streamer}");
+        let expected = if by_streamer { vec![true, false] } else { vec![true] };
+        assert_eq!(order_of(&world, session), expected, "closed by its streamer: {by_streamer}");
         let links: Vec<u64> = world.dials.keys().copied().collect();
         links.into_iter().for_each(|link| world.reads(link));
-        let words = if by_streamer { vec![true, false, true] } else { vec![true] };
-        assert_eq!(order_of(&world, session), words, "closed by its streamer: {by_streamer}");
+        let expected = if by_streamer { vec![true, false, true] } else { vec![true] };
+        assert_eq!(order_of(&world, session), expected, "closed by its streamer: {by_streamer}");
     }
 }
 
-/// The process of an attempt is gone: its connection is closed, and it refuses others or the list says so.
+/// The process of an attempt is gone: its connection is closed, and new dials are refused or the list marks it as gone.
 #[test]
-fn the_next_attempt_leaves_when_the_process_of_the_last_is_gone() {
+fn the_next_attempt_is_sent_when_the_process_of_the_last_is_gone() {
     for is_listed in [true, false] {
         let mut world = World::new();
         let session = world.ask("free");
@@ -161,23 +165,23 @@
     }
 }
 
-/// A streamer acknowledges the end, or says how the attempt ended: no test is needed.
+/// A streamer acknowledges the release, or releases the attempt itself: no test is needed.
 #[test]
-fn the_next_attempt_leaves_when_the_streamer_says_that_the_last_is_over() {
-    for word in [Body::Heard, Body::release(cause::BROKEN)] {
+fn the_next_attempt_is_sent_when_the_streamer_ends_the_last() {
+    for message in [Body::Heard, Body::release(cause::BROKEN)] {
         let mut world = World::new();
         let session = world.ask("free");
         let (link, _) = world.shot(session).expect("it was sent");
         world.unread = [link].into();
         world.pass(0.46);
         assert_eq!(order_of(&world, session), [true, false]);
-        world.tell_on(link, session, word);
+        world.tell_on(link, session, message);
         assert_eq!(order_of(&world, session), [true, false, true]);
     }
 }
 
-/// A streamer that stays silent gets no second attempt and its request none elsewhere, and one answer by its deadline;
-/// a later set-up under the same number is refused while the attempt may be out.
+/// A silent streamer gets no second attempt, its request gets none elsewhere, and the request is answered once by its
+/// deadline. A later set-up with the same session number is refused while the attempt may be out.
 #[test]
 fn a_silent_streamer_ends_a_request_without_another_attempt() {
     let mut world = World::new();
@@ -192,12 +196,13 @@
     assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::UNUSABLE, .. }]));
 }
 
-/// Rungs of a subscription go over one connection while it is up, in order, whatever connection carries least.
+/// Rung changes of a session go over one connection while it is up, so that they stay in order, whichever connection
+/// has the fewest set-ups.
 #[test]
 fn rungs_follow_each_other_on_one_connection() {
     let mut world = World::new();
     let (session, link) = world.playing("free");
-    // Others wait there, so that further connections are opened and carry less.
+    // Other set-ups wait there, so that more connections are opened, which have fewer.
     for second in 0..60 {
         if second % 2 == 0 {
             world.ask("paid");
@@ -210,7 +215,7 @@
     assert!(on.len() > 1 && on.iter().all(|other| *other == link), "on {link}: {on:?}");
 }
 
-/// Whatever never closes must not hold a request for ever.
+/// A connection that is never closed must not hold a request for ever.
 #[test]
 fn a_connection_that_is_never_closed_does_not_keep_a_request() {
     let mut world = World::new();
@@ -222,9 +227,9 @@
     assert!(world.answered(session).is_some(), "one answer by its deadline");
 }
 
-/// The viewer ends what plays, and the connection goes before the word for its streamer is written.
+/// The viewer ends its session, and the connection is lost before the release to the streamer is written.
 #[test]
-fn the_end_of_a_stream_is_sent_again_where_its_connection_goes_first() {
+fn a_release_is_sent_again_if_its_connection_is_lost_before_it_is_written() {
     let mut world = World::new();
     let (session, link) = world.playing("free");
     world.slow = [link].into();
@@ -234,12 +239,12 @@
     world.slow.clear();
     world.loses(link, ConnectionLoss::Disconnected);
     world.pass(1.0);
-    assert_eq!(order_of(&world, session), [true, false], "once, on the next connection");
+    assert_eq!(order_of(&world, session), [true, false], "sent once, on the next connection");
 }
 
-/// The end of a stream was written, and its connection went before the streamer read it.
+/// The release of a session was written, and its connection was lost before the streamer read it.
 #[test]
-fn the_end_of_a_stream_is_sent_again_until_its_streamer_has_read_it() {
+fn a_release_is_sent_again_until_its_streamer_has_read_it() {
     for read in [false, true] {
         let mut world = World::new();
         let (session, link) = world.playing("free");
@@ -255,35 +260,35 @@
         world.loses(link, ConnectionLoss::Disconnected);
         world.unread.clear();
         world.pass(0.5);
-        let words = if read { vec![true, false] } else { vec![true, false, false] };
-        assert_eq!(order_of(&world, session), words, "read: {read}");
+        let expected = if read { vec![true, false] } else { vec![true, false, false] };
+        assert_eq!(order_of(&world, session), expected, "read: {read}");
     }
 }
 
-/// A client ends its stream and asks again under the same number: nothing may begin before the end is read.
+/// A client ends its session and sends a request with the same number: no attempt may begin before the release is read.
 #[test]
-fn a_number_whose_stream_may_still_stand_is_refused() {
+fn a_number_whose_session_may_still_play_is_refused() {
     let mut world = World::new();
     let (session, link) = world.playing("free");
     world.unread = [link].into();
     world.say(VIEWERS, session, Body::release(cause::NORMAL));
     world.dispatcher.on_viewer_connected(world.now, 2);
     world.say(2, session, Body::SetUp(wish("free")));
-    assert_eq!(order_of(&world, session), [true, false], "its stream may still stand");
+    assert_eq!(order_of(&world, session), [true, false], "its session may still play");
     assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::UNUSABLE, .. }]));
     world.tell_on(link, session, Body::Heard);
     world.unread.clear();
-    for (conn, wait, is_taken) in [(3, 0.0, false), (4, 7.9, false), (5, 0.2, true)] {
+    for (conn, wait, is_accepted) in [(3, 0.0, false), (4, 7.9, false), (5, 0.2, true)] {
         world.pass(wait);
         world.dispatcher.on_viewer_connected(world.now, conn);
         world.say(conn, session, Body::SetUp(wish("free")));
-        assert_eq!(world.shots(session) == 2, is_taken, "{wait} s later");
+        assert_eq!(world.shots(session) == 2, is_accepted, "{wait} s later");
     }
 }
 
-/// Set-ups wait for a dial; half of their viewers leave, and then it comes up.
+/// Set-ups wait for a dial, half of their viewers leave, and then the connection comes up.
 #[test]
-fn what_waits_for_a_dial_is_not_sent_once_its_viewer_left() {
+fn a_set_up_that_waits_for_a_dial_is_not_sent_once_its_viewer_left() {
     let mut world = World::new();
     world.stuck = true;
     let asked: Vec<u64> = (0..40).map(|_| world.ask("paid")).collect();
@@ -295,18 +300,18 @@
         world.dispatcher.on_connected(world.now, Connection { link, dial });
     }
     world.perform();
-    for (n, session) in asked.iter().enumerate() {
-        assert_eq!(world.shots(*session), n % 2, "number {n}");
+    for (index, session) in asked.iter().enumerate() {
+        assert_eq!(world.shots(*session), index % 2, "number {index}");
     }
 }
 
 #[test]
-fn who_cancels_or_closes_in_the_moment_of_asking_is_not_sent_on() {
+fn a_request_cancelled_or_closed_at_the_same_moment_is_not_sent() {
     for closes in [true, false] {
         let mut world = World::new();
-        let (asks, session) = (Body::SetUp(wish("free")), 0xabc);
+        let (request, session) = (Body::SetUp(wish("free")), 0xabc);
         let message = |body| Message { session, body };
-        world.hears(VIEWERS, message(asks), world.now);
+        world.hears(VIEWERS, message(request), world.now);
         match closes {
             true => world.dispatcher.on_viewer_gone(world.now, VIEWERS, Departure::Closed),
             false => world.hears(VIEWERS, message(Body::release(cause::NORMAL)), world.now),
@@ -328,23 +333,23 @@
     world.now = world.now + lemontide::clock::Span::of(2.0);
     assert!(world.dispatcher.decide_next(world.now));
     world.perform();
-    let mut sent_on = world.written.iter().filter(|(_, message)| message.session == session);
-    let Some((_, Message { body: Body::SetUp(set_up), .. })) = sent_on.next() else {
-        panic!("it is sent on")
+    let mut sent = world.written.iter().filter(|(_, message)| message.session == session);
+    let Some((_, Message { body: Body::SetUp(set_up), .. })) = sent.next() else {
+        panic!("it is sent to a streamer")
     };
     assert!(set_up.wait_ms < 1000, "its streamer has {} ms", set_up.wait_ms);
 }
 
 #[test]
-fn what_is_asked_and_not_decided_keeps_its_connection_and_its_process() {
+fn an_undecided_request_keeps_its_connection_and_its_process() {
     let mut world = World::new();
-    let (in_hand, open) = (world.dispatcher.tracked_count(), world.dispatcher.unanswered_count());
+    let (tracked, unanswered) = (world.dispatcher.tracked_count(), world.dispatcher.unanswered_count());
     assert_eq!(world.dispatcher.idle_connection(), Some(VIEWERS), "nothing is open on it");
     let message = |body| Message { session: 0xabc, body };
     world.hears(VIEWERS, message(Body::SetUp(wish("free"))), world.now);
     assert_eq!(
         (world.dispatcher.tracked_count(), world.dispatcher.unanswered_count()),
-        (in_hand + 1, open + 1)
+        (tracked + 1, unanswered + 1)
     );
     world.dispatcher.close_idle_connection();
     world.perform();
@@ -352,40 +357,40 @@
     world.hears(VIEWERS, message(Body::release(cause::NORMAL)), world.now);
     assert_eq!(
         (world.dispatcher.tracked_count(), world.dispatcher.idle_connection()),
-        (in_hand, Some(VIEWERS))
+        (tracked, Some(VIEWERS))
     );
 }
 
-/// A newcomer that needs a place takes the place of one idle connection, not of several.
+/// A new connection that needs a descriptor closes one idle connection, not several.
 #[test]
-fn one_idle_connection_makes_room_at_a_time() {
+fn one_idle_connection_is_closed_at_a_time() {
     let mut world = World::new();
     (2..40).for_each(|conn| world.dispatcher.on_viewer_connected(world.now, conn));
-    let asks = 2;
-    world.ask_on(asks, wish("free"));
+    let busy = 2;
+    world.ask_on(busy, wish("free"));
     for _ in 0..8 {
         world.dispatcher.close_idle_connection();
     }
     world.perform();
     assert_eq!(world.retired.len(), 1, "{:?}", world.retired);
-    assert_ne!(world.retired[0].0, asks);
+    assert_ne!(world.retired[0].0, busy);
 }
 
-/// A world with one streamer, at which a request's first attempt got no answer and its second one is out: its session and
-/// the link of the second.
+/// A world with one streamer, at which a request's first attempt got no answer and its second one is out: the session,
+/// and the link of the second attempt.
 fn with_a_second_attempt_at_the_same_streamer(lane: &str) -> (World, u64, u64) {
     let mut world = World::new();
     let others = (1..STREAMERS).map(|at| entry(at, "terminating")).collect();
     world.learn(&Hosts { full: false, servers: others });
     let session = world.ask(lane);
     world.pass(0.5);
-    assert_eq!(order_of(&world, session), [true, false, true], "the end of the first is read");
+    assert_eq!(order_of(&world, session), [true, false, true], "the release of the first is read");
     let (link, _) = world.shot(session).expect("it was sent");
     (world, session, link)
 }
 
-/// The soak's seed 15: the first attempt had stood with its answer lost, and its streamer said its release again on the
-/// connection of the second.
+/// Seed 15 of the soak: the first attempt had set up the session and its answer was lost, and its streamer repeated its
+/// release on the connection of the second attempt.
 #[test]
 fn a_release_of_the_first_attempt_is_not_taken_for_the_end_of_the_second() {
     for why in [cause::NORMAL, cause::CANCELLED, cause::BROKEN, 99] {
@@ -404,25 +409,26 @@
 }
 
 #[test]
-fn a_word_on_the_first_attempt_does_not_prove_the_second_over_that_was_given_up() {
-    for word in [Body::release(cause::NORMAL), Body::release(cause::BROKEN), Body::Heard] {
+fn a_message_about_the_first_attempt_does_not_prove_a_given_up_second_one_over() {
+    for message in [Body::release(cause::NORMAL), Body::release(cause::BROKEN), Body::Heard] {
         let (mut world, session, link) = with_a_second_attempt_at_the_same_streamer("free");
         world.unread = [link].into();
         world.pass(0.5);
         let given_up = [true, false, true, false];
         assert_eq!(order_of(&world, session), given_up);
-        world.tell_on(link, session, word.clone());
+        world.tell_on(link, session, message.clone());
         world.pass(0.05);
         let is_decided = |world: &World| world.answered(session).is_some() || world.shots(session) > 2;
-        assert!(!is_decided(&world), "{word:?}: the second may still be out");
+        assert!(!is_decided(&world), "{message:?}: the second may still be out");
         world.reads(link);
-        assert!(is_decided(&world), "{word:?}");
+        assert!(is_decided(&world), "{message:?}");
     }
 }
 
-/// The release may be that of the first attempt, so what the second set up is ended at its streamer too.
+/// The release may concern the first attempt, so the session that the second one set up is released at its streamer
+/// too.
 #[test]
-fn a_release_that_may_be_of_an_earlier_attempt_leaves_nothing_standing() {
+fn a_release_that_may_be_of_an_earlier_attempt_leaves_no_session() {
     let (mut world, session, link) = with_a_second_attempt_at_the_same_streamer("free");
     world.answer(session);
     world.tell_on(link, session, Body::release(cause::NORMAL));
@@ -433,9 +439,10 @@
     assert_eq!(world.released(session), 0, "the release of a first attempt is its own");
 }
 
-/// A streamer says its release again on the next connection: a set-up under the same number would be taken for over.
+/// A streamer repeats its release on the next connection, where it would be taken for the end of a set-up with the same
+/// number.
 #[test]
-fn a_number_is_not_taken_again_while_its_streamer_may_still_release_it() {
+fn a_number_is_not_accepted_again_while_its_streamer_may_still_release_it() {
     let mut world = World::new();
     let (session, _) = world.playing("free");
     world.ends(session, cause::NORMAL);
@@ -445,12 +452,13 @@
     assert!(matches!(world.said.last(), Some((2, Message { body: Body::Release { .. }, .. }))), "refused");
     world.pass(8.2);
     world.say(2, session, Body::SetUp(wish("free")));
-    assert_eq!(world.shots(session), 2, "nothing more is said of it");
+    assert_eq!(world.shots(session), 2, "its streamer does not release it any more");
 }
 
-/// A set-up got no answer on a connection, so it is closed by half; the release of another session is on its way there.
+/// A set-up got no answer on a connection, so this end closes its half; the release of another session is on its way
+/// there.
 #[test]
-fn a_release_on_a_connection_that_is_being_closed_is_heard() {
+fn a_release_on_a_connection_that_is_being_closed_is_handled() {
     let mut world = World::new();
     let others = (1..STREAMERS).map(|at| entry(at, "terminating")).collect();
     world.learn(&Hosts { full: false, servers: others });
@@ -476,10 +484,10 @@
     );
 }
 
-/// The answer of an attempt may be lost with its connection, and its request gets no other: what may stand is ended on
-/// the next connection that is up.
+/// The answer of an attempt may be lost with its connection, and its request gets no other attempt: the session that it
+/// may have set up is released on the next connection that is up.
 #[test]
-fn what_may_stand_of_a_failed_request_is_ended_on_another_connection() {
+fn the_possible_session_of_a_failed_request_is_released_on_another_connection() {
     for leaves in [true, false] {
         let mut world = World::new();
         let others = (1..STREAMERS).map(|at| entry(at, "terminating")).collect();
@@ -496,6 +504,6 @@
         world.pass(0.5);
         assert_eq!((world.shots(session), world.released(session)), (1, before + 1), "leaves: {leaves}");
         world.pass(2.0);
-        assert_eq!(world.released(session), before + 1, "leaves: {leaves}, and once is enough");
+        assert_eq!(world.released(session), before + 1, "leaves: {leaves}, sent only once");
     }
 }
--- a/crates/lemontide-platform/tests/dispatcher.rs
+++ b/crates/lemontide-platform/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's hard cases, one by one, in virtual time, and its promises under any order of events.
+//! Difficult cases of the dispatcher one by one in virtual time, and its guarantees under any order of events.
 
 mod common;
 
@@ -12,14 +12,14 @@
 use serde_json::{json, Value as Json};
 
 #[test]
-fn a_wish_plays_and_ends_and_leaves_nothing() {
+fn a_request_plays_and_ends_and_leaves_no_state() {
     let mut world = World::new();
     let session = world.ask("paid");
     let (_, sent) = world.shot(session).expect("it was sent");
     assert_eq!((&sent.lane[..], &sent.title[..], &sent.description[..]), ("paid", "t", &b"asked"[..]));
     assert!(
         sent.rung.is_some() && sent.tenant.is_empty() && sent.figures.is_none(),
-        "no more than the form has"
+        "only the fields of a set-up to a streamer"
     );
     world.answer(session);
     assert_eq!(world.answered(session), Some(0));
@@ -28,9 +28,9 @@
     assert_eq!(world.dispatcher.tracked_count(), 0);
 }
 
-/// A set-up may be shot again, or refused, only where no shot of a paid lane may have run.
+/// A set-up may be sent again, or rejected, only if no attempt of an at-most-once class may have run.
 #[test]
-fn how_a_shot_ends_decides_what_may_follow() {
+fn the_outcome_of_an_attempt_decides_what_may_follow() {
     let never_ran = [cause::FULL, cause::MOOT];
     for why in [cause::FULL, cause::MOOT, cause::ERROR, cause::BROKEN, cause::NORMAL, 99] {
         let mut world = World::new();
@@ -44,34 +44,34 @@
 }
 
 #[test]
-fn no_answer_in_time_gives_the_shot_up_and_the_answer_is_still_in_time() {
+fn an_unanswered_attempt_is_given_up_and_its_request_is_answered_in_time() {
     let mut world = World::new();
     let (paid, free) = (world.ask("paid"), world.ask("free"));
     world.pass(1.0);
-    assert!(world.shots(free) > 1 && world.released(free) >= 1, "given up first, then sent again");
+    assert!(world.shots(free) > 1 && world.released(free) >= 1, "released first, then sent again");
     world.pass(1.97);
     assert_eq!(world.answered(paid), Some(cause::BROKEN));
     assert_eq!((world.shots(paid), world.released(paid)), (1, 1));
     assert!(world.answered(free).is_some_and(World::is_refusal));
-    let (said, shots) = (world.said.len(), world.shots(paid));
+    let (sent, attempts) = (world.said.len(), world.shots(paid));
     world.answer(paid);
-    assert_eq!((world.said.len(), world.shots(paid)), (said, shots), "too late changes nothing");
+    assert_eq!((world.said.len(), world.shots(paid)), (sent, attempts), "a late answer changes nothing");
 }
 
 #[test]
-fn a_second_copy_or_an_unknown_number_changes_nothing() {
+fn a_repeated_answer_or_an_unknown_session_changes_nothing() {
     let mut world = World::new();
     let (session, link) = world.playing("free");
     world.answer(session);
     let stray = Body::Answer { description: Bytes::from_static(b"x"), load: Default::default() };
     world.tell_on(link, 4242, stray);
     assert_eq!(world.answered(session), Some(0));
-    assert_eq!(world.released(session), 0, "it goes on playing");
+    assert_eq!(world.released(session), 0, "it plays on");
     assert!(world.heard(4242).is_empty());
 }
 
 #[test]
-fn a_viewer_that_stops_waiting_is_owed_nothing_and_its_shot_is_given_up() {
+fn a_viewer_that_stops_waiting_is_owed_nothing_and_its_attempt_is_given_up() {
     let mut world = World::new();
     let session = world.ask("free");
     world.say(VIEWERS, session, Body::release(cause::NORMAL));
@@ -84,9 +84,9 @@
     assert_eq!((world.released(gone), world.dispatcher.tracked_count()), (1, 0));
 }
 
-/// What stands belongs to no connection, of neither side.
+/// An established session belongs to no connection, neither of its viewer nor of its streamer.
 #[test]
-fn a_standing_subscription_outlives_its_connections() {
+fn an_established_session_outlives_its_connections() {
     let mut world = World::new();
     let (session, link) = world.playing("paid");
     world.loses(link, ConnectionLoss::Disconnected);
@@ -97,52 +97,57 @@
     let other = world.ask_on(2, wish("free"));
     world.answer(other);
     let at = world.address[&link].clone();
-    let again = *world.dials.keys().rev().find(|l| world.address[l] == at).expect("dialled again");
+    let again = *world.dials.keys().rev().find(|link| world.address[link] == at).expect("dialled again");
     world.tell_on(again, session, Body::release(cause::NORMAL));
-    assert!(world.said.iter().any(|(conn, m)| *conn == 2 && m.session == session), "on any connection");
+    assert!(
+        world.said.iter().any(|(conn, m)| *conn == 2 && m.session == session),
+        "released on another viewer connection"
+    );
     world.say(2, other, Body::release(cause::NORMAL));
     assert_eq!((world.released(other), world.dispatcher.tracked_count()), (1, 0), "ended by its viewer");
 }
 
-/// Hundreds of controllers by hundreds of streamers: a connection is there for what needs it and for nobody else.
+/// Guards against hundreds of controllers that keep connections to hundreds of streamers: a connection exists only
+/// while something needs it.
 #[test]
-fn a_connection_is_dialled_when_needed_kept_while_something_stands_and_closed_when_idle() {
+fn a_connection_is_dialled_when_needed_kept_while_a_session_plays_and_closed_when_idle() {
     let mut world = World::new();
-    assert!(world.dials.is_empty(), "a list alone dials nobody");
+    assert!(world.dials.is_empty(), "the list alone causes no dial");
     let (session, link) = world.playing("free");
     assert_eq!(world.dials.len(), 1);
     world.pass(40.0);
-    assert!(world.hung.is_empty(), "a release is still to come on it");
+    assert!(world.hung.is_empty(), "a release is still expected on it");
     world.ends(session, cause::NORMAL);
     world.pass(11.0);
-    assert!(world.hung.is_empty(), "the next set-up may use it");
+    assert!(world.hung.is_empty(), "it is kept for the next set-up");
     world.pass(2.0);
     assert_eq!(world.hung, [link], "closed by this end before the streamer's 15 s are over");
     world.pass(30.0);
     assert_eq!(world.dials.values().sum::<u64>(), 1, "and not dialled again");
     let next = world.ask("paid");
-    assert_eq!(world.shots(next), 1, "but for a set-up");
+    assert_eq!(world.shots(next), 1, "except for a set-up");
 }
 
-/// A streamer or a zone that comes back is dialled by those who have something there, not by the whole fleet.
+/// A streamer or a zone that comes up again is dialled by the controllers that have sessions there, not by all.
 #[test]
-fn a_lost_connection_is_dialled_again_only_for_what_stands() {
-    for stands in [true, false] {
+fn a_lost_connection_is_dialled_again_only_for_an_established_session() {
+    for is_playing in [true, false] {
         let mut world = World::new();
         let (session, link) = world.playing("free");
-        if !stands {
+        if !is_playing {
             world.ends(session, cause::NORMAL);
             world.pass(0.2);
         }
         world.loses(link, ConnectionLoss::Disconnected);
         world.pass(1.0);
-        assert_eq!(world.dials[&link], if stands { 2 } else { 1 });
+        assert_eq!(world.dials[&link], if is_playing { 2 } else { 1 });
     }
 }
 
-/// Guards against streams that nobody watches: the viewer ended it while its streamer's connection was down.
+/// The viewer ends its session while the connection to the streamer is down. Guards against streams that nobody
+/// watches.
 #[test]
-fn a_release_dials_for_itself() {
+fn a_release_causes_a_dial() {
     let mut world = World::new();
     let (session, link) = world.playing("free");
     world.away.insert(world.address[&link].clone(), ConnectionLoss::DialFailed);
@@ -154,7 +159,7 @@
 }
 
 #[test]
-fn a_release_that_no_connection_takes_waits_for_one() {
+fn a_release_to_a_viewer_waits_for_a_connection() {
     let mut world = World::new();
     let (session, link) = world.playing("free");
     world.dispatcher.on_viewer_gone(world.now, VIEWERS, Departure::Closed);
@@ -167,9 +172,9 @@
     assert_eq!(world.heard(session).len(), 2);
 }
 
-/// The process is gone where nobody listens any more; a broken connection alone proves nothing.
+/// A refused dial proves that the process is gone; a lost connection alone proves nothing.
 #[test]
-fn what_stood_is_released_when_nobody_listens_or_nobody_is_reached() {
+fn a_session_is_released_when_dials_are_refused_or_fail_for_too_long() {
     for (loss, within) in [(ConnectionLoss::Refused, 0.5), (ConnectionLoss::DialFailed, 3.0)] {
         let mut world = World::new();
         let (session, link) = world.playing("free");
@@ -191,9 +196,9 @@
     }
 }
 
-/// A machine that vanishes says nothing at all: its connections stay open.
+/// A machine that fails sends nothing at all: its connections stay open.
 #[test]
-fn a_silent_streamer_is_found_by_a_test_within_the_platforms_time() {
+fn a_silent_streamer_is_detected_by_a_test_within_the_platforms_time() {
     let mut world = World::new();
     let (session, link) = world.playing("free");
     world.away.insert(world.address[&link].clone(), ConnectionLoss::DialFailed);
@@ -212,7 +217,7 @@
 }
 
 #[test]
-fn a_streamer_that_drains_or_goes_gets_nothing_new_and_is_forgotten() {
+fn a_streamer_that_drains_or_is_gone_gets_nothing_new_and_is_removed() {
     let mut world = World::new();
     let (session, link) = world.playing("free");
     let at: usize = world.address[&link][10..].parse::<usize>().expect("a port") - 9000;
@@ -228,13 +233,13 @@
     world.news(entry(at, "terminated"));
     assert_eq!(world.heard(session).len(), 1, "it may still play");
     world.loses(link, ConnectionLoss::Disconnected);
-    assert_eq!(world.heard(session).len(), 2, "nobody will tell any more");
+    assert_eq!(world.heard(session).len(), 2, "no release will arrive any more");
     assert_eq!(world.dispatcher.streamer_count(), STREAMERS - 1);
-    assert!(world.dispatcher.link_count() < STREAMERS, "none of them is its own");
+    assert!(world.dispatcher.link_count() < STREAMERS, "no link to it is left");
 }
 
 #[test]
-fn a_set_up_that_waits_for_a_connection_is_taken_back_when_its_streamer_drains() {
+fn a_set_up_that_waits_for_a_connection_is_withdrawn_when_its_streamer_drains() {
     let mut world = World::new();
     world.stuck = true;
     for link in world.dials.clone().into_keys() {
@@ -249,24 +254,24 @@
 }
 
 #[test]
-fn what_stood_before_a_new_start_is_over_and_what_stands_since_is_not() {
+fn a_session_older_than_the_start_of_its_streamer_is_over_and_a_newer_one_is_not() {
     let mut world = World::new();
     let (session, link) = world.playing("free");
     let at: usize = world.address[&link][10..].parse::<usize>().expect("a port") - 9000;
-    let told = |seconds: f64| {
+    let started = |seconds: f64| {
         let mut again = entry(at, "in_service");
         again.started_ms = seconds * 1e3;
         again
     };
     world.pass(1.0);
-    world.news(told(1000.0));
+    world.news(started(1000.0));
     assert_eq!(world.heard(session).len(), 1, "it was set up in the new process");
-    world.news(told(1020.5));
+    world.news(started(1020.5));
     assert_eq!(world.heard(session).len(), 2);
 }
 
 #[test]
-fn another_streamer_at_an_old_address_is_another() {
+fn a_new_streamer_at_an_old_address_is_another_one() {
     let mut world = World::new();
     let (session, link) = world.playing("free");
     let at: usize = world.address[&link][10..].parse::<usize>().expect("a port") - 9000;
@@ -274,12 +279,12 @@
     new.id = "new".into();
     world.learn(&Hosts { full: false, servers: vec![entry(at, "terminated"), new] });
     world.loses(link, ConnectionLoss::Disconnected);
-    assert_eq!(world.heard(session).len(), 2, "the new one does not know it");
+    assert_eq!(world.heard(session).len(), 2, "the new one does not know the session");
     assert_eq!(world.dispatcher.streamer_count(), STREAMERS);
 }
 
 #[test]
-fn bad_set_ups_are_refused_and_never_shot() {
+fn unusable_set_ups_are_refused_and_never_sent() {
     let with = |change: fn(&mut SetUp)| {
         let mut set_up = wish("free");
         change(&mut set_up);
@@ -304,9 +309,9 @@
     assert_eq!(world.answered(0), Some(cause::UNUSABLE), "no id");
 }
 
-/// Under the number of an open one no answer could be told from the other's.
+/// Under the session number of an open request the client could not tell the answers apart.
 #[test]
-fn two_set_ups_under_one_number_end_their_connection_and_not_anothers() {
+fn two_set_ups_with_one_session_number_close_their_connection_and_not_another() {
     let mut world = World::new();
     let session = world.ask("free");
     world.dispatcher.on_viewer_connected(world.now, 2);
@@ -316,9 +321,9 @@
     assert_eq!((world.parted.clone(), world.dispatcher.tracked_count()), (vec![VIEWERS], 0));
 }
 
-/// One connection sent the same wish two hundred times, and the module counted each for its tenant.
+/// One connection sent the same request two hundred times, and the module counted each for its tenant.
 #[test]
-fn the_same_again_after_a_turn_back_ends_its_connection() {
+fn the_same_set_up_after_a_rejection_closes_its_connection() {
     let mut world = World::new();
     for at in 0..STREAMERS {
         world.news(entry(at, "terminating"));
@@ -331,21 +336,23 @@
     assert_eq!(world.parted, [VIEWERS]);
 }
 
-/// Hundreds of wishes at once on one connection looked like a crowd of their tenant.
+/// Hundreds of requests at a time on one connection looked like a crowd of their tenant.
 #[test]
-fn a_connection_with_too_many_open_gets_no_more_and_others_do() {
+fn a_connection_with_too_many_open_requests_gets_no_more_and_others_do() {
     let mut world = World::new();
     let asked: Vec<u64> = (0..200).map(|_| world.ask("free")).collect();
-    let shot = asked.iter().filter(|session| world.shots(**session) > 0).count();
-    assert!((1..100).contains(&shot), "{shot} of 200 were shot");
-    assert!(asked.iter().all(|s| world.shots(*s) > 0 || world.answered(*s).is_some_and(World::is_refusal)));
+    let sent = asked.iter().filter(|session| world.shots(**session) > 0).count();
+    assert!((1..100).contains(&sent), "{sent} of 200 were sent to a streamer");
+    assert!(asked
+        .iter()
+        .all(|session| world.shots(*session) > 0 || world.answered(*session).is_some_and(World::is_refusal)));
     world.dispatcher.on_viewer_connected(world.now, 2);
     let other = world.ask_on(2, wish("free"));
     assert_eq!(world.shots(other), 1);
 }
 
 #[test]
-fn what_plays_at_the_start_is_taken_over_once_and_released_when_it_ends() {
+fn a_handed_over_session_is_adopted_once_and_released_when_it_ends() {
     let mut world = World::new();
     let mut handed = wish("free");
     handed.figures.as_mut().expect("some").at = Some("s1".into());
@@ -353,16 +360,17 @@
     world.say(VIEWERS, 7, Body::SetUp(handed.clone()));
     assert_eq!((world.dispatcher.tracked_count(), world.heard(7).len()), (1, 0));
     world.pass(0.2);
-    let link = *world.address.iter().find(|(_, a)| *a == "127.0.0.1:9001").expect("it is linked").0;
+    let link =
+        *world.address.iter().find(|(_, address)| *address == "127.0.0.1:9001").expect("it is dialled").0;
     world.tell_on(link, 7, Body::release(cause::NORMAL));
     assert_eq!((world.dispatcher.tracked_count(), world.heard(7).len()), (0, 1));
     handed.figures.as_mut().expect("some").at = Some("nowhere".into());
     world.say(VIEWERS, 8, Body::SetUp(handed));
-    assert_eq!(world.heard(8).len(), 1, "nobody will ever tell of it");
+    assert_eq!(world.heard(8).len(), 1, "no streamer will ever release it");
 }
 
 #[test]
-fn many_set_ups_at_one_streamer_spread_over_connections_within_the_bound() {
+fn many_set_ups_at_one_streamer_spread_over_connections_within_the_limit() {
     let mut world = World::new();
     for _ in 0..200 {
         world.ask("free");
@@ -370,34 +378,35 @@
     }
     assert!(world.dispatcher.link_count() > STREAMERS && world.dispatcher.link_count() <= 256 / 3);
     world.pass(10.0);
-    assert_eq!(world.dispatcher.tracked_count(), 0, "every one has its answer");
+    assert_eq!(world.dispatcher.tracked_count(), 0, "every request has its answer");
 }
 
-/// New numbers, connections and streamers all day long: what is over leaves nothing behind.
+/// New session numbers, connections and streamers all the time: what is over leaves no state behind.
 #[test]
-fn thousands_of_lives_leave_the_tables_empty() {
+fn thousands_of_sessions_leave_no_state() {
     let mut world = World::new();
     world.dispatcher.on_viewer_gone(world.now, VIEWERS, Departure::Closed);
-    for life in 0..3000u64 {
-        let conn = 1000 + life;
+    for round in 0..3000u64 {
+        let conn = 1000 + round;
         world.dispatcher.on_viewer_connected(world.now, conn);
-        let session = world.ask_on(conn, wish(if life % 2 == 0 { "free" } else { "paid" }));
+        let session = world.ask_on(conn, wish(if round % 2 == 0 { "free" } else { "paid" }));
         if world.shot(session).is_some() {
             world.answer(session);
             world.ends(session, cause::NORMAL);
         }
-        if life % 100 == 99 {
-            let at = (life as usize / 100) % STREAMERS;
-            let named = |state: &str, round: u64| {
+        if round % 100 == 99 {
+            let at = (round as usize / 100) % STREAMERS;
+            let named = |state: &str, generation: u64| {
                 let mut entry = entry(at, state);
-                if round >= STREAMERS as u64 {
-                    entry.id = format!("s{at}-{round}");
+                if generation >= STREAMERS as u64 {
+                    entry.id = format!("s{at}-{generation}");
                 }
                 entry
             };
-            let round = life / 100;
-            let (old, mut new) = (named("terminated", round), named("in_service", round + STREAMERS as u64));
-            new.addr = format!("127.0.0.1:{}", 20_000 + life);
+            let generation = round / 100;
+            let (old, mut new) =
+                (named("terminated", generation), named("in_service", generation + STREAMERS as u64));
+            new.addr = format!("127.0.0.1:{}", 20_000 + round);
             world.learn(&Hosts { full: false, servers: vec![old, new] });
             world.pass(0.1);
         }
@@ -421,7 +430,7 @@
 }
 
 #[test]
-fn after_the_last_call_set_ups_are_turned_back_at_once() {
+fn set_ups_a_while_after_a_stop_are_rejected_at_once() {
     let mut world = World::new();
     world.dispatcher.stop(world.now);
     let early = world.ask("free");
@@ -466,12 +475,13 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// One answer each, in time; a paid one is sent again only where no shot may have run; nothing is kept.
+    /// Each request gets one answer in time. One of an at-most-once class is sent again only if no attempt may have
+    /// run. No state is left.
     #[test]
-    fn one_answer_each_under_any_order(steps in proptest::collection::vec(step(), 1..80)) {
+    fn one_answer_each_under_any_order_of_events(steps in proptest::collection::vec(step(), 1..80)) {
         let mut world = World::new();
         let mut asked: Vec<(u64, bool)> = Vec::new();
-        // Shots that provably never ran.
+        // Attempts that provably never ran.
         let mut settled: std::collections::HashMap<u64, usize> = Default::default();
         let mut given_up: Vec<u64> = Vec::new();
         for step in steps {
@@ -481,16 +491,16 @@
                     let session = world.ask(if paid { "paid" } else { "free" });
                     asked.push((session, paid));
                 }
-                Step::Tell { pick, cause } => if let Some(session) = session(pick).filter(|s| world.shot(*s).is_some()) {
-                    let settles = [cause::FULL, cause::MOOT].contains(&cause) && world.heard(session).is_empty();
+                Step::Tell { pick, cause } => if let Some(session) = session(pick).filter(|session| world.shot(*session).is_some()) {
+                    let never_ran = [cause::FULL, cause::MOOT].contains(&cause) && world.heard(session).is_empty();
                     let settled = settled.entry(session).or_default();
-                    *settled += usize::from(settles && world.shots(session) > *settled);
+                    *settled += usize::from(never_ran && world.shots(session) > *settled);
                     world.ends(session, cause);
                 },
-                Step::Answer { pick } => if let Some(session) = session(pick).filter(|s| world.shot(*s).is_some()) {
+                Step::Answer { pick } => if let Some(session) = session(pick).filter(|session| world.shot(*session).is_some()) {
                     world.answer(session);
                 },
-                Step::GiveUp { pick } => if let Some(session) = session(pick).filter(|s| world.heard(*s).is_empty()) {
+                Step::GiveUp { pick } => if let Some(session) = session(pick).filter(|session| world.heard(*session).is_empty()) {
                     given_up.push(session);
                     world.say(VIEWERS, session, Body::release(cause::NORMAL));
                 },
@@ -513,64 +523,65 @@
             }
         }
         world.pass(3.0);
-        prop_assert_eq!(world.dispatcher.unanswered_count(), 0, "every wish has its answer by its cut-off");
+        prop_assert_eq!(world.dispatcher.unanswered_count(), 0, "every request has its answer by its deadline");
         for (session, paid) in asked {
-            let heard = world.heard(session);
+            let answers = world.heard(session);
             if given_up.contains(&session) {
-                prop_assert!(heard.is_empty());
+                prop_assert!(answers.is_empty());
                 continue;
             }
-            let plays = matches!(heard.first(), Some(Body::Answer { .. }));
-            prop_assert!(heard.len() == 1 || plays && heard.len() == 2, "{:?}", heard);
+            let plays = matches!(answers.first(), Some(Body::Answer { .. }));
+            prop_assert!(answers.len() == 1 || plays && answers.len() == 2, "{:?}", answers);
             if paid {
                 let settled = settled.get(&session).copied().unwrap_or(0);
                 prop_assert!(world.shots(session) <= settled + 1, "sent again though it may have run");
-                let refused = matches!(heard[0], Body::Release { cause, .. } if World::is_refusal(*cause));
-                prop_assert!(!refused || world.shots(session) == settled, "refused though it may have run");
+                let refused = matches!(answers[0], Body::Release { cause, .. } if World::is_refusal(*cause));
+                prop_assert!(!refused || world.shots(session) == settled, "rejected though it may have run");
             }
         }
     }
 }
 
-/// The usual settings with some places replaced.
-fn with(places: &[(&str, Json)]) -> World {
+/// The usual settings with some values replaced.
+fn with(values: &[(&str, Json)]) -> World {
     let mut settings = settings();
-    for (place, value) in places {
-        *settings.pointer_mut(place).expect("it is there") = value.clone();
+    for (pointer, value) in values {
+        *settings.pointer_mut(pointer).expect("it is there") = value.clone();
     }
     World::of(settings)
 }
 
-/// No turn-back is held: it is said in the moment of the decision, with when to come again where that is allowed.
+/// A rejection is not delayed: it is sent at the moment of the decision, with the time to retry after if that is
+/// allowed.
 #[test]
-fn a_turn_back_is_said_at_once_with_when_to_come_again() {
+fn a_rejection_is_sent_at_once_with_the_time_to_retry_after() {
     for allowed in [true, false] {
-        let seats = ("/family_info/class_seats", json!([1, 0]));
-        let mut world = with(&[seats, ("/policy_limits/retry_after", json!(allowed))]);
-        let stay_away = |world: &World, session| match world.heard(session)[..] {
+        let max_sessions = ("/family_info/class_seats", json!([1, 0]));
+        let mut world = with(&[max_sessions, ("/policy_limits/retry_after", json!(allowed))]);
+        let retry_after = |world: &World, session| match world.heard(session)[..] {
             [Body::Release { cause: cause::TURNED_BACK, stay_away_ms, .. }] => *stay_away_ms,
-            ref other => panic!("one turn-back at once, not {other:?}"),
+            ref other => panic!("one rejection at once, not {other:?}"),
         };
-        let due = allowed.then_some(500);
+        let expected = allowed.then_some(500);
         world.playing("free");
-        let no_seat = world.ask("free");
-        assert_eq!((stay_away(&world, no_seat), world.shots(no_seat)), (due, 0));
-        let tries = world.ask_on(VIEWERS, SetUp { title: "other".into(), ..wish("free") });
-        (0..2).for_each(|_| world.ends(tries, cause::FULL));
-        assert_eq!(world.answered(tries), None, "it may have one more");
-        world.ends(tries, cause::FULL);
-        assert_eq!(stay_away(&world, tries), due, "with the last shot");
+        let over_limit = world.ask("free");
+        assert_eq!((retry_after(&world, over_limit), world.shots(over_limit)), (expected, 0));
+        let retried = world.ask_on(VIEWERS, SetUp { title: "other".into(), ..wish("free") });
+        (0..2).for_each(|_| world.ends(retried, cause::FULL));
+        assert_eq!(world.answered(retried), None, "it has one attempt more");
+        world.ends(retried, cause::FULL);
+        assert_eq!(retry_after(&world, retried), expected, "after the last attempt");
         world.dispatcher.stop(world.now);
         world.pass(0.7);
         let late = world.ask("paid");
-        assert_eq!(stay_away(&world, late), due, "what the dispatcher turns back by itself");
+        assert_eq!(retry_after(&world, late), expected, "a rejection by the dispatcher itself");
     }
 }
 
-/// What a moved deployment may bring: live titles whose viewers share a stream, and a list on request, which the
-/// journal service tells all the same.
+/// A moved deployment may have live titles, whose viewers share a stream, and a list on request, whose changes the
+/// journal service sends all the same.
 #[test]
-fn viewers_of_a_live_title_go_to_one_streamer_and_a_list_on_request_is_followed() {
+fn viewers_of_a_live_title_share_one_streamer_and_a_list_on_request_is_followed() {
     let mut world = with(&[
         ("/family_info/live", json!([true, false])),
         ("/family_info/join", json!(0.1)),
@@ -585,12 +596,12 @@
     }
     world.pass(30.0);
     world.news(entry(0, "terminating"));
-    assert_eq!((world.dispatcher.tracked_count(), world.said.len()), (21, 21), "nobody is told anything");
+    assert_eq!((world.dispatcher.tracked_count(), world.said.len()), (21, 21), "no viewer gets a message");
 }
 
-/// Where looks are allowed a wish waited three quarters of a second for looks that the platform has no message for.
+/// With probes allowed, a request waited three quarters of a second for probes that the platform has no message for.
 #[test]
-fn a_wish_does_not_wait_for_looks() {
+fn a_request_does_not_wait_for_probes() {
     let mut world = with(&[("/policy_limits/may_probe", json!(true))]);
     let session = world.ask("free");
     assert_eq!(world.shots(session), 1, "at once");
--- a/crates/lemontide-platform/tests/replies.rs
+++ b/crates/lemontide-platform/tests/replies.rs
@@ -25,25 +25,25 @@
 }
 
 #[test]
-fn a_request_is_overdue_from_its_cut_off_until_its_answer_is_handed_over() {
+fn a_request_is_overdue_from_its_deadline_until_its_answer_is_queued() {
     let replies = Replies::default();
     let now = World::new().now;
-    let heard = replies.register(1, Message { session: 7, body: Body::SetUp(wish("free")) }, now);
-    let reply = heard.reply.expect("a request");
+    let received = replies.register(1, Message { session: 7, body: Body::SetUp(wish("free")) }, now);
+    let reply = received.reply.expect("a request");
     let wait = Span::of(3.0);
     assert!(replies.take_overdue(now).is_empty());
     assert_eq!(replies.take_overdue(now + wait), [(1, 7)]);
-    assert!(replies.take_overdue(now + wait).is_empty(), "it is told once");
+    assert!(replies.take_overdue(now + wait).is_empty(), "it is reported once");
     reply.set_answer_due(now + wait + wait);
     assert!(replies.take_overdue(now + wait).is_empty());
     reply.mark_queued();
-    assert!(replies.take_overdue(now + wait + wait).is_empty(), "its connection has it");
+    assert!(replies.take_overdue(now + wait + wait).is_empty(), "its connection has the answer");
     assert_eq!(replies.open_count(), 1, "it is not written yet");
     reply.answered();
 }
 
 #[test]
-fn a_message_that_asks_for_nothing_is_owed_no_answer() {
+fn a_message_that_is_no_request_is_owed_no_answer() {
     let replies = Replies::default();
     let now = World::new().now;
     for body in [Body::Test, Body::Heard, Body::release(cause::NORMAL)] {
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn what_may_have_run_and_may_not_be_repeated_is_failed_and_not_refused() {
+fn an_at_most_once_request_that_may_have_run_fails_and_is_not_rejected() {
     let mut world = World::new();
     let session = world.ask("paid");
     world.dispatcher.on_input_end(world.now, VIEWERS, InputEnd::Unusable);
@@ -108,13 +108,13 @@
 }
 
 #[test]
-fn what_is_asked_and_not_decided_as_the_input_ends_is_refused() {
+fn an_undecided_request_is_rejected_when_the_input_ends() {
     let mut world = World::new();
     let session = 0xabc;
     world.hears(VIEWERS, Message { session, body: Body::SetUp(wish("paid")) }, world.now);
     world.dispatcher.on_input_end(world.now, VIEWERS, InputEnd::HalfClosed);
     while world.dispatcher.decide_next(world.now) {}
-    // Read before the input ended, and reported after it.
+    // Read before the input ended, and passed to the dispatcher after it.
     let late = 0xabd;
     world.say(VIEWERS, late, Body::SetUp(wish("paid")));
     world.perform();
@@ -122,20 +122,20 @@
     assert_eq!((world.answered(late), world.shots(late)), (Some(cause::TURNED_BACK), 0));
 }
 
-/// A hand-over asks for no answer, so the end of its connection takes nothing from it.
+/// A hand-over is owed no answer, so it stays valid when its connection ends.
 #[test]
-fn what_is_handed_over_on_a_connection_that_closes_is_taken_over() {
+fn a_hand_over_on_a_connection_that_closes_is_adopted() {
     for closes in [true, false] {
         let mut world = World::new();
-        let mut stands = wish("free");
-        let figures = stands.figures.as_mut().expect("there are some");
+        let mut handed_over = wish("free");
+        let figures = handed_over.figures.as_mut().expect("there are some");
         figures.at = Some("s1".to_owned());
-        world.hears(VIEWERS, Message { session: 7, body: Body::SetUp(stands) }, world.now);
+        world.hears(VIEWERS, Message { session: 7, body: Body::SetUp(handed_over) }, world.now);
         match closes {
             true => world.dispatcher.on_viewer_gone(world.now, VIEWERS, Departure::Closed),
             false => world.dispatcher.on_input_end(world.now, VIEWERS, InputEnd::HalfClosed),
         }
         while world.dispatcher.decide_next(world.now) {}
-        assert_eq!(world.dispatcher.tracked_count(), 1, "closed whole: {closes}");
+        assert_eq!(world.dispatcher.tracked_count(), 1, "both halves closed: {closes}");
     }
 }
--- a/crates/lemontide-platform/tests/unread.rs
+++ b/crates/lemontide-platform/tests/unread.rs
@@ -1,4 +1,4 @@
-//! What a viewers' connection hands back where its client closes without reading it.
+//! Messages that a viewer connection returns if its client closes it without reading them.
 
 use lemontide_platform::codec::{cause, Body, Message};
 use lemontide_platform::replies::Replies;
@@ -8,8 +8,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// The writing and the reading half of a connection run in either order, so both are seen among so many.
-const PLAYS: u64 = 40;
+/// Number of connections per test. The writing and the reading half of a connection run in either order, and among this
+/// many both orders occur.
+const CONNECTIONS: u64 = 40;
 
 async fn connected() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
@@ -27,45 +28,47 @@
     }
 }
 
-/// All sessions whose releases come back until the connection is over.
-async fn handed_back(mut reports: mpsc::Receiver<Report>) -> Vec<u64> {
-    let mut back = Vec::new();
+/// The sessions whose releases are returned until the connection is over.
+async fn returned_sessions(mut reports: mpsc::Receiver<Report>) -> Vec<u64> {
+    let mut returned = Vec::new();
     while let Some(report) = reports.recv().await {
         match report {
             Report::Received(_) | Report::InputOver { .. } => {}
-            Report::Gone { unsaid, .. } => back.extend(unsaid.iter().map(|said| said.message.session)),
-            Report::Unread { unread } => back.extend(unread.iter().map(|said| said.message.session)),
+            Report::Gone { unsaid, .. } => {
+                returned.extend(unsaid.iter().map(|unsent| unsent.message.session))
+            }
+            Report::Unread { unread } => returned.extend(unread.iter().map(|unsent| unsent.message.session)),
         }
     }
-    back
+    returned
 }
 
 #[tokio::test]
-async fn a_release_to_a_client_that_has_closed_comes_back() {
-    for session in 1..=PLAYS {
+async fn a_release_to_a_client_that_has_closed_is_returned() {
+    for session in 1..=CONNECTIONS {
         let (ours, theirs) = connected().await;
-        let (commands, said) = mpsc::channel(4);
+        let (commands, receiver) = mpsc::channel(4);
         let (reports, reported) = mpsc::channel(4);
         drop(theirs);
-        commands.send(Command::Say(Box::new(release(session)))).await.expect("it takes it");
-        tokio::spawn(run(Clock::start(), 1, ours, said, reports, Replies::default()));
-        assert_eq!(handed_back(reported).await, [session]);
+        commands.send(Command::Say(Box::new(release(session)))).await.expect("the connection takes it");
+        tokio::spawn(run(Clock::start(), 1, ours, receiver, reports, Replies::default()));
+        assert_eq!(returned_sessions(reported).await, [session]);
     }
 }
 
 #[tokio::test]
-async fn a_release_that_was_read_does_not_come_back() {
+async fn a_release_that_was_read_is_not_returned() {
     use tokio::io::AsyncReadExt;
-    for session in 1..=PLAYS {
+    for session in 1..=CONNECTIONS {
         let (ours, mut theirs) = connected().await;
-        let (commands, said) = mpsc::channel(4);
+        let (commands, receiver) = mpsc::channel(4);
         let (reports, reported) = mpsc::channel(4);
-        tokio::spawn(run(Clock::start(), 1, ours, said, reports, Replies::default()));
-        commands.send(Command::Say(Box::new(release(session)))).await.expect("it takes it");
-        let mut heard = [0; 64];
-        let read = tokio::time::timeout(Duration::from_secs(1), theirs.read(&mut heard)).await;
+        tokio::spawn(run(Clock::start(), 1, ours, receiver, reports, Replies::default()));
+        commands.send(Command::Say(Box::new(release(session)))).await.expect("the connection takes it");
+        let mut buffer = [0; 64];
+        let read = tokio::time::timeout(Duration::from_secs(1), theirs.read(&mut buffer)).await;
         assert!(read.expect("in time").expect("read") > 0);
         drop(theirs);
-        assert_eq!(handed_back(reported).await, [0; 0]);
+        assert_eq!(returned_sessions(reported).await, [0; 0]);
     }
 }
