--- a/crates/lemontide-platform/src/dispatcher.rs
+++ b/crates/lemontide-platform/src/dispatcher.rs
@@ -51,9 +51,13 @@
 pub struct DispatcherSettings {
     /// Name of each class, and the longest time that its requests may wait for an answer.
     pub classes: Vec<(String, Span)>,
+    /// Names of the tenants that can set up sessions; any name can if it is empty.
     pub tenants: Vec<String>,
+    /// Number of cells of the fleet.
     pub cells: usize,
+    /// Number of rungs of the ladder.
     pub rungs: usize,
+    /// Time after which a dial has failed, and within which a set-up must begin to be written.
     pub dial_timeout: Span,
     /// Maximum number of set-ups that wait or are out on one connection to a streamer.
     pub max_set_ups_per_link: usize,
@@ -68,6 +72,7 @@
 /// Work for the caller.
 #[derive(Debug)]
 pub enum Effect {
+    /// Send a message on a viewer connection.
     SendToViewer {
         conn: u64,
         message: Message,
@@ -87,10 +92,12 @@
     Drain {
         conn: u64,
     },
+    /// Dial a streamer.
     Dial {
         on: Connection,
         address: String,
     },
+    /// Write a batch of messages to a streamer.
     Write {
         on: Connection,
         messages: Vec<Queued<OutboundMessage>>,
@@ -129,6 +136,7 @@
 /// Why this end closes a connection to a streamer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseReason {
+    /// Nothing needed it for `max_idle`.
     Idle,
     /// Nothing was received on it for too long, or a message stayed unwritten.
     Silent,
@@ -136,8 +144,11 @@
     Unanswered,
     /// Too many messages wait to be written.
     QueueFull,
+    /// The list has another address for the streamer.
     AddressChanged,
+    /// The streamer is gone from the list, and nothing of it is left here.
     StreamerGone,
+    /// Another connection needs its descriptor.
     MakesRoom,
 }
 
@@ -372,10 +383,12 @@
     /// Number of the last test that was sent to a streamer.
     last_test: u64,
     replies: Replies,
+    /// Work for the caller, in order.
     pub effects: Vec<Effect>,
 }
 
 impl Dispatcher {
+    /// Creates a dispatcher without streamers and connections. `seed` seeds the module and the redial delays.
     pub fn new(
         now: Point,
         seed: u64,
@@ -443,10 +456,12 @@
         &self.replies
     }
 
+    /// Number of links to streamers.
     pub fn link_count(&self) -> usize {
         self.links.len()
     }
 
+    /// Number of known streamers.
     pub fn streamer_count(&self) -> usize {
         self.streamers.len()
     }
--- a/crates/lemontide-platform/src/dispatcher/attempts.rs
+++ b/crates/lemontide-platform/src/dispatcher/attempts.rs
@@ -78,6 +78,7 @@
         AttemptOutcome::Cancelled
     }
 
+    /// Stops tracking a request or session. Its number is remembered if a streamer may know it.
     pub(super) fn remove(&mut self, now: Point, id: u32) -> Option<TrackedSession> {
         let tracked = self.sessions.remove(&id)?;
         self.id_by_session.remove(&tracked.session);
@@ -92,6 +93,7 @@
         Some(tracked)
     }
 
+    /// The attempt of a request is answered: its session plays, and its viewer gets the answer.
     pub(super) fn on_attempt_answered(&mut self, now: Point, id: u32, description: Bytes, load: Load) {
         let Some(tracked) = self.sessions.get_mut(&id) else { return };
         tracked.begun_at = tracked.attempt.as_ref().and_then(|attempt| attempt.permit.begun_at());
@@ -408,6 +410,7 @@
         }
     }
 
+    /// Sets the rung of a session, and sends it to the streamer if the session plays.
     pub(super) fn set_rung(&mut self, now: Point, id: u32, rung: usize) {
         let Some(tracked) = self.sessions.get_mut(&id) else { return };
         tracked.rung = rung;
@@ -428,6 +431,7 @@
         }
     }
 
+    /// Starts an attempt, or ends it at once if it can't be sent.
     pub(super) fn start_attempt(&mut self, now: Point, new_attempt: &NewAttempt) {
         let id = new_attempt.session;
         let Some((streamer, known)) = self.streamers.get_key_value(&*new_attempt.streamer) else {
--- a/crates/lemontide-platform/src/dispatcher/connections.rs
+++ b/crates/lemontide-platform/src/dispatcher/connections.rs
@@ -91,6 +91,7 @@
         test
     }
 
+    /// Whether this connection is the current one of its link, and up or being dialled.
     pub(super) fn is_current(&self, on: Connection) -> bool {
         let link = self.links.get(&on.link).map(|streamer_link| &streamer_link.link);
         link.is_some_and(|link| link.dial == on.dial && (link.is_up() || link.is_dialling()))
@@ -333,6 +334,7 @@
         self.apply_actions(now);
     }
 
+    /// Checks all links: dials, tests and closes connections as needed. `gap` is the time since the last check.
     pub(super) fn check_links(&mut self, now: Point, gap: Span) {
         // A streamer needs a link if a session plays or an attempt is out there. New attempts and releases dial by
         // themselves.
@@ -387,6 +389,7 @@
         }
     }
 
+    /// Adds a link to a streamer and dials it, within the limit on connections; the first link is always added.
     pub(super) fn add_link(&mut self, now: Point, streamer: &Arc<str>) {
         let Some(known) = self.streamers.get_mut(streamer) else { return };
         if self.links.len() >= self.settings.max_connections && !known.link_ids.is_empty() {
@@ -404,6 +407,7 @@
         self.dial(now, self.last_link);
     }
 
+    /// Dials the streamer of a link. If descriptors are short, a spare connection is closed first.
     pub(super) fn dial(&mut self, now: Point, link: u64) {
         if !self.can_dial() {
             self.close_spare_connection(now);
--- a/crates/lemontide-platform/src/dispatcher/ended.rs
+++ b/crates/lemontide-platform/src/dispatcher/ended.rs
@@ -17,6 +17,7 @@
 }
 
 impl EndedSessions {
+    /// Remembers a session that ended now.
     pub(super) fn insert(&mut self, now: Point, session: u64) {
         if !self.sessions.insert(session) {
             return;
@@ -27,6 +28,7 @@
         }
     }
 
+    /// Whether a session is remembered.
     pub(super) fn contains(&self, session: u64) -> bool {
         self.sessions.contains(&session)
     }
--- a/crates/lemontide-platform/src/dispatcher/list.rs
+++ b/crates/lemontide-platform/src/dispatcher/list.rs
@@ -32,6 +32,7 @@
         self.apply_actions(now);
     }
 
+    /// Applies the new entry of one streamer.
     pub(super) fn update_entry(&mut self, now: Point, entry: &Entry) {
         let Some(known) = self.streamers.get_mut(&*entry.id) else {
             if entry.stage() != StreamerState::Gone {
--- a/crates/lemontide-platform/src/dispatcher/viewers.rs
+++ b/crates/lemontide-platform/src/dispatcher/viewers.rs
@@ -11,9 +11,11 @@
 const REJECTED_SESSIONS_KEPT: usize = 32;
 /// How long set-ups are accepted as usual after SIGTERM; later ones are rejected.
 const STOP_GRACE: Span = Span::of_millis(600);
+/// Maximum number of releases to viewers that wait for a connection; further ones are dropped.
 const MAX_UNSENT_RELEASES: usize = 4096;
 
 impl Dispatcher {
+    /// A viewer connection is open.
     pub fn on_viewer_connected(&mut self, now: Point, conn: u64) {
         let connection = ViewerConnection {
             unanswered: 0,
--- a/crates/lemontide-platform/src/permit.rs
+++ b/crates/lemontide-platform/src/permit.rs
@@ -22,6 +22,7 @@
 }
 
 impl Permit {
+    /// A permit under which nothing has begun.
     pub fn new() -> Permit {
         Permit::default()
     }
@@ -53,6 +54,7 @@
         let _ = self.0.state.compare_exchange(BEGUN, OPEN, Ordering::AcqRel, Ordering::Acquire);
     }
 
+    /// Whether it has begun.
     pub fn has_begun(&self) -> bool {
         self.0.state.load(Ordering::Acquire) == BEGUN
     }
--- a/crates/lemontide-platform/src/replies.rs
+++ b/crates/lemontide-platform/src/replies.rs
@@ -54,6 +54,7 @@
 /// A message that was read on a client's connection.
 #[derive(Debug)]
 pub struct ReceivedMessage {
+    /// The connection that it was read on.
     pub conn: u64,
     pub message: Message,
     /// When its last byte was read.
@@ -171,6 +172,7 @@
         self.with_open(|request| request.conn)
     }
 
+    /// The session number of the request.
     pub fn session(&self) -> u64 {
         self.with_open(|request| request.session)
     }
--- a/crates/lemontide-platform/src/steps.rs
+++ b/crates/lemontide-platform/src/steps.rs
@@ -6,8 +6,11 @@
 /// How a request ended. The names are values of the log field `outcome`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// Its session plays.
     Plays,
+    /// It was rejected: to repeat it is harmless.
     Rejected,
+    /// It failed.
     Failed,
     /// Its viewer cancelled it or closed its connection: no answer is owed.
     ViewerLeft,
@@ -16,9 +19,13 @@
 /// The steps of one request. A step that was not reached has no time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Steps {
+    /// Session number of the request.
     pub session: u64,
+    /// The viewer connection that it was read on.
     pub conn: u64,
+    /// How it ended.
     pub outcome: Outcome,
+    /// Number of attempts that were decided for it.
     pub attempts: u32,
     /// How long its viewer waits, in milliseconds.
     pub wait_ms: u64,
