--- a/crates/lemontide-platform/src/dispatcher.rs
+++ b/crates/lemontide-platform/src/dispatcher.rs
@@ -84,31 +84,17 @@
         steps: Option<Box<Steps>>,
     },
     /// Close a viewer connection on which no answer is owed, unless more than `messages_read` messages were read on it.
-    CloseIfIdle {
-        conn: u64,
-        messages_read: u64,
-    },
+    CloseIfIdle { conn: u64, messages_read: u64 },
     /// Read nothing more on a viewer connection, and close it once no answer is owed on it.
-    Drain {
-        conn: u64,
-    },
+    Drain { conn: u64 },
     /// Dial a streamer.
-    Dial {
-        on: Connection,
-        address: String,
-    },
+    Dial { on: Connection, address: String },
     /// Write a batch of messages to a streamer.
-    Write {
-        on: Connection,
-        messages: Vec<Queued<OutboundMessage>>,
-    },
+    Write { on: Connection, messages: Vec<Queued<OutboundMessage>> },
     /// Close a connection to a streamer. With `awaits_close`, only this end's half is closed at first, and the
     /// streamer's own close is awaited for a while: after it the streamer reads nothing more of that connection, and
     /// has given up the set-ups on it that had not finished.
-    Close {
-        on: Connection,
-        awaits_close: bool,
-    },
+    Close { on: Connection, awaits_close: bool },
 }
 
 /// How a connection or a dial ended.
