--- a/crates/lemontide-platform/tests/crossings.rs
+++ b/crates/lemontide-platform/tests/crossings.rs
@@ -378,11 +378,11 @@
 
 /// A world with one streamer, at which a request's first attempt got no answer and its second one is out: the session,
 /// and the link of the second attempt.
-fn with_a_second_attempt_at_the_same_streamer(lane: &str) -> (World, u64, u64) {
+fn with_a_second_attempt_at_the_same_streamer(class: &str) -> (World, u64, u64) {
     let mut world = World::new();
     let others = (1..STREAMERS).map(|at| entry(at, "terminating")).collect();
     world.learn(&Hosts { full: false, servers: others });
-    let session = world.ask(lane);
+    let session = world.ask(class);
     world.pass(0.5);
     assert_eq!(order_of(&world, session), [true, false, true], "the release of the first is read");
     let (link, _) = world.shot(session).expect("it was sent");
