--- a/crates/lemontide-platform/src/dispatcher.rs
+++ b/crates/lemontide-platform/src/dispatcher.rs
@@ -1,7 +1,8 @@
-//! The dispatcher: what happens on the platform's sockets becomes calls on the decision module, and what the module
-//! decides becomes messages. It owns the subscriptions in hand, their shots, which link a shot was written to, and
-//! the duty of one answer. No sockets, no files, no clock: time comes from outside, what has to be done is left in
-//! `effects`. It tells the module the truth of every shot by the table in `docs/design/controller.md`.
+//! The dispatcher, the core of the event loop without I/O. It turns events on the platform's sockets into calls on the
+//! decision module (`Controller`), and the decisions of the module into messages. It owns the tracked sessions, their
+//! attempts, the connection that each attempt was written to, and the duty to answer each request exactly once. It uses
+//! no sockets, files or clock: the time is an argument, and the work for the caller is left in `effects`. It reports
+//! the outcome of each attempt to the module by the table in `docs/design/controller.md`.
 
 mod attempts;
 mod connections;
@@ -15,7 +16,7 @@
 use crate::codec::{cause, Body, Message, Note, SetUp};
 use crate::config::{Entry, Hosts};
 use crate::permit::Permit;
-use crate::replies::{Departure, Heard, PendingReply, Replies};
+use crate::replies::{Departure, PendingReply, ReceivedMessage, Replies};
 use crate::steps::{Outcome, Steps};
 use crate::viewers::Outgoing;
 use bytes::Bytes;
@@ -30,256 +31,268 @@
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
+use std::fmt;
 use std::sync::Arc;
 
-/// Kept back of a viewer's time, so that the final answer is there before the viewer goes.
+/// Subtracted from the time that a viewer waits, so that the final answer arrives before the viewer gives up.
 const ANSWER_MARGIN: Span = Span::of_millis(40);
-/// The links are looked after this often.
-const LINK_BEAT: Span = Span::of_millis(100);
-/// A release that no connection could take is kept for so long.
-const OWED_FOR: Span = Span::of_millis(8000);
-/// An attempt that was never proven over is remembered for so long after its request.
-const UNPROVEN_FOR: Span = Span::of_millis(8000);
-/// Ends of what nobody has handed over yet that are remembered, releases that wait for a streamer, and attempts that
-/// are not proven over, at most of each.
-const OVER_MOST: usize = 1024;
-
-/// What the platform states and the dispatcher itself needs; the rest is the module's, in the sheet.
+/// Interval between checks of all links to streamers.
+const LINK_CHECK_INTERVAL: Span = Span::of_millis(100);
+/// How long a release is kept that no connection could take or that its streamer is not known to have read.
+const RELEASE_RETENTION: Span = Span::of_millis(8000);
+/// How long an attempt that was not proven over is remembered after its request ended.
+const UNPROVEN_RETENTION: Span = Span::of_millis(8000);
+/// Maximum number of entries of each of these: ends of sessions that were not handed over yet, releases that a streamer
+/// is not known to have read, and attempts that are not proven over.
+const MAX_REMEMBERED: usize = 1024;
+
+/// The settings that the dispatcher itself needs. The module has its own, in `ControllerSettings`.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
-    /// Name and cut-off of each lane.
-    pub lanes: Vec<(String, Span)>,
+pub struct DispatcherSettings {
+    /// Name of each class, and the longest time that its requests may wait for an answer.
+    pub classes: Vec<(String, Span)>,
+    /// Names of the tenants that can set up sessions; any name can if it is empty.
     pub tenants: Vec<String>,
+    /// Number of cells of the fleet.
     pub cells: usize,
+    /// Number of rungs of the ladder.
     pub rungs: usize,
+    /// Time after which a dial has failed, and within which a set-up must begin to be written.
     pub dial_timeout: Span,
-    /// Set-ups that one connection to a streamer carries at a time.
-    pub set_ups_a_link: usize,
-    /// Connections to all streamers together.
-    pub links_most: usize,
-    /// A connection that nothing needs is closed after so long.
-    pub idle_most: Span,
-    /// Subscriptions and wishes in hand at most.
-    pub held_most: usize,
+    /// Maximum number of set-ups that wait or are out on one connection to a streamer.
+    pub max_set_ups_per_link: usize,
+    /// Maximum number of connections to all streamers together.
+    pub max_connections: usize,
+    /// A connection to a streamer that nothing needs is closed after this time.
+    pub max_idle: Span,
+    /// Maximum number of tracked requests and sessions.
+    pub max_tracked: usize,
 }
 
-/// Something that has to be done.
+/// Work for the caller.
 #[derive(Debug)]
 pub enum Effect {
-    Say {
+    /// Send a message on a viewer connection.
+    SendToViewer {
         conn: u64,
         message: Message,
-        /// It ends what stood: any viewers' connection may carry it.
-        stood: bool,
-        /// Where it is the final answer of a request.
+        /// It releases an established session: any viewer connection can carry it.
+        ends_session: bool,
+        /// Set if it is the final answer of a request.
         reply: Option<PendingReply>,
-        /// Of the request that it answers, where they are logged.
+        /// The steps of the request that it answers, if they are logged.
         steps: Option<Box<Steps>>,
     },
-    /// Close a viewers' connection on which nothing is open, unless more than so many messages came on it.
-    Retire {
-        conn: u64,
-        heard: u64,
-    },
-    /// Read nothing more on a viewers' connection, and close it once nothing on it is owed an answer.
-    Drain {
-        conn: u64,
-    },
-    Dial {
-        on: Connection,
-        address: String,
-    },
-    Write {
-        on: Connection,
-        orders: Vec<Queued<Order>>,
-    },
-    /// Close a connection to a streamer. Where `awaits_close`, only this end's half of it at first, and the streamer's
-    /// own close is awaited for a while: it proves what was out there over.
-    Hang {
-        on: Connection,
-        awaits_close: bool,
-    },
+    /// Close a viewer connection on which no answer is owed, unless more than `messages_read` messages were read on it.
+    CloseIfIdle { conn: u64, messages_read: u64 },
+    /// Read nothing more on a viewer connection, and close it once no answer is owed on it.
+    Drain { conn: u64 },
+    /// Dial a streamer.
+    Dial { on: Connection, address: String },
+    /// Write a batch of messages to a streamer.
+    Write { on: Connection, messages: Vec<Queued<OutboundMessage>> },
+    /// Close a connection to a streamer. With `awaits_close`, only this end's half is closed at first, and the
+    /// streamer's own close is awaited for a while: after it the streamer reads nothing more of that connection, and
+    /// has given up the set-ups on it that had not finished.
+    Close { on: Connection, awaits_close: bool },
 }
 
 /// How a connection or a dial ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Loss {
-    /// Nobody listens there: proof that the process is gone.
+pub enum ConnectionLoss {
+    /// The dial was refused: no process listens at the address, which proves that the streamer's process is gone.
     Refused,
-    /// The dial did not come through in time.
-    Dark,
-    /// It was up and broke, or could not be read any more.
-    Broke,
+    /// The dial timed out or failed in another way.
+    DialFailed,
+    /// The connection was up and broke, could not be read any more, or was closed by this end.
+    Disconnected,
+}
+
+/// The value of the log field `loss`, which keeps its first names.
+impl fmt::Display for ConnectionLoss {
+    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+        to.write_str(match self {
+            ConnectionLoss::Refused => "Refused",
+            ConnectionLoss::DialFailed => "Dark",
+            ConnectionLoss::Disconnected => "Broke",
+        })
+    }
 }
 
 /// Why this end closes a connection to a streamer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseReason {
+    /// Nothing needed it for `max_idle`.
     Idle,
-    /// Nothing was heard on it for too long, or an order stayed unwritten.
+    /// Nothing was received on it for too long, or a message stayed unwritten.
     Silent,
-    /// A set-up got no answer on it, and then nothing else came.
+    /// A set-up got no answer on it, and nothing else was received within the test timeout.
     Unanswered,
-    /// Too many orders wait for it.
+    /// Too many messages wait to be written.
     QueueFull,
+    /// The list has another address for the streamer.
     AddressChanged,
+    /// The streamer is gone from the list, and nothing of it is left here.
     StreamerGone,
+    /// Another connection needs its descriptor.
     MakesRoom,
 }
 
-/// An attempt that is out.
+/// An attempt whose outcome is not known.
 struct Attempt {
     number: u32,
-    /// The connection that carries it; none has these numbers before it is on one.
+    /// The connection that carries it. Link and dial are 0 until it has one; no connection has these numbers.
     on: Connection,
     deadline: Point,
     not_after: Point,
-    /// From the moment in which it begins it may have run.
+    /// Decides whether it may begin to be written. From the moment in which it begins it may have run.
     permit: Permit,
-    /// No earlier attempt of its request began at its streamer.
+    /// No earlier attempt of its request may have set up a session at its streamer.
     is_first: bool,
-    /// It is given up, and the next attempt waits for a proof that it is over.
+    /// Set once it is given up: the next attempt waits for a proof that this one is over.
     given_up: Option<GivenUp>,
 }
 
-/// An attempt whose request is over and that may still be out: nothing may be begun under its session.
-struct Unproven {
+/// An attempt whose request is over and that may still run: no other may begin under its session.
+struct UnprovenAttempt {
     session: u64,
     attempt: GivenUp,
     until: Point,
 }
 
-/// A message for a streamer. One with a permit is written only where that may still begin.
+/// A message for a streamer. One with a permit is written only if the permit lets it begin.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
+pub struct OutboundMessage {
     pub message: Message,
     pub permit: Option<Permit>,
 }
 
-/// What a viewer asks for and nobody has decided yet.
-struct Asked {
+/// A set-up of a viewer that is not decided yet.
+struct UndecidedSetUp {
     conn: u64,
     session: u64,
     body: Body,
-    /// When it was read, and how long it may have waited unread.
-    read: Point,
-    late: Span,
-    /// Where an answer is owed.
+    /// When it was read, and how long it may have waited unread before.
+    read_at: Point,
+    read_delay: Span,
+    /// Set if it is owed an answer, which a hand-over is not.
     reply: Option<PendingReply>,
 }
 
-/// A wish or subscription in hand.
-struct Held {
+/// A request that is not answered finally yet, or a session that plays.
+struct TrackedSession {
     session: u64,
     handle: SessionHandle,
     conn: u64,
-    /// Until it is answered.
+    /// Set until the request is answered.
     reply: Option<PendingReply>,
-    /// What is passed on with a shot; given up once it plays.
+    /// What is passed on with each attempt. Its description is dropped once the session plays.
     set_up: SetUp,
-    at: Arc<str>,
-    /// Until when it may be sent.
-    until: Point,
+    streamer: Arc<str>,
+    /// The deadline of the request.
+    deadline: Point,
     rung: usize,
-    shots: u32,
-    read: Point,
-    decided: Option<Point>,
+    attempt_count: u32,
+    read_at: Point,
+    decided_at: Option<Point>,
     /// When its last attempt began.
-    begun: Option<Point>,
+    begun_at: Option<Point>,
     attempt: Option<Attempt>,
-    /// Streamers that may have set it up in an earlier attempt, and may still release that.
-    attempted_at: Vec<Arc<str>>,
-    /// Since when it plays.
-    playing: Option<Point>,
-    /// The connection that carries what is said of it to its streamer while it plays: order holds within one only.
-    carrier: Option<Connection>,
+    /// Streamers at which an earlier attempt may have set up a session, which they may still release.
+    previous_streamers: Vec<Arc<str>>,
+    /// Since when the session plays.
+    playing_since: Option<Point>,
+    /// The connection that carries the messages about the session to its streamer while it plays: messages keep their
+    /// order only within one connection.
+    control_connection: Option<Connection>,
 }
 
-impl Held {
-    /// A request or session of this connection and number, read then and to be sent on until then.
+impl TrackedSession {
+    /// A request or session with this connection and session number, when it was read, and its deadline.
     fn new(
         (conn, session): (u64, u64),
         handle: SessionHandle,
         reply: Option<PendingReply>,
         set_up: SetUp,
-        (read, until): (Point, Point),
-    ) -> Held {
-        Held {
+        (read_at, deadline): (Point, Point),
+    ) -> TrackedSession {
+        TrackedSession {
             session,
             handle,
             conn,
             reply,
             set_up,
-            at: "".into(),
-            until,
+            streamer: "".into(),
+            deadline,
             rung: 0,
-            shots: 0,
-            read,
-            decided: None,
-            begun: None,
+            attempt_count: 0,
+            read_at,
+            decided_at: None,
+            begun_at: None,
             attempt: None,
-            attempted_at: Vec::new(),
-            playing: None,
-            carrier: None,
+            previous_streamers: Vec::new(),
+            playing_since: None,
+            control_connection: None,
         }
     }
 
-    /// Whether what a streamer says of this session can concern no earlier attempt.
-    fn is_first_at(&self, at: &Arc<str>) -> bool {
-        !self.attempted_at.contains(at)
+    /// Whether a message of the streamer about this session can't concern an earlier attempt.
+    fn is_first_attempt_at(&self, streamer: &Arc<str>) -> bool {
+        !self.previous_streamers.contains(streamer)
     }
 
-    /// Whether a streamer may know of this session.
+    /// Whether a streamer may know this session.
     fn has_begun(&self) -> bool {
         let is_out = self.attempt.as_ref().is_some_and(|attempt| attempt.permit.has_begun());
-        is_out || self.begun.is_some() || self.playing.is_some()
+        is_out || self.begun_at.is_some() || self.playing_since.is_some()
     }
 }
 
-struct Known {
+struct KnownStreamer {
     entry: Entry,
-    links: Vec<u64>,
+    link_ids: Vec<u64>,
     /// Since when no connection to it comes up.
-    dark: Option<Point>,
+    unreachable_since: Option<Point>,
 }
 
-/// One connection to a streamer.
-struct Wire {
-    at: Arc<str>,
-    link: Link<Order>,
+/// A link to a streamer, with one connection at a time.
+struct StreamerLink {
+    streamer: Arc<str>,
+    link: Link<OutboundMessage>,
     /// Set-ups that wait on it or are out on it.
-    open: usize,
-    /// A set-up got no answer on it: it must say something until then.
-    suspect: Option<Point>,
+    pending_set_ups: usize,
+    /// Set if a set-up got no answer on it: it is closed if nothing is received on it until then.
+    suspect_until: Option<Point>,
 }
 
-/// How something ended that this controller did not hold.
+/// How a session ended that this controller did not track.
 #[derive(Clone, Copy)]
-enum Over {
-    /// Its streamer said so.
-    AtStreamer(u8),
+enum UntrackedEnd {
+    /// Its streamer released it, with this cause.
+    ByStreamer(u8),
     /// Its viewer ended it.
     ByViewer,
 }
 
-/// A release that a streamer must get.
-struct End {
-    at: Arc<str>,
+/// A release that a streamer has to read.
+struct PendingRelease {
+    streamer: Arc<str>,
     session: u64,
     until: Point,
-    sent: Option<SentEnd>,
-    /// A connection is dialled for it where none is up: it is known that something stands.
-    may_dial: bool,
+    sent: Option<SentRelease>,
+    /// Whether a connection is dialled for it if none is up, as the session is known to be established.
+    dials_if_needed: bool,
 }
 
-/// A release that is on its way to a streamer.
-struct SentEnd {
+/// The last sending of a release to a streamer.
+struct SentRelease {
     on: Connection,
-    /// Number of the last test before it on its connection: the streamer has read it once it passes a later one.
+    /// Number of the last test that was sent before it. Once the streamer passes a later test on the same connection,
+    /// it has read the release.
     after_test: u64,
 }
 
-impl End {
+impl PendingRelease {
     /// Whether evidence from a connection proves that the streamer has read it.
     fn is_read(&self, on: Connection, session: Option<u64>, evidence: Evidence) -> bool {
         let Some(sent) = self.sent.as_ref().filter(|sent| sent.on == on) else { return false };
@@ -288,102 +301,110 @@
             Evidence::EndAcknowledged | Evidence::SetUpRefused | Evidence::Released => {
                 session == Some(self.session)
             }
-            // What stands belongs to no connection, and stands on.
+            // An established session belongs to no connection and outlives it.
             Evidence::ClosedByStreamer | Evidence::Refused => false,
         }
     }
 }
 
-/// A viewers' connection.
-struct Conn {
-    /// Set-ups on it that are owed an answer.
-    open: usize,
-    /// What was asked on it and is not decided.
-    asked: usize,
-    /// A subscription was set up on it.
-    good: bool,
-    said: Point,
-    /// Messages heard on it.
-    heard: u64,
-    /// It was asked to close, and has not said anything since.
-    retiring: bool,
-    /// Nothing more is read on it, and nothing more is begun for it; what is owed on it is still answered.
+/// A connection from viewers.
+struct ViewerConnection {
+    /// Requests on it that are decided and owed an answer.
+    unanswered: usize,
+    /// Set-ups that were read on it and are not decided.
+    undecided: usize,
+    /// Whether a session was set up on it.
+    has_set_up: bool,
+    last_message_at: Point,
+    /// Number of messages read on it.
+    messages_read: u64,
+    /// It was asked to close if it is idle, and nothing was read on it since.
+    closes_if_idle: bool,
+    /// Nothing more is read on it, and no new request of it is started; the requests on it are still answered.
     is_draining: bool,
-    /// The last set-ups that were turned away on it.
-    turned_away: VecDeque<u64>,
+    /// Session numbers of the last set-ups that were rejected or failed on it.
+    rejected_sessions: VecDeque<u64>,
 }
 
-impl Conn {
-    /// Whether nothing that came on it is owed an answer.
+impl ViewerConnection {
+    /// Whether no answer is owed on it and nothing is undecided.
     fn is_idle(&self) -> bool {
-        self.open == 0 && self.asked == 0
+        self.unanswered == 0 && self.undecided == 0
     }
 }
 
-/// Decides and remembers for all connections of one process.
+/// The requests, sessions and connections of one process.
 pub struct Dispatcher {
-    module: Controller,
-    terms: Terms,
-    known: BTreeMap<Arc<str>, Known>,
-    wires: BTreeMap<u64, Wire>,
+    controller: Controller,
+    settings: DispatcherSettings,
+    streamers: BTreeMap<Arc<str>, KnownStreamer>,
+    links: BTreeMap<u64, StreamerLink>,
     /// Ordered, so that the same events give the same effects.
-    held: BTreeMap<u32, Held>,
-    by_session: HashMap<u64, u32>,
-    conns: BTreeMap<u64, Conn>,
-    due: BinaryHeap<Reverse<(Point, u32, u32)>>,
-    /// Releases that no connection could take yet.
-    owed: VecDeque<(Point, Message)>,
-    wake: Option<Point>,
-    looked_after: Point,
-    chance: StdRng,
-    next_id: u32,
-    next_link: u64,
-    stops: Option<Point>,
-    /// How long this process stood still before what it hears now.
-    late: Span,
-    /// Heard in this turn and not decided, in order.
-    asked: VecDeque<Asked>,
-    /// Ends of what stood that were heard before anybody handed it over, by their session.
-    over: VecDeque<(u64, Over)>,
-    /// Releases for streamers that are not known to be read.
-    ends: VecDeque<End>,
-    unproven: VecDeque<Unproven>,
-    /// Sessions under which an attempt began, and which are not in hand any more.
+    sessions: BTreeMap<u32, TrackedSession>,
+    id_by_session: HashMap<u64, u32>,
+    viewer_connections: BTreeMap<u64, ViewerConnection>,
+    timers: BinaryHeap<Reverse<(Point, u32, u32)>>,
+    /// Releases to viewers that no connection could take yet, each with its end of retention.
+    unsent_releases: VecDeque<(Point, Message)>,
+    next_tick_at: Option<Point>,
+    links_checked_at: Point,
+    random: StdRng,
+    last_id: u32,
+    last_link: u64,
+    stopping_since: Option<Point>,
+    /// How long this process did not run before the messages that are being handled.
+    read_delay: Span,
+    /// Set-ups that were read and are not decided, in order.
+    undecided: VecDeque<UndecidedSetUp>,
+    /// Ends of sessions that arrived before their hand-over.
+    untracked_ends: VecDeque<(u64, UntrackedEnd)>,
+    /// Releases that their streamer is not known to have read.
+    pending_releases: VecDeque<PendingRelease>,
+    unproven: VecDeque<UnprovenAttempt>,
+    /// Sessions under which an attempt began and which are not tracked any more.
     ended: EndedSessions,
-    /// Connections that this end has done with, whose streamer's close is awaited, with that streamer. They hold a
-    /// descriptor, and what is said on them is still heard.
+    /// Connections that this end does not use any more and whose close by the streamer is awaited, with that streamer.
+    /// They hold a descriptor, and messages on them are still handled.
     closing: BTreeMap<Connection, Arc<str>>,
     /// Number of the last test that was sent to a streamer.
     last_test: u64,
     replies: Replies,
+    /// Work for the caller, in order.
     pub effects: Vec<Effect>,
 }
 
 impl Dispatcher {
-    pub fn start(now: Point, seed: u64, sheet: &ControllerSettings, terms: Terms) -> Dispatcher {
-        // No message here brings what a look would. Guards against wishes that wait for looks that never come back.
-        let mut sheet = sheet.clone();
-        sheet.insert("looks.allowed".to_owned(), SettingValue::Flag(false));
+    /// Creates a dispatcher without streamers and connections. `seed` seeds the module and the redial delays.
+    pub fn new(
+        now: Point,
+        seed: u64,
+        controller_settings: &ControllerSettings,
+        settings: DispatcherSettings,
+    ) -> Dispatcher {
+        // The platform has no message for probes, so they are switched off. Guards against requests that wait for the
+        // result of a probe that never arrives.
+        let mut controller_settings = controller_settings.clone();
+        controller_settings.insert("looks.allowed".to_owned(), SettingValue::Flag(false));
         Dispatcher {
-            module: Controller::new(now, seed, &sheet),
-            terms,
-            known: BTreeMap::new(),
-            wires: BTreeMap::new(),
-            held: BTreeMap::new(),
-            by_session: HashMap::new(),
-            conns: BTreeMap::new(),
-            due: BinaryHeap::new(),
-            owed: VecDeque::new(),
-            wake: None,
-            looked_after: now,
-            chance: StdRng::seed_from_u64(seed),
-            next_id: 0,
-            next_link: 0,
-            stops: None,
-            late: Span::ZERO,
-            asked: VecDeque::new(),
-            over: VecDeque::new(),
-            ends: VecDeque::new(),
+            controller: Controller::new(now, seed, &controller_settings),
+            settings,
+            streamers: BTreeMap::new(),
+            links: BTreeMap::new(),
+            sessions: BTreeMap::new(),
+            id_by_session: HashMap::new(),
+            viewer_connections: BTreeMap::new(),
+            timers: BinaryHeap::new(),
+            unsent_releases: VecDeque::new(),
+            next_tick_at: None,
+            links_checked_at: now,
+            random: StdRng::seed_from_u64(seed),
+            last_id: 0,
+            last_link: 0,
+            stopping_since: None,
+            read_delay: Span::ZERO,
+            undecided: VecDeque::new(),
+            untracked_ends: VecDeque::new(),
+            pending_releases: VecDeque::new(),
             unproven: VecDeque::new(),
             ended: EndedSessions::default(),
             closing: BTreeMap::new(),
@@ -393,72 +414,77 @@
         }
     }
 
-    /// When `tick` wants to be called next.
-    pub fn next(&self) -> Point {
-        let due = self.due.peek().map(|Reverse((at, ..))| *at);
-        let beat = self.looked_after + LINK_BEAT;
-        [due, self.wake].into_iter().flatten().fold(beat, Point::min)
+    /// When `tick` is to be called next.
+    pub fn next_tick(&self) -> Point {
+        let timer = self.timers.peek().map(|Reverse((at, ..))| *at);
+        let next_link_check = self.links_checked_at + LINK_CHECK_INTERVAL;
+        [timer, self.next_tick_at].into_iter().flatten().fold(next_link_check, Point::min)
     }
 
-    /// Subscriptions and wishes in hand, also those that are only asked for.
-    pub fn in_hand(&self) -> usize {
-        self.held.len() + self.asked.len()
+    /// Number of tracked requests and sessions, with set-ups that are not decided.
+    pub fn tracked_count(&self) -> usize {
+        self.sessions.len() + self.undecided.len()
     }
 
-    /// Wishes that are owed an answer.
-    pub fn open(&self) -> usize {
-        self.held.values().filter(|held| held.playing.is_none()).count() + self.asked.len()
+    /// Number of requests that are owed an answer, with set-ups that are not decided.
+    pub fn unanswered_count(&self) -> usize {
+        self.sessions.values().filter(|tracked| tracked.playing_since.is_none()).count()
+            + self.undecided.len()
     }
 
-    /// What viewers ask for that is not decided yet.
-    pub fn asked(&self) -> usize {
-        self.asked.len()
+    /// Number of set-ups that are not decided.
+    pub fn undecided_count(&self) -> usize {
+        self.undecided.len()
     }
 
-    /// The answers that are owed, which those who read from clients' connections add to.
+    /// The open requests. The tasks that read from viewer connections register theirs here.
     pub fn replies(&self) -> &Replies {
         &self.replies
     }
 
-    pub fn links(&self) -> usize {
-        self.wires.len()
+    /// Number of links to streamers.
+    pub fn link_count(&self) -> usize {
+        self.links.len()
     }
 
-    pub fn streamers(&self) -> usize {
-        self.known.len()
+    /// Number of known streamers.
+    pub fn streamer_count(&self) -> usize {
+        self.streamers.len()
     }
 
-    /// What is heard from now on may have come as long ago as this process stood still. Guards against answers that
-    /// come when the viewer's own time is over.
-    pub fn stood_still(&mut self, late: Span) {
-        self.late = late;
+    /// Messages that are handled from now on may have waited unread for up to this time, as this process did not run.
+    /// Their deadlines are earlier by it. Guards against answers that arrive when the viewer does not wait any more.
+    pub fn set_read_delay(&mut self, read_delay: Span) {
+        self.read_delay = read_delay;
     }
 
-    /// Set-ups that come from now on are taken for a moment only: the platform is about to stop this process.
+    /// The platform is about to stop this process: set-ups are accepted only for a short time more.
     pub fn stop(&mut self, now: Point) {
-        self.stops.get_or_insert(now);
+        self.stopping_since.get_or_insert(now);
     }
 
-    /// When `next` says so.
+    /// Does what is due. To be called at the time that `next_tick` gives.
     pub fn tick(&mut self, now: Point) {
-        if now - self.looked_after >= LINK_BEAT {
-            self.look_after_links(now, now - self.looked_after);
-            self.looked_after = now;
-            self.owed.retain(|(until, _)| now <= *until);
+        if now - self.links_checked_at >= LINK_CHECK_INTERVAL {
+            self.check_links(now, now - self.links_checked_at);
+            self.links_checked_at = now;
+            self.unsent_releases.retain(|(until, _)| now <= *until);
             self.unproven.retain(|unproven| now <= unproven.until);
-            self.ended.forget_old(now);
-            self.end_again(now);
-            self.end_elsewhere(now);
+            self.ended.remove_expired(now);
+            self.resend_releases(now);
+            self.release_on_other_connections(now);
         }
-        while let Some(Reverse((_, id, shot))) = self.due.peek().copied().filter(|r| r.0 .0 <= now) {
-            self.due.pop();
-            self.overdue(now, id, shot);
+        while let Some(Reverse((_, id, number))) =
+            self.timers.peek().copied().filter(|timer| timer.0 .0 <= now)
+        {
+            self.timers.pop();
+            self.on_attempt_timer(now, id, number);
         }
-        if self.wake.is_some_and(|wake| wake <= now) {
-            self.wake = None;
-            self.module.tick(now);
+        if self.next_tick_at.is_some_and(|next_tick| next_tick <= now) {
+            self.next_tick_at = None;
+            self.controller.tick(now);
         }
-        self.carry_out(now);
+        self.apply_actions(now);
         self.answer_overdue(now);
     }
 }
