--- a/crates/lemontide-front/src/connections.rs
+++ b/crates/lemontide-front/src/connections.rs
@@ -1,7 +1,7 @@
 //! Connections of players: who may come in, how long a silent or a stuck one stays, and the doorway at which a wish
 //! is turned back before the HTTP stack reads it. What is decided stands in `lemontide-shed` and in `core`.
 
-use crate::core::{Doorway, Pass};
+use crate::core::{EarlyAdmission, EarlyDecision};
 use crate::delivery::Undelivered;
 use crate::guard::Guard;
 use axum::body::Body;
@@ -187,7 +187,7 @@
     let mut socket = Guarded {
         socket,
         first: Vec::new(),
-        doorway: Doorway::default(),
+        doorway: EarlyAdmission::default(),
         guard,
         out: Vec::new(),
         since: Instant::now(),
@@ -236,7 +236,7 @@
     socket: TcpStream,
     /// What was read before there was an HTTP stack to take it.
     first: Vec<u8>,
-    doorway: Doorway,
+    doorway: EarlyAdmission,
     guard: Option<Arc<Guard>>,
     /// What of an answer of the doorway's own the socket did not take yet.
     out: Vec<u8>,
@@ -370,10 +370,10 @@
                 return this.poll_half_closed(cx);
             }
             if let Some(guard) = &this.guard {
-                match this.doorway.came(bytes, |hint| guard.hinted(hint)) {
-                    Pass::Through => {}
-                    Pass::LetIn(hint) => *lock(&this.visit.let_in) = Some(hint),
-                    Pass::TurnBack(wait) => {
+                match this.doorway.bytes_received(bytes, |hint| guard.hinted(hint)) {
+                    EarlyDecision::Forward => {}
+                    EarlyDecision::Admit(hint) => *lock(&this.visit.let_in) = Some(hint),
+                    EarlyDecision::Reject(wait) => {
                         buf.set_filled(before);
                         this.turn_back(wait);
                         continue;
@@ -421,7 +421,7 @@
         // The stack flushes once all that it has is written: an answer that was made is out whole.
         if this.state() == ANSWERED {
             lock(&this.visit.undelivered).take().into_iter().for_each(|answer| answer.delivered());
-            this.doorway.answered();
+            this.doorway.response_sent();
             this.since = Instant::now();
             this.visit.state.store(RESTS, Ordering::Relaxed);
             let hall = &this.visit.hall;
--- a/crates/lemontide-front/src/core/mod.rs
+++ b/crates/lemontide-front/src/core/mod.rs
@@ -1,15 +1,15 @@
 //! The driver around the decision module, and what stands before it. No sockets, no files, no clock: time, ids and
 //! the seed come from outside, events are calls, and what has to be done is left in `effects`.
 
+mod admission;
 mod attempt;
-mod doorway;
 mod driver;
 mod links;
 mod together;
 mod viewers;
 
+pub use admission::{EarlyAdmission, EarlyDecision};
 pub use attempt::{Connection, Evidence, GivenUp, Proof};
-pub use doorway::{Doorway, Pass};
 pub use driver::{Driver, Effect, Held, Refusal, Terms};
 pub use links::{Link, Queued, Verdict};
 pub use together::{InFleet, Shared, Together};
