--- a/crates/lemontide-front/src/core/driver.rs
+++ b/crates/lemontide-front/src/core/driver.rs
@@ -5,7 +5,7 @@
 mod attempts;
 
 use super::links::{Link, Queued, Verdict};
-use super::{seconds, Connection, Evidence, GivenUp, InFleet, Shared, Together, Viewers};
+use super::{seconds, Connection, Evidence, GivenUp, InFleet, RecentViewers, Shared, Together};
 use lemontide::clock::{Point, Span};
 use lemontide::control::{Controller, SessionHandle};
 use lemontide::interface::{
@@ -152,7 +152,7 @@
     due: BinaryHeap<Reverse<(Point, u32, u32)>>,
     wake: Option<Point>,
     looked_after: Point,
-    viewers: Viewers,
+    viewers: RecentViewers,
     together: Option<Together>,
     chance: StdRng,
     nonce: u64,
@@ -176,7 +176,7 @@
             due: BinaryHeap::new(),
             wake: None,
             looked_after: now,
-            viewers: Viewers::default(),
+            viewers: RecentViewers::default(),
             chance: StdRng::seed_from_u64(seed),
             nonce: 0,
             stopping: false,
@@ -288,7 +288,7 @@
         }
         let lasts = wish.give_up_in_s.filter(|s| s.is_finite()).map_or(Span::of(1e6), Span::of);
         let gone_at = asked + lasts.min(self.terms.lanes[lane].1);
-        let known = cmcd.session_id.as_ref().is_some_and(|session| self.viewers.returns(now, session));
+        let known = cmcd.session_id.as_ref().is_some_and(|session| self.viewers.record(now, session));
         let wish_here = lemontide::interface::Request {
             id,
             class: &wish.class,
--- a/crates/lemontide-front/src/core/mod.rs
+++ b/crates/lemontide-front/src/core/mod.rs
@@ -13,7 +13,7 @@
 pub use driver::{Driver, Effect, Held, Refusal, Terms};
 pub use links::{Link, Queued, Verdict};
 pub use together::{InFleet, Shared, Together};
-pub use viewers::Viewers;
+pub use viewers::RecentViewers;
 
 use lemontide::clock::Point;
 
