--- a/crates/lemontide-front/src/core/driver.rs
+++ b/crates/lemontide-front/src/core/driver.rs
@@ -4,8 +4,8 @@
 
 mod attempts;
 
-use super::links::{Link, Queued, Verdict};
-use super::{seconds, Connection, Evidence, GivenUp, InFleet, RecentViewers, Shared, Together};
+use super::links::{Link, LinkAction, QueuedMessage};
+use super::{seconds, AbandonedAttempt, Connection, Evidence, InFleet, RecentViewers, Shared, Together};
 use lemontide::clock::{Point, Span};
 use lemontide::control::{Controller, SessionHandle};
 use lemontide::interface::{
@@ -78,7 +78,7 @@
     Write {
         at: usize,
         dial: u64,
-        orders: Vec<Queued>,
+        orders: Vec<QueuedMessage>,
     },
     /// Close the connection of that dial.
     Hang {
@@ -113,7 +113,7 @@
     /// When it was given to the socket: from here on it may have run.
     handed: Option<Point>,
     /// It is given up, and the next attempt waits for a proof that it is over.
-    given_up: Option<GivenUp>,
+    given_up: Option<AbandonedAttempt>,
 }
 
 /// A wish or subscription in hand.
@@ -219,9 +219,9 @@
             if at == self.known.len() {
                 self.by_name.insert(entry.streamer.clone(), at);
                 let mut link = Link::new(now);
-                link.flight = self.terms.flights.then(|| ConcurrencyLimit::new(now));
+                link.set_up_limit = self.terms.flights.then(|| ConcurrencyLimit::new(now));
                 // One of many dials when something needs the link, not all at once when the list comes.
-                link.idle = self.together.as_ref().map(|_| now);
+                link.idle_since = self.together.as_ref().map(|_| now);
                 let known = Known { entry: entry.clone(), welcomed: None, link, looking: None };
                 self.known.push(known);
                 gone.push(false);
@@ -249,7 +249,7 @@
         self.carry_out(now);
         for at in 0..self.known.len() {
             let stage = self.known[at].entry.state;
-            self.known[at].link.wanted = stage != list::StreamerState::Gone;
+            self.known[at].link.is_listed = stage != list::StreamerState::Gone;
             if stage != list::StreamerState::Ready {
                 let shots = self.known[at].link.withdraw_set_ups();
                 self.end_shots(now, at, shots, AttemptOutcome::NotSent);
@@ -461,10 +461,10 @@
         for (at, needed) in needed.into_iter().enumerate() {
             let known = &mut self.known[at];
             let needed = needed || known.looking.is_some();
-            known.link.idle = known.link.idle.or(Some(now)).filter(|_| !needed);
-            let idle = known.link.idle.map_or(Span::ZERO, |since| now - since);
+            known.link.idle_since = known.link.idle_since.or(Some(now)).filter(|_| !needed);
+            let idle = known.link.idle_since.map_or(Span::ZERO, |since| now - since);
             if known.link.is_up() && together.may_close(at, idle) {
-                known.link.rest(now);
+                known.link.close_idle(now);
                 known.link.withdraw_all();
                 self.effects.push(Effect::Hang { at, dial: known.link.dial });
             }
@@ -497,7 +497,7 @@
             return;
         }
         let known = &mut self.known[at];
-        known.link.up(now);
+        known.link.connected(now);
         // A welcome is often earlier news of a restart than the list: the streamer is cold from then on.
         if started.is_finite() && started > known.welcomed.unwrap_or(0.0) {
             known.welcomed = Some(started);
@@ -523,7 +523,7 @@
     fn lose(&mut self, now: Point, at: usize) {
         let was_up = self.known[at].link.is_up();
         let chance = self.chance.random::<f64>();
-        self.known[at].link.down(now, chance);
+        self.known[at].link.disconnected(now, chance);
         let waiting = self.known[at].link.withdraw_all();
         if let Some((_, until)) = &mut self.known[at].looking {
             *until = now;
@@ -554,7 +554,7 @@
         if !self.is_current(at, dial) {
             return;
         }
-        self.known[at].link.wrote();
+        self.known[at].link.batch_written();
         self.end_shots(now, at, unsent, AttemptOutcome::NotSent);
         self.carry_out(now);
         self.pump(now, at);
@@ -565,7 +565,7 @@
         if !self.is_current(at, dial) {
             return;
         }
-        self.known[at].link.heard(now);
+        self.known[at].link.message_received(now);
         match told {
             StreamerMessage::Plays(plays) => {
                 let load = load(&plays.cmsd_dynamic);
@@ -681,13 +681,13 @@
     fn look_after_links(&mut self, now: Point, gap: Span) {
         for at in 0..self.known.len() {
             let dial = self.known[at].link.dial;
-            match self.known[at].link.look(now, gap) {
-                Verdict::Fine => {}
-                Verdict::Dial => self.dial(now, at),
-                Verdict::Ping => {
+            match self.known[at].link.check(now, gap) {
+                LinkAction::None => {}
+                LinkAction::Dial => self.dial(now, at),
+                LinkAction::Ping => {
                     self.ping(now, at);
                 }
-                Verdict::Lost => {
+                LinkAction::Close => {
                     self.effects.push(Effect::Hang { at, dial });
                     self.lost(now, at, dial, false);
                 }
@@ -725,7 +725,7 @@
     /// Puts an order that is no set-up on a link; where it can't go, the link's end is the streamer's news.
     fn order(&mut self, now: Point, at: usize, order: ControllerMessage) {
         let Some(known) = self.known.get_mut(at).filter(|known| known.link.is_up()) else { return };
-        if !known.link.push(Queued { order, shot: None, not_after: None }) {
+        if !known.link.push(QueuedMessage { message: order, attempt: None, not_after: None }) {
             // It takes no orders any more: to go on would leave it with streams that it does not know to end.
             self.hang(now, at);
         }
@@ -735,11 +735,11 @@
     /// Hands the next orders of a link to the I/O.
     fn pump(&mut self, now: Point, at: usize) {
         let Some(known) = self.known.get_mut(at) else { return };
-        let orders = known.link.batch(now);
+        let orders = known.link.next_batch(now);
         if orders.is_empty() {
             return;
         }
-        for (id, number) in orders.iter().filter_map(|order| order.shot) {
+        for (id, number) in orders.iter().filter_map(|queued| queued.attempt) {
             let out = self.held.get_mut(&id).and_then(|held| held.out.as_mut());
             if let Some(out) = out.filter(|out| out.number == number) {
                 out.handed = Some(now);
@@ -762,7 +762,7 @@
     /// Set-ups under way and the bound of each link that has one, for the operators.
     pub fn flights(&self) -> Vec<(String, usize, usize)> {
         let flight = |known: &Known| {
-            let flight = known.link.flight.as_ref()?;
+            let flight = known.link.set_up_limit.as_ref()?;
             Some((known.entry.streamer.clone(), flight.in_flight(), flight.limit()))
         };
         self.known.iter().filter_map(flight).collect()
@@ -856,14 +856,17 @@
         if self.known[at].looking.is_some() {
             return;
         }
-        if self.known[at].link.may_dial(now) {
+        if self.known[at].link.can_dial(now) {
             self.dial(now, at);
         }
         self.nonce += 1;
         let (nonce, until) = (self.nonce, now + self.terms.look_timeout);
         self.known[at].looking = Some((nonce, until));
-        let order =
-            Queued { order: ControllerMessage::Look(Look { nonce }), shot: None, not_after: Some(until) };
+        let order = QueuedMessage {
+            message: ControllerMessage::Look(Look { nonce }),
+            attempt: None,
+            not_after: Some(until),
+        };
         let link = &mut self.known[at].link;
         let possible = link.is_up() || link.is_dialling();
         if !possible || !link.push(order) {
--- a/crates/lemontide-front/src/core/driver/attempts.rs
+++ b/crates/lemontide-front/src/core/driver/attempts.rs
@@ -31,14 +31,18 @@
         if shot.timeout <= Span::ZERO || self.known[at].entry.state != list::StreamerState::Ready {
             return self.end_shots(now, at, vec![(id, number)], AttemptOutcome::NotSent);
         }
-        if self.known[at].link.may_dial(now) {
+        if self.known[at].link.can_dial(now) {
             self.dial(now, at);
         }
         let link = &mut self.known[at].link;
         if !link.is_up() && !link.is_dialling() {
             return self.end_shots(now, at, vec![(id, number)], AttemptOutcome::NoConnection);
         }
-        if !link.push(Queued { order, shot: Some((id, number)), not_after: Some(not_after) }) {
+        if !link.push(QueuedMessage {
+            message: order,
+            attempt: Some((id, number)),
+            not_after: Some(not_after),
+        }) {
             return self.end_shots(now, at, vec![(id, number)], AttemptOutcome::NotSent);
         }
         self.due.push(Reverse((not_after, id, number)));
@@ -52,7 +56,7 @@
         let (at, ask) = (held.at, held.ask.clone());
         if let Some(given_up) = out.given_up {
             if now >= held.cut_off {
-                self.ended(now, id, given_up.ending, Load::default());
+                self.ended(now, id, given_up.outcome, Load::default());
             }
         } else if out.handed.is_none() {
             if now >= out.not_after {
@@ -84,7 +88,13 @@
         let dial = self.known.get(at).map_or(0, |known| known.link.dial);
         let on = Connection { link: at as u64, dial };
         let (number, handed) = (out.number, out.handed);
-        out.given_up = Some(GivenUp { on, is_closed: false, is_first: true, ending, test });
+        out.given_up = Some(AbandonedAttempt {
+            connection: on,
+            connection_closed: false,
+            is_first_attempt: true,
+            outcome: ending,
+            test,
+        });
         tracing::debug!(target: "attempt", ask = held.ask, number, ?on, ?ending, ?test, "given up, not proven over");
         let left = held.left;
         self.count_end(now, at, handed, ending, false);
@@ -98,7 +108,7 @@
     pub(super) fn learn_evidence(&mut self, now: Point, on: Connection, evidence: Evidence) {
         let proven = |held: &Held| {
             let given_up = held.out.as_ref()?.given_up?;
-            Some((given_up.ending, given_up.proof(on, evidence)?))
+            Some((given_up.outcome, given_up.proof(on, evidence)?))
         };
         let proven: Vec<_> = self.held.iter().filter_map(|(id, held)| Some((*id, proven(held)?))).collect();
         for (id, (ending, proof)) in proven {
@@ -181,7 +191,7 @@
     /// A set-up that was handed to a link is no longer under way.
     pub(super) fn landed(&mut self, now: Point, at: usize, handed: Option<Point>, ending: AttemptOutcome) {
         let Some(handed) = handed else { return };
-        let Some(flight) = self.known.get_mut(at).and_then(|known| known.link.flight.as_mut()) else {
+        let Some(flight) = self.known.get_mut(at).and_then(|known| known.link.set_up_limit.as_mut()) else {
             return;
         };
         match ending {
--- a/crates/lemontide-front/src/core/mod.rs
+++ b/crates/lemontide-front/src/core/mod.rs
@@ -9,9 +9,9 @@
 mod viewers;
 
 pub use admission::{EarlyAdmission, EarlyDecision};
-pub use attempt::{Connection, Evidence, GivenUp, Proof};
+pub use attempt::{AbandonedAttempt, Connection, Evidence, Proof};
 pub use driver::{Driver, Effect, Held, Refusal, Terms};
-pub use links::{Link, Queued, Verdict};
+pub use links::{Link, LinkAction, QueuedMessage};
 pub use together::{InFleet, Shared, Together};
 pub use viewers::RecentViewers;
 
--- a/crates/lemontide-front/src/front.rs
+++ b/crates/lemontide-front/src/front.rs
@@ -2,7 +2,7 @@
 //! the deciding thread over two bounded queues, and what it decides goes out as effects.
 
 use crate::connections::Hall;
-use crate::core::{seconds, Driver, Effect, Queued, Refusal};
+use crate::core::{seconds, Driver, Effect, QueuedMessage, Refusal};
 use crate::events::{Asked, Happened, Said, State};
 use crate::gossip::{self, Heard};
 use crate::guard::Guard;
@@ -151,7 +151,7 @@
     runtime: Handle,
     replies: HashMap<u32, oneshot::Sender<Result<Said, Refusal>>>,
     listeners: HashMap<u32, mpsc::Sender<SessionEvent>>,
-    wires: HashMap<usize, (mpsc::Sender<Vec<Queued>>, AbortHandle)>,
+    wires: HashMap<usize, (mpsc::Sender<Vec<QueuedMessage>>, AbortHandle)>,
     /// Where those who gossip hear what was seen here.
     heard: Option<mpsc::Sender<Heard>>,
     /// What keeps this controller from falling behind, where the settings ask for it.
--- a/crates/lemontide-front/src/link.rs
+++ b/crates/lemontide-front/src/link.rs
@@ -1,7 +1,7 @@
 //! One connection to a streamer: dials, greets, writes what the driver hands over and reports what comes back.
 //! Nothing is decided here; every report carries the number of the dial that it belongs to.
 
-use crate::core::Queued;
+use crate::core::QueuedMessage;
 use crate::events::Happened;
 use futures::{SinkExt, StreamExt};
 use lemontide::clock::Point;
@@ -36,7 +36,7 @@
 }
 
 /// Runs one connection until it ends. `orders` gives batches to write; when it closes, so does the connection.
-pub async fn run(links: Links, to: Dial, mut orders: mpsc::Receiver<Vec<Queued>>) {
+pub async fn run(links: Links, to: Dial, mut orders: mpsc::Receiver<Vec<QueuedMessage>>) {
     let Dial { at, dial, streamer, address } = to;
     let report = |what| links.reports.send(what);
     let until = Instant::now() + links.dial_timeout;
@@ -63,10 +63,10 @@
                 // The set-up is of its moment: this process may have stood still since it was decided.
                 let now = Point::at(links.clock.now());
                 if queued.not_after.is_some_and(|until| now > until) {
-                    unsent.extend(queued.shot);
+                    unsent.extend(queued.attempt);
                     continue;
                 }
-                if let ControllerMessage::SetUp(set_up) = &queued.order {
+                if let ControllerMessage::SetUp(set_up) = &queued.message {
                     links.tap.record(TapEvent::AttemptSent {
                         request_id: set_up.ask.clone(),
                         attempt: set_up.shot,
@@ -76,7 +76,7 @@
                         rung: set_up.rung as usize,
                     });
                 }
-                if sink.feed(queued.order).await.is_err() {
+                if sink.feed(queued.message).await.is_err() {
                     return;
                 }
             }
--- a/crates/lemontide-front/tests/common/mod.rs
+++ b/crates/lemontide-front/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A driver with scripted links, in virtual time: what it writes is kept, what it answers is counted.
 
 use lemontide::clock::{Point, Span};
-use lemontide_front::core::{Driver, Effect, Queued, Refusal};
+use lemontide_front::core::{Driver, Effect, QueuedMessage, Refusal};
 use lemontide_front::settings::Settings;
 use lemontide_wire::cmcd::Cmcd;
 use lemontide_wire::link::{ControllerMessage, Ended, How, Plays, Pong, SetUp, StreamerMessage};
@@ -201,7 +201,7 @@
         }
     }
 
-    fn write(&mut self, at: usize, dial: u64, orders: Vec<Queued>) {
+    fn write(&mut self, at: usize, dial: u64, orders: Vec<QueuedMessage>) {
         if self.stuck.contains(&at) {
             return;
         }
@@ -209,10 +209,10 @@
         let mut pings = Vec::new();
         for queued in orders {
             if queued.not_after.is_some_and(|until| self.now > until) {
-                unsent.extend(queued.shot);
+                unsent.extend(queued.attempt);
                 continue;
             }
-            match queued.order {
+            match queued.message {
                 ControllerMessage::SetUp(set_up) => self.sent.push((at, set_up)),
                 ControllerMessage::Cancel(cancel) => self.cancels.push((at, cancel.id, cancel.shot)),
                 ControllerMessage::Ping(ping) => pings.push(ping.nonce),
--- a/crates/lemontide-platform/src/dispatcher.rs
+++ b/crates/lemontide-platform/src/dispatcher.rs
@@ -25,7 +25,7 @@
 use lemontide::interface::{
     AttemptOutcome, ControllerSettings, Load, NewAttempt, Request, SettingValue, StreamerEntry, StreamerState,
 };
-use lemontide_front::core::{Connection, Evidence, GivenUp, Link, Proof, Queued, Verdict};
+use lemontide_front::core::{AbandonedAttempt, Connection, Evidence, Link, LinkAction, Proof, QueuedMessage};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -91,7 +91,7 @@
     },
     Write {
         on: Connection,
-        orders: Vec<Queued<Order>>,
+        orders: Vec<QueuedMessage<Order>>,
     },
     /// Close a connection to a streamer. Where `awaits_close`, only this end's half of it at first, and the streamer's
     /// own close is awaited for a while: it proves what was out there over.
@@ -139,13 +139,13 @@
     /// No earlier attempt of its request began at its streamer.
     is_first: bool,
     /// It is given up, and the next attempt waits for a proof that it is over.
-    given_up: Option<GivenUp>,
+    given_up: Option<AbandonedAttempt>,
 }
 
 /// An attempt whose request is over and that may still be out: nothing may be begun under its session.
 struct Unproven {
     session: u64,
-    attempt: GivenUp,
+    attempt: AbandonedAttempt,
     until: Point,
 }
 
@@ -289,7 +289,7 @@
                 session == Some(self.session)
             }
             // What stands belongs to no connection, and stands on.
-            Evidence::ClosedByStreamer | Evidence::Refused => false,
+            Evidence::ClosedByStreamer | Evidence::ConnectRefused => false,
         }
     }
 }
--- a/crates/lemontide-platform/src/dispatcher/attempts.rs
+++ b/crates/lemontide-platform/src/dispatcher/attempts.rs
@@ -21,12 +21,18 @@
     }
 
     /// Gives up an attempt that has begun; what is known of its end. Nothing is written yet.
-    fn give_up(&mut self, attempt: &mut Attempt, ending: AttemptOutcome) -> GivenUp {
+    fn give_up(&mut self, attempt: &mut Attempt, ending: AttemptOutcome) -> AbandonedAttempt {
         let (on, is_first) = (attempt.on, attempt.is_first);
         if let Some(wire) = self.wires.get_mut(&on.link).filter(|_| attempt.given_up.is_none()) {
             wire.open = wire.open.saturating_sub(1);
         }
-        *attempt.given_up.get_or_insert(GivenUp { on, is_closed: false, is_first, ending, test: None })
+        *attempt.given_up.get_or_insert(AbandonedAttempt {
+            connection: on,
+            connection_closed: false,
+            is_first_attempt: is_first,
+            outcome: ending,
+            test: None,
+        })
     }
 
     /// Tells a streamer that an attempt is given up, and sends a test behind it, whose number is returned: once it is
@@ -40,7 +46,7 @@
     }
 
     /// Remembers an attempt that may still be out though its request is over, and to end it.
-    fn remember_unproven(&mut self, now: Point, at: Arc<str>, session: u64, attempt: GivenUp) {
+    fn remember_unproven(&mut self, now: Point, at: Arc<str>, session: u64, attempt: AbandonedAttempt) {
         self.end_unproven(now, at, session, &attempt);
         if self.unproven.len() >= OVER_MOST {
             self.unproven.pop_front();
@@ -71,7 +77,7 @@
         let is_new = attempt.given_up.is_none();
         let mut attempt = self.give_up(&mut attempt, AttemptOutcome::Cancelled);
         if is_new {
-            attempt.test = self.write_end(now, session, attempt.on);
+            attempt.test = self.write_end(now, session, attempt.connection);
         }
         self.remember_unproven(now, held.at.clone(), session, attempt);
         AttemptOutcome::Cancelled
@@ -189,7 +195,7 @@
         let Some(given_up) = held.attempt.take().and_then(|attempt| attempt.given_up) else { return };
         let (session, at) = (held.session, held.at.clone());
         self.remember_unproven(now, at, session, given_up);
-        self.tell_ended(now, id, given_up.ending, Load::default());
+        self.tell_ended(now, id, given_up.outcome, Load::default());
     }
 
     /// Something was heard of a connection that may prove attempts over: of one session, or of all that were there.
@@ -206,7 +212,7 @@
             .retain(|unproven| !concerns(unproven.session) || unproven.attempt.proof(on, evidence).is_none());
         let proven = |held: &Held| {
             let given_up = held.attempt.as_ref()?.given_up.filter(|_| concerns(held.session))?;
-            Some((given_up.ending, given_up.proof(on, evidence)?))
+            Some((given_up.outcome, given_up.proof(on, evidence)?))
         };
         let proven: Vec<_> = self.held.iter().filter_map(|(id, held)| Some((*id, proven(held)?))).collect();
         for (id, (ending, proof)) in proven {
@@ -220,8 +226,8 @@
     pub(super) fn closed_by_streamer(&mut self, now: Point, on: Connection) {
         for held in self.held.values_mut() {
             let given_up = held.attempt.as_mut().and_then(|attempt| attempt.given_up.as_mut());
-            if let Some(given_up) = given_up.filter(|given_up| given_up.on == on) {
-                given_up.is_closed = true;
+            if let Some(given_up) = given_up.filter(|given_up| given_up.connection == on) {
+                given_up.connection_closed = true;
             }
         }
         self.end_elsewhere(now);
@@ -232,7 +238,8 @@
     pub(super) fn end_elsewhere(&mut self, now: Point) {
         let waits = |held: &Held| {
             let given_up = held.attempt.as_ref()?.given_up?;
-            (given_up.is_closed && !self.is_current(given_up.on)).then_some((held.session, held.at.clone()))
+            (given_up.connection_closed && !self.is_current(given_up.connection))
+                .then_some((held.session, held.at.clone()))
         };
         let waiting: Vec<_> = self.held.iter().filter_map(|(id, held)| Some((*id, waits(held)?))).collect();
         for (id, (session, at)) in waiting {
@@ -241,7 +248,7 @@
                 // It closed its connections, and the list says that it is no more.
                 let attempt = self.held.get(&id).and_then(|held| held.attempt.as_ref());
                 let Some(given_up) = attempt.and_then(|attempt| attempt.given_up) else { continue };
-                self.attempt_over(now, id, given_up.ending, Load::default(), Proof::ProcessGone);
+                self.attempt_over(now, id, given_up.outcome, Load::default(), Proof::ProcessGone);
                 continue;
             }
             let Some(link) = self.best_link(&at).or_else(|| self.redial(now, &at)) else { continue };
@@ -250,7 +257,7 @@
             let test = self.write_end(now, session, on);
             let attempt = self.held.get_mut(&id).and_then(|held| held.attempt.as_mut());
             if let Some(given_up) = attempt.and_then(|attempt| attempt.given_up.as_mut()) {
-                (given_up.on, given_up.test) = (on, test);
+                (given_up.connection, given_up.test) = (on, test);
             }
         }
     }
@@ -446,7 +453,8 @@
             return self.never_began(now, vec![(id, number)], why);
         };
         let Some(wire) = self.wires.get_mut(&link) else { return };
-        let queued = Queued { order, shot: Some((id, number)), not_after: Some(not_after) };
+        let queued =
+            QueuedMessage { message: order, attempt: Some((id, number)), not_after: Some(not_after) };
         if wire.open >= self.terms.set_ups_a_link || !wire.link.push(queued) {
             return self.never_began(now, vec![(id, number)], AttemptOutcome::NotSent);
         }
--- a/crates/lemontide-platform/src/dispatcher/connections.rs
+++ b/crates/lemontide-platform/src/dispatcher/connections.rs
@@ -21,8 +21,15 @@
 
     /// Remembers to end an attempt that was given up and may stand, though its request is over: its end may not be
     /// written yet, and is written again where its connection goes before the streamer is known to have read it.
-    pub(super) fn end_unproven(&mut self, now: Point, at: Arc<str>, session: u64, attempt: &GivenUp) {
-        let sent = attempt.test.map(|test| SentEnd { on: attempt.on, after_test: test.saturating_sub(1) });
+    pub(super) fn end_unproven(
+        &mut self,
+        now: Point,
+        at: Arc<str>,
+        session: u64,
+        attempt: &AbandonedAttempt,
+    ) {
+        let sent =
+            attempt.test.map(|test| SentEnd { on: attempt.connection, after_test: test.saturating_sub(1) });
         self.remember_end(End { at, session, until: now + OWED_FOR, sent, may_dial: false });
     }
 
@@ -82,7 +89,7 @@
         }
         let link = on.link;
         if let Some(wire) = self.wires.get_mut(&link) {
-            wire.link.up(now);
+            wire.link.connected(now);
             if let Some(known) = self.known.get_mut(&wire.at) {
                 known.dark = None;
             }
@@ -98,7 +105,7 @@
         let awaits_close = self.may_await_close(on, true);
         self.effects.push(Effect::Hang { on, awaits_close });
         if loss == Loss::Refused {
-            self.learn_evidence(now, on, None, Evidence::Refused);
+            self.learn_evidence(now, on, None, Evidence::ConnectRefused);
         }
         self.lose(now, on.link, loss);
         self.carry_out(now);
@@ -135,7 +142,7 @@
         let waiting = self.withdraw_waiting(link);
         let Some(wire) = self.wires.get_mut(&link) else { return };
         let at = wire.at.clone();
-        wire.link.down(now, chance);
+        wire.link.disconnected(now, chance);
         wire.suspect = None;
         wire.link.withdraw_all();
         tracing::info!(target: "streamers", streamer = &*at, ?loss, waiting = waiting.len(), "link lost");
@@ -160,7 +167,7 @@
         let kept = known.links.contains(&link);
         let dark = alone.then(|| *known.dark.get_or_insert(now));
         let gone = known.entry.stage() == StreamerState::Gone;
-        let at_once = |wire: &Wire| wire.link.idle.is_none() && wire.link.may_dial(now);
+        let at_once = |wire: &Wire| wire.link.idle_since.is_none() && wire.link.can_dial(now);
         for id in begun {
             self.in_doubt(now, id);
         }
@@ -187,7 +194,7 @@
             return;
         }
         if let Some(wire) = self.wires.get_mut(&on.link) {
-            wire.link.wrote();
+            wire.link.batch_written();
         }
         self.never_began(now, unsent, AttemptOutcome::NotSent);
         self.carry_out(now);
@@ -222,7 +229,7 @@
         }
         if self.is_current(on) {
             if let Some(wire) = self.wires.get_mut(&on.link) {
-                wire.link.heard(now);
+                wire.link.message_received(now);
                 wire.suspect = None;
             }
         }
@@ -302,8 +309,8 @@
         let links: Vec<u64> = self.wires.keys().copied().collect();
         for link in links {
             let Some(wire) = self.wires.get_mut(&link) else { continue };
-            wire.link.idle = wire.link.idle.or(Some(now)).filter(|_| !needed.contains(&wire.at));
-            if let Some(since) = wire.link.idle {
+            wire.link.idle_since = wire.link.idle_since.or(Some(now)).filter(|_| !needed.contains(&wire.at));
+            if let Some(since) = wire.link.idle_since {
                 // Kept well short of the other end's own close, which a set-up could cross.
                 if now - since >= self.terms.idle_most {
                     self.hang(now, link, Loss::Broke, CloseReason::Idle);
@@ -314,18 +321,18 @@
                     known.dark = None;
                 }
             }
-            let verdict = wire.link.look(now, gap);
+            let verdict = wire.link.check(now, gap);
             if gap >= LINK_BEAT + LINK_BEAT {
                 // This process stood still itself: what it did not read is no silence.
                 wire.suspect = wire.suspect.map(|until| until + gap);
             }
             let silent = wire.suspect.is_some_and(|until| now >= until);
             match verdict {
-                Verdict::Lost => self.hang(now, link, Loss::Broke, CloseReason::Silent),
+                LinkAction::Close => self.hang(now, link, Loss::Broke, CloseReason::Silent),
                 _ if silent => self.hang(now, link, Loss::Broke, CloseReason::Unanswered),
-                Verdict::Fine => {}
-                Verdict::Dial => self.dial(now, link),
-                Verdict::Ping => {
+                LinkAction::None => {}
+                LinkAction::Dial => self.dial(now, link),
+                LinkAction::Ping => {
                     self.send_test(now, link);
                 }
             }
@@ -368,10 +375,10 @@
     fn free_a_connection(&mut self, now: Point) {
         let several = |at: &Arc<str>| self.known.get(at).is_some_and(|known| known.links.len() > 1);
         let free = |wire: &Wire| {
-            wire.link.is_up() && wire.open == 0 && (wire.link.idle.is_some() || several(&wire.at))
+            wire.link.is_up() && wire.open == 0 && (wire.link.idle_since.is_some() || several(&wire.at))
         };
         let all = self.wires.iter().filter(|(_, wire)| free(wire));
-        let first = all.min_by_key(|(_, wire)| (wire.link.idle.is_none(), wire.link.idle));
+        let first = all.min_by_key(|(_, wire)| (wire.link.idle_since.is_none(), wire.link.idle_since));
         if let Some(link) = first.map(|(link, _)| *link) {
             self.hang(now, link, Loss::Broke, CloseReason::MakesRoom);
         }
@@ -404,7 +411,11 @@
         if !wire.link.is_up() && !wire.link.is_dialling() {
             return;
         }
-        if wire.link.push(Queued { order: Order { message, permit: None }, shot: None, not_after: None }) {
+        if wire.link.push(QueuedMessage {
+            message: Order { message, permit: None },
+            attempt: None,
+            not_after: None,
+        }) {
             self.pump(now, link);
         } else {
             self.hang(now, link, Loss::Broke, CloseReason::QueueFull);
@@ -414,7 +425,7 @@
     /// Hands the next orders of a link to the I/O.
     pub(super) fn pump(&mut self, now: Point, link: u64) {
         let Some(wire) = self.wires.get_mut(&link) else { return };
-        let orders = wire.link.batch(now);
+        let orders = wire.link.next_batch(now);
         if orders.is_empty() {
             return;
         }
@@ -429,9 +440,9 @@
             self.add_link(now, at);
             return Some(self.next_link).filter(|link| self.wires[link].link.is_dialling());
         }
-        let may = |link: &&u64| self.wires.get(link).is_some_and(|wire| wire.link.may_dial(now));
+        let may = |link: &&u64| self.wires.get(link).is_some_and(|wire| wire.link.can_dial(now));
         let link = *links.iter().find(may)?;
-        self.wires.get_mut(&link)?.link.idle = None;
+        self.wires.get_mut(&link)?.link.idle_since = None;
         self.dial(now, link);
         self.wires.get(&link).filter(|wire| wire.link.is_dialling()).map(|_| link)
     }
--- a/crates/lemontide-platform/src/dispatcher/list.rs
+++ b/crates/lemontide-platform/src/dispatcher/list.rs
@@ -56,7 +56,7 @@
         let stage = known.entry.stage();
         for link in known.links.clone() {
             let Some(wire) = self.wires.get_mut(&link) else { continue };
-            wire.link.wanted = stage != StreamerState::Gone;
+            wire.link.is_listed = stage != StreamerState::Gone;
             if stage != StreamerState::Ready {
                 let shots = self.withdraw_waiting(link);
                 self.never_began(now, shots, AttemptOutcome::NotSent);
--- a/crates/lemontide-platform/src/serve.rs
+++ b/crates/lemontide-platform/src/serve.rs
@@ -10,7 +10,7 @@
 use futures::FutureExt;
 use lemontide::clock::{Point, Span};
 use lemontide::interface::{get_number, get_text, ControllerSettings};
-use lemontide_front::core::{Connection, Queued};
+use lemontide_front::core::{Connection, QueuedMessage};
 use lemontide_wire::clock::Clock;
 use std::collections::HashMap;
 use std::io;
@@ -103,7 +103,7 @@
 
 /// A streamer's connection: where batches for it go, and what closes it, at the latest when dropped.
 struct Orders {
-    batches: mpsc::Sender<Vec<Queued<Order>>>,
+    batches: mpsc::Sender<Vec<QueuedMessage<Order>>>,
     close: oneshot::Sender<Close>,
 }
 
--- a/crates/lemontide-platform/src/streamers.rs
+++ b/crates/lemontide-platform/src/streamers.rs
@@ -7,7 +7,7 @@
 use crate::reader::Reader;
 use bytes::{Buf, BytesMut};
 use lemontide::clock::Point;
-use lemontide_front::core::{Connection, Queued};
+use lemontide_front::core::{Connection, QueuedMessage};
 use lemontide_wire::clock::Clock;
 use std::io;
 use std::time::Duration;
@@ -89,10 +89,10 @@
     /// Writes a message whole; false where it may no longer begin. `not_after` is asked of the clock when the socket
     /// takes its first bytes. Guards against set-ups that leave after their viewer did, or after they were sent
     /// elsewhere, as they waited in a batch on a slow connection.
-    async fn write(&mut self, clock: Clock, queued: &Queued<Order>) -> io::Result<bool> {
-        let attempt = queued.order.permit.as_ref().filter(|_| queued.shot.is_some());
+    async fn write(&mut self, clock: Clock, queued: &QueuedMessage<Order>) -> io::Result<bool> {
+        let attempt = queued.message.permit.as_ref().filter(|_| queued.attempt.is_some());
         self.bytes.clear();
-        Codec.encode(queued.order.message.clone(), &mut self.bytes)?;
+        Codec.encode(queued.message.message.clone(), &mut self.bytes)?;
         let mut begun = false;
         while !self.bytes.is_empty() {
             self.socket.writable().await?;
@@ -118,12 +118,16 @@
     }
 
     /// Writes a batch; the attempts in it whose time was over, which never ran.
-    async fn write_all(&mut self, clock: Clock, batch: Vec<Queued<Order>>) -> io::Result<Vec<(u32, u32)>> {
+    async fn write_all(
+        &mut self,
+        clock: Clock,
+        batch: Vec<QueuedMessage<Order>>,
+    ) -> io::Result<Vec<(u32, u32)>> {
         let mut unsent = Vec::new();
         for queued in batch {
             let written = self.write(clock, &queued).await?;
-            let permit = queued.order.permit.as_ref();
-            match queued.shot {
+            let permit = queued.message.permit.as_ref();
+            match queued.attempt {
                 Some(shot) if !written && permit.is_some_and(Permit::withdraw) => unsent.push(shot),
                 _ => {}
             }
@@ -143,7 +147,7 @@
 pub async fn run(
     clock: Clock,
     to: Dial,
-    orders: mpsc::Receiver<Vec<Queued<Order>>>,
+    orders: mpsc::Receiver<Vec<QueuedMessage<Order>>>,
     mut close: oneshot::Receiver<Close>,
     reports: mpsc::Sender<Report>,
 ) {
@@ -203,7 +207,7 @@
 async fn attend(
     clock: Clock,
     to: Dial,
-    mut orders: mpsc::Receiver<Vec<Queued<Order>>>,
+    mut orders: mpsc::Receiver<Vec<QueuedMessage<Order>>>,
     close: &mut oneshot::Receiver<Close>,
     reports: &mpsc::Sender<Report>,
 ) -> End {
--- a/crates/lemontide-platform/tests/common/mod.rs
+++ b/crates/lemontide-platform/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use lemontide::clock::{Point, Span};
 use lemontide::interface::Load;
-use lemontide_front::core::{Connection, Queued};
+use lemontide_front::core::{Connection, QueuedMessage};
 use lemontide_platform::codec::{cause, Body, Figures, Message, SetUp};
 use lemontide_platform::config::{Entry, Hosts};
 use lemontide_platform::dispatcher::{Dispatcher, Effect, Loss, Order};
@@ -78,7 +78,7 @@
     pub away: HashMap<String, Loss>,
     /// Connections that take nothing for now and do not close, and the batches that wait for them.
     pub slow: BTreeSet<u64>,
-    pub batches: Vec<(Connection, Vec<Queued<Order>>)>,
+    pub batches: Vec<(Connection, Vec<QueuedMessage<Order>>)>,
     /// Links whose streamer reads nothing for now, and the tests that it has not read.
     pub unread: BTreeSet<u64>,
     pub unread_tests: Vec<(Connection, u64)>,
@@ -324,10 +324,10 @@
     }
 
     /// What a connection's task does with a batch, and the streamer with what it reads of it.
-    pub fn write(&mut self, on: Connection, orders: Vec<Queued<Order>>) {
-        let may = |queued: &Queued<Order>| queued.order.permit.as_ref().is_none_or(Permit::begin);
+    pub fn write(&mut self, on: Connection, orders: Vec<QueuedMessage<Order>>) {
+        let may = |queued: &QueuedMessage<Order>| queued.message.permit.as_ref().is_none_or(Permit::begin);
         let written: Vec<Message> =
-            orders.into_iter().filter(may).map(|queued| queued.order.message).collect();
+            orders.into_iter().filter(may).map(|queued| queued.message.message).collect();
         let tests: Vec<u64> = written.iter().filter(|m| m.body == Body::Test).map(|m| m.session).collect();
         self.written.extend(written.into_iter().map(|message| (on.link, message)));
         self.dispatcher.wrote(self.now, on, Vec::new());
--- a/crates/lemontide-platform/tests/settings.rs
+++ b/crates/lemontide-platform/tests/settings.rs
@@ -44,8 +44,8 @@
                     Effect::Dial { on, .. } => dispatcher.linked(now, on),
                     Effect::Write { on, orders } => {
                         for queued in orders {
-                            let Message { session, body } = queued.order.message;
-                            queued.order.permit.map(|permit| permit.begin());
+                            let Message { session, body } = queued.message.message;
+                            queued.message.permit.map(|permit| permit.begin());
                             if matches!(body, Body::SetUp(_)) {
                                 let answer =
                                     Body::Answer { description: Bytes::new(), load: Default::default() };
--- a/crates/lemontide-standin/src/swarm.rs
+++ b/crates/lemontide-standin/src/swarm.rs
@@ -275,7 +275,7 @@
                 let wire = self.instances[me].as_ref().and_then(|instance| instance.wires.get(&at).copied());
                 let Some((conn, _)) = wire.filter(|wire| wire.1 == dial) else { return };
                 for queued in orders {
-                    self.order(me, at, conn, queued.order);
+                    self.order(me, at, conn, queued.message);
                 }
                 if let Some(instance) = self.instances[me].as_mut() {
                     instance.driver.wrote(now, at, dial, Vec::new());
--- a/crates/lemontide-standin/tests/crossings.rs
+++ b/crates/lemontide-standin/tests/crossings.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use lemontide::clock::{Point, Span};
-use lemontide_front::core::{Connection, Queued};
+use lemontide_front::core::{Connection, QueuedMessage};
 use lemontide_platform::codec::{Body, Message, SetUp};
 use lemontide_platform::config::Hosts;
 use lemontide_platform::dispatcher::Order;
@@ -22,7 +22,7 @@
 
 /// A connection to a streamer as the loop runs it; the test plays the streamer.
 struct Line {
-    orders: mpsc::Sender<Vec<Queued<Order>>>,
+    orders: mpsc::Sender<Vec<QueuedMessage<Order>>>,
     close: Option<oneshot::Sender<Close>>,
     reports: mpsc::Receiver<Report>,
     streamer: TcpStream,
@@ -41,7 +41,7 @@
     Line { orders, close: Some(close), reports, streamer }
 }
 
-fn set_up(session: u64, permit: &Permit) -> Queued<Order> {
+fn set_up(session: u64, permit: &Permit) -> QueuedMessage<Order> {
     let body = Body::SetUp(SetUp {
         lane: "paid".into(),
         title: "t".into(),
@@ -49,7 +49,7 @@
         ..SetUp::default()
     });
     let order = Order { message: Message { session, body }, permit: Some(permit.clone()) };
-    Queued { order, shot: Some((session as u32, 0)), not_after: None }
+    QueuedMessage { message: order, attempt: Some((session as u32, 0)), not_after: None }
 }
 
 /// The sessions of all set-ups that a streamer reads until the other end closes, whole ones only.
@@ -157,7 +157,7 @@
     let mut line = line().await;
     let permit = Permit::new();
     let past = Point::at(Clock::start().now()) - Span::of(1.0);
-    let late = Queued { not_after: Some(past), ..set_up(1, &permit) };
+    let late = QueuedMessage { not_after: Some(past), ..set_up(1, &permit) };
     let other = Permit::new();
     line.orders.send(vec![late, set_up(2, &other)]).await.expect("it takes orders");
     let told = timeout(SOON, line.reports.recv()).await.expect("told");
