--- a/crates/lemontide-front/src/core/driver.rs
+++ b/crates/lemontide-front/src/core/driver.rs
@@ -5,7 +5,10 @@
 mod attempts;
 
 use super::links::{Link, LinkAction, QueuedMessage};
-use super::{seconds, AbandonedAttempt, Connection, Evidence, InFleet, RecentViewers, Shared, Together};
+use super::{
+    seconds, AbandonedAttempt, Connection, Coordination, CoordinationSettings, Evidence, FleetStatus,
+    RecentViewers,
+};
 use lemontide::clock::{Point, Span};
 use lemontide::control::{Controller, SessionHandle};
 use lemontide::interface::{
@@ -47,7 +50,7 @@
     /// Set-ups under way to one streamer are bounded by how it answers.
     pub flights: bool,
     /// How this controller acts as one of many, where the settings ask for it.
-    pub together: Option<Shared>,
+    pub together: Option<CoordinationSettings>,
     /// Cells of the fleet.
     pub cells: usize,
 }
@@ -153,7 +156,7 @@
     wake: Option<Point>,
     looked_after: Point,
     viewers: RecentViewers,
-    together: Option<Together>,
+    together: Option<Coordination>,
     chance: StdRng,
     nonce: u64,
     stopping: bool,
@@ -167,7 +170,7 @@
     pub fn start(now: Point, seed: u64, sheet: &ControllerSettings, terms: Terms) -> Driver {
         Driver {
             module: Controller::new(now, seed, sheet),
-            together: terms.together.as_ref().and_then(|shared| Together::new(now, shared)),
+            together: terms.together.as_ref().and_then(|shared| Coordination::new(now, shared)),
             terms,
             known: Vec::new(),
             by_name: HashMap::new(),
@@ -310,7 +313,7 @@
         }));
         self.taken += 1;
         if let Some(together) = &mut self.together {
-            together.asked(now);
+            together.record_request(now);
         }
         let handle = self.module.submit(now, &wish_here);
         let held = Held {
@@ -433,21 +436,21 @@
     /// Who of the other controllers is there, by number. What follows of it for turns is the fleet core's to say.
     pub fn fleet(&mut self, now: Point, numbers: &BTreeMap<u32, Option<Point>>) {
         let Some(together) = &mut self.together else { return };
-        let (turns, tap) = together.hear(now, numbers);
-        self.module.cover_turns(turns.own, &turns.missing, turns.until);
+        let (turns, tap) = together.update_membership(now, numbers);
+        self.module.cover_turns(turns.has_own_turns, &turns.missing_controllers, turns.until);
         self.effects.extend(tap);
     }
 
     /// This controller as one of many, for the operators.
-    pub fn in_fleet(&self, now: Point) -> Option<InFleet> {
-        self.together.as_ref().map(|together| together.figures(now))
+    pub fn in_fleet(&self, now: Point) -> Option<FleetStatus> {
+        self.together.as_ref().map(|together| together.status(now))
     }
 
     /// Chooses which streamers go first, and closes links that nothing needs.
     fn share_out(&mut self, now: Point) {
         let Some(together) = &mut self.together else { return };
         let (titles, entries) = (self.terms.titles.values().copied(), self.known.iter().map(|k| &k.entry));
-        for (at, first) in together.choose(now, self.listed, titles, self.terms.cells, entries) {
+        for (at, first) in together.update_subset(now, self.listed, titles, self.terms.cells, entries) {
             if let Some(known) = self.known.get(at as usize) {
                 self.module.set_preferred(&known.entry.streamer, first);
             }
@@ -463,7 +466,7 @@
             let needed = needed || known.looking.is_some();
             known.link.idle_since = known.link.idle_since.or(Some(now)).filter(|_| !needed);
             let idle = known.link.idle_since.map_or(Span::ZERO, |since| now - since);
-            if known.link.is_up() && together.may_close(at, idle) {
+            if known.link.is_up() && together.can_close(at, idle) {
                 known.link.close_idle(now);
                 known.link.withdraw_all();
                 self.effects.push(Effect::Hang { at, dial: known.link.dial });
--- a/crates/lemontide-front/src/core/driver/attempts.rs
+++ b/crates/lemontide-front/src/core/driver/attempts.rs
@@ -180,7 +180,7 @@
                 | AttemptOutcome::Unknown
         );
         if let Some(together) = self.together.as_mut().filter(|_| against) {
-            together.spend(now, at);
+            together.avoid_streamer(now, at);
         }
         // Streams that end well say no more than their start did; one lost streamer is one failure, not hundreds.
         if !playing {
--- a/crates/lemontide-front/src/core/mod.rs
+++ b/crates/lemontide-front/src/core/mod.rs
@@ -3,16 +3,16 @@
 
 mod admission;
 mod attempt;
+mod coordination;
 mod driver;
 mod links;
-mod together;
 mod viewers;
 
 pub use admission::{EarlyAdmission, EarlyDecision};
 pub use attempt::{AbandonedAttempt, Connection, Evidence, Proof};
+pub use coordination::{Coordination, CoordinationSettings, FleetStatus};
 pub use driver::{Driver, Effect, Held, Refusal, Terms};
 pub use links::{Link, LinkAction, QueuedMessage};
-pub use together::{InFleet, Shared, Together};
 pub use viewers::RecentViewers;
 
 use lemontide::clock::Point;
--- a/crates/lemontide-front/src/events.rs
+++ b/crates/lemontide-front/src/events.rs
@@ -1,6 +1,6 @@
 //! What passes between the sockets' tasks and the deciding thread: wishes, what happens, and the controller in figures.
 
-use crate::core::{InFleet, Refusal};
+use crate::core::{FleetStatus, Refusal};
 use lemontide::clock::Point;
 use lemontide_shed::connection_limits::ConnectionCounts;
 use lemontide_shed::shedder::LoadSnapshot;
@@ -102,7 +102,7 @@
     /// Set-ups under way to each streamer, and how many may be.
     pub flights: Vec<(String, usize, usize)>,
     /// Where turns and streamers are shared out: this controller's view of the fleet.
-    pub together: Option<InFleet>,
+    pub together: Option<FleetStatus>,
     /// Seconds of CPU that the deciding thread spent in the driver and the module.
     pub deciding_s: f64,
 }
--- a/crates/lemontide-front/src/settings.rs
+++ b/crates/lemontide-front/src/settings.rs
@@ -1,7 +1,7 @@
 //! What the operators state, as JSON with a published schema. Read once at start and checked; an error names
 //! the file, the path in it and the remedy. Nothing is decided here: the module gets it all as a plain map.
 
-use crate::core::{Shared, Terms};
+use crate::core::{CoordinationSettings, Terms};
 use lemontide::clock::Span;
 use lemontide::interface::{ControllerSettings, SettingValue};
 use lemontide_fleet::view::MAX_INSTANCES;
@@ -633,15 +633,15 @@
             held_most: self.limits.held,
             flights: self.shedding.is_some(),
             cells: self.fleet.cells,
-            together: self.together.as_ref().map(|together| Shared {
-                me: self.me as u32,
-                count: self.controllers as u32,
-                hears: together.view == Source::Gossip,
-                oldest: Span::of(together.oldest_s),
-                subset: together.subset,
-                idle: Span::of(together.idle_s),
+            together: self.together.as_ref().map(|together| CoordinationSettings {
+                own_number: self.me as u32,
+                controller_count: self.controllers as u32,
+                uses_gossip: together.view == Source::Gossip,
+                max_view_age: Span::of(together.oldest_s),
+                uses_subset: together.subset,
+                idle_timeout: Span::of(together.idle_s),
                 zone: (self.charges.cross_zone > 0.0).then(|| self.zone.clone()),
-                mean: self.mean_traffic(),
+                mean_requests_per_s: self.mean_traffic(),
             }),
         }
     }
--- a/crates/lemontide-front/tests/driver.rs
+++ b/crates/lemontide-front/tests/driver.rs
@@ -382,7 +382,7 @@
     assert_eq!(world.driver.links_up(), 0);
     let id = world.ask("free");
     world.plays(id);
-    let first = world.driver.in_fleet(world.now).expect("it is one of many").first;
+    let first = world.driver.in_fleet(world.now).expect("it is one of many").preferred_count;
     assert_eq!((world.driver.links_up(), first), (1, 1), "one title, one streamer that goes first");
     let (at, _) = world.shot(id);
     // Crowded out of the first one, it opens others, and closes those when they are idle.
@@ -410,7 +410,7 @@
         let at = |s: f64| lemontide::clock::Point::at(s);
         [(0, None), (1, gone.map(at)), (3, None), (77, None)].into_iter().collect()
     };
-    let stands = |world: &World| world.driver.in_fleet(world.now).expect("it is one of many").stands_for;
+    let stands = |world: &World| world.driver.in_fleet(world.now).expect("it is one of many").covered_numbers;
     let hear = |world: &mut World, gone: Option<f64>, seconds: f64| {
         for _ in 0..(seconds * 4.0) as usize {
             world.driver.fleet(world.now, &told(gone));
@@ -428,10 +428,13 @@
     hear(&mut world, Some(1040.0), 2.0);
     assert!(stands(&world).is_empty());
     let figures = world.driver.in_fleet(world.now).expect("it is one of many");
-    assert_eq!((figures.present, figures.count, figures.doubled), (3, 4, false));
+    assert_eq!((figures.present_count, figures.controller_count, figures.has_duplicate), (3, 4, false));
     let twice = [(2, None)].into_iter().collect();
     world.driver.fleet(world.now, &twice);
-    assert!(world.driver.in_fleet(world.now).expect("it is one of many").doubled, "two under one number");
+    assert!(
+        world.driver.in_fleet(world.now).expect("it is one of many").has_duplicate,
+        "two under one number"
+    );
 }
 
 #[test]
--- a/crates/lemontide-standin/src/swarm.rs
+++ b/crates/lemontide-standin/src/swarm.rs
@@ -5,7 +5,7 @@
 use crate::model::{Conn, Model, Out, Stand};
 use crate::simulated_network::{NetworkConfig, SimulatedNetwork};
 use lemontide::clock::{Point, Span};
-use lemontide_front::core::{Driver, Effect, Shared};
+use lemontide_front::core::{CoordinationSettings, Driver, Effect};
 use lemontide_wire::cmcd::Cmcd;
 use lemontide_wire::link::{ControllerMessage, Looked, Pong, StreamerMessage};
 use lemontide_wire::list::{ListEntry, StreamerList};
@@ -186,15 +186,15 @@
     fn start(&mut self, me: usize, born: f64) {
         let settings =
             self.day.settings(me, std::path::Path::new("list.json"), None, self.plan.seed + me as u64);
-        let shared = Shared {
-            me: me as u32,
-            count: self.plan.controllers as u32,
-            hears: self.plan.views == Views::Gossip,
-            oldest: Span::of(15.0),
-            subset: true,
-            idle: Span::of(10.0),
+        let shared = CoordinationSettings {
+            own_number: me as u32,
+            controller_count: self.plan.controllers as u32,
+            uses_gossip: self.plan.views == Views::Gossip,
+            max_view_age: Span::of(15.0),
+            uses_subset: true,
+            idle_timeout: Span::of(10.0),
             zone: None,
-            mean: Some(self.plan.per_s / self.plan.controllers as f64),
+            mean_requests_per_s: Some(self.plan.per_s / self.plan.controllers as f64),
         };
         let mut terms = settings.terms();
         terms.together = (self.plan.views != Views::Mesh).then_some(shared);
