--- a/crates/lemontide-front/src/core/driver.rs
+++ b/crates/lemontide-front/src/core/driver.rs
@@ -1,6 +1,6 @@
-//! The driver: what happens becomes calls on the decision module, and what the module decides becomes effects.
-//! It tells the module the truth of every shot: what was never handed to a socket provably never ran, what was
-//! handed over may have run unless the streamer sent it back.
+//! The driver: turns events into calls of the decision module, and the module's decisions into effects.
+//! It reports the outcome of each attempt to the module: an attempt that was never handed to a socket cannot have run,
+//! one that was handed over may have run unless the streamer refused it.
 
 mod attempts;
 
@@ -28,455 +28,498 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-/// Kept back of a viewer's time, so that the final answer is there before the viewer goes.
-const ANSWER_MARGIN: Span = Span::of_millis(40);
-/// The links are looked after this often.
-const LINK_BEAT: Span = Span::of_millis(100);
+/// Part of a viewer's time limit that is reserved, so that the final response arrives before the viewer leaves.
+const RESPONSE_MARGIN: Span = Span::of_millis(40);
+/// Interval between two checks of all links.
+const LINK_CHECK_INTERVAL: Span = Span::of_millis(100);
 
-/// What the operators state and the driver itself needs; the rest is the module's, in the sheet.
+/// The operators' settings that the driver itself needs; those of the decision module are in `ControllerSettings`.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
-    /// Name and cut-off of each lane.
-    pub lanes: Vec<(String, Span)>,
-    /// First cell of each title, and how many in a row hold it.
+pub struct DriverSettings {
+    /// Name of each class, and the time after which its viewers leave.
+    pub classes: Vec<(String, Span)>,
+    /// First cell of each title, and the number of cells in a row that hold it.
     pub titles: HashMap<String, (usize, usize)>,
-    /// Rates of the rungs in kB a second, and each lane's scale of them.
-    pub ladder_kb: Vec<f64>,
-    pub lane_scale: Vec<f64>,
+    /// Rates of the rungs in kB per second.
+    pub ladder_kb_per_s: Vec<f64>,
+    /// Factor on these rates for each class.
+    pub class_rate_scales: Vec<f64>,
+    /// Limit of one attempt to connect to a streamer.
     pub dial_timeout: Span,
-    pub look_timeout: Span,
-    /// Wishes and subscriptions in hand at most.
-    pub held_most: usize,
-    /// Set-ups under way to one streamer are bounded by how it answers.
-    pub flights: bool,
-    /// How this controller acts as one of many, where the settings ask for it.
-    pub together: Option<CoordinationSettings>,
-    /// Cells of the fleet.
-    pub cells: usize,
+    /// Limit of the answer to a probe.
+    pub probe_timeout: Span,
+    /// Highest number of sessions, waiting or playing.
+    pub max_sessions: usize,
+    /// Limits the concurrent set-ups of each streamer by its response times.
+    pub limit_set_ups: bool,
+    /// Coordination with other controllers, where the settings ask for it.
+    pub coordination: Option<CoordinationSettings>,
+    /// Number of cells of the fleet.
+    pub cell_count: usize,
 }
 
-/// Something that has to be done.
+/// Something that the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// The final answer of a wish, with the highest bitrate suggested in kbit/s and whether it is short there.
-    Answer {
+    /// The final response to a request.
+    Response {
         id: u32,
-        answer: PlayResponse,
+        response: PlayResponse,
+        /// Highest bitrate suggested to the player, in kbit/s.
         suggested_kbps: Option<u64>,
+        /// Whether the server is under duress: true unless the session plays.
         duress: bool,
-        /// Its lane, and the shots that it took.
-        lane: usize,
-        shots: u32,
-    },
-    News {
-        id: u32,
-        news: SessionEvent,
-    },
-    Dial {
-        at: usize,
-        dial: u64,
-        streamer: String,
-        address: String,
-    },
-    Write {
-        at: usize,
-        dial: u64,
-        orders: Vec<QueuedMessage>,
+        /// Index of its class.
+        class: usize,
+        /// Number of attempts made for it.
+        attempts: u32,
     },
+    /// An event of a playing session, for its player.
+    SessionEvent { id: u32, event: SessionEvent },
+    /// Connect to a streamer.
+    Dial { streamer_index: usize, dial: u64, streamer: String, address: String },
+    /// Write these messages to the connection of that dial.
+    Write { streamer_index: usize, dial: u64, messages: Vec<QueuedMessage> },
     /// Close the connection of that dial.
-    Hang {
-        at: usize,
-        dial: u64,
-    },
-    /// A try at a streamer ended well or badly here: evidence for those who gossip.
-    Saw {
-        streamer: String,
-        good: bool,
-    },
+    CloseConnection { streamer_index: usize, dial: u64 },
+    /// An attempt or a connection to a streamer succeeded or failed, which gossip passes on to other controllers.
+    StreamerObserved { streamer: String, succeeded: bool },
+    /// Record this event in the tap.
     Tap(TapEvent),
 }
 
-/// Why a wish was not taken at all.
+/// Why a request was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
-    NoSuchTitle,
-    NoSuchLane,
-    /// As many are in hand as the settings allow, or the controller stops.
+pub enum SubmitError {
+    UnknownTitle,
+    UnknownClass,
+    /// The number of sessions has reached its limit, the id is in use, or the controller is stopping.
     Closed,
-    /// The controller is near its own limit: come again after this.
+    /// The controller is near its own limits: the viewer can try again after this time.
     Overloaded {
-        wait: Span,
+        retry_after: Span,
     },
 }
 
-struct Out {
+/// An attempt that has not ended.
+struct PendingAttempt {
     number: u32,
+    /// Latest moment for the streamer's response.
     deadline: Point,
+    /// Latest moment for its first byte to be written.
     not_after: Point,
-    /// When it was given to the socket: from here on it may have run.
-    handed: Option<Point>,
-    /// It is given up, and the next attempt waits for a proof that it is over.
-    given_up: Option<AbandonedAttempt>,
+    /// When it was handed to the socket: from then on it may have run.
+    sent_at: Option<Point>,
+    /// Set once it is abandoned: the next attempt waits for proof that this one is over.
+    abandoned: Option<AbandonedAttempt>,
 }
 
-/// A wish or subscription in hand.
-pub struct Held {
+/// A request that waits for its response, or the playing session that it became.
+pub struct Session {
     handle: SessionHandle,
-    pub ask: String,
+    /// Id that the player gave to the request.
+    pub request_id: String,
     title: String,
-    lane: usize,
-    cut_off: Point,
-    at: usize,
+    class: usize,
+    /// Latest moment for the final response.
+    deadline: Point,
+    /// Streamer of the last attempt, `usize::MAX` before the first one.
+    streamer_index: usize,
     pub rung: usize,
-    shots: u32,
-    out: Option<Out>,
+    attempt_count: u32,
+    attempt: Option<PendingAttempt>,
     pub playing: bool,
-    left: bool,
-    last: Option<AttemptOutcome>,
+    viewer_left: bool,
+    last_outcome: Option<AttemptOutcome>,
 }
 
-struct Known {
+/// A streamer that the list names or has named.
+struct KnownStreamer {
     entry: list::ListEntry,
-    /// Last start as its own welcome told it.
-    welcomed: Option<f64>,
+    /// Start time that its last welcome message gave, in seconds.
+    welcome_started_at_s: Option<f64>,
     link: Link,
-    looking: Option<(u64, Point)>,
+    /// Nonce and deadline of the probe that awaits an answer.
+    probe: Option<(u64, Point)>,
 }
 
+/// Drives the decision module without I/O.
 pub struct Driver {
     module: Controller,
-    terms: Terms,
-    known: Vec<Known>,
-    by_name: HashMap<String, usize>,
-    /// Counts the lists taken in.
-    listed: u64,
-    /// Ordered, so that the same events give the same effects.
-    held: BTreeMap<u32, Held>,
-    due: BinaryHeap<Reverse<(Point, u32, u32)>>,
-    wake: Option<Point>,
-    looked_after: Point,
-    viewers: RecentViewers,
-    together: Option<Coordination>,
-    chance: StdRng,
-    nonce: u64,
+    settings: DriverSettings,
+    /// A streamer's index is also the number of its link, and stays the same.
+    streamers: Vec<KnownStreamer>,
+    index_by_name: HashMap<String, usize>,
+    /// Number of lists received.
+    list_revision: u64,
+    /// Ordered by id, so that the same events give the same effects in the same order.
+    sessions: BTreeMap<u32, Session>,
+    /// Deadlines of attempts: moment, id of the session and number of the attempt.
+    deadlines: BinaryHeap<Reverse<(Point, u32, u32)>>,
+    next_module_tick: Option<Point>,
+    links_checked_at: Point,
+    recent_viewers: RecentViewers,
+    coordination: Option<Coordination>,
+    random: StdRng,
+    last_nonce: u64,
     stopping: bool,
+    /// What the caller has to do next.
     pub effects: Vec<Effect>,
-    /// Counters for the operators: wishes taken, and answers by kind.
-    pub taken: u64,
-    pub answered: [u64; 3],
+    /// Number of accepted requests.
+    pub accepted_count: u64,
+    /// Number of final responses of each kind: playing, rejected, failed.
+    pub response_counts: [u64; 3],
 }
 
 impl Driver {
-    pub fn start(now: Point, seed: u64, sheet: &ControllerSettings, terms: Terms) -> Driver {
+    /// Creates a driver that knows no streamers yet.
+    pub fn new(
+        now: Point,
+        seed: u64,
+        module_settings: &ControllerSettings,
+        settings: DriverSettings,
+    ) -> Driver {
         Driver {
-            module: Controller::new(now, seed, sheet),
-            together: terms.together.as_ref().and_then(|shared| Coordination::new(now, shared)),
-            terms,
-            known: Vec::new(),
-            by_name: HashMap::new(),
-            listed: 0,
-            held: BTreeMap::new(),
-            due: BinaryHeap::new(),
-            wake: None,
-            looked_after: now,
-            viewers: RecentViewers::default(),
-            chance: StdRng::seed_from_u64(seed),
-            nonce: 0,
+            module: Controller::new(now, seed, module_settings),
+            coordination: settings
+                .coordination
+                .as_ref()
+                .and_then(|coordination| Coordination::new(now, coordination)),
+            settings,
+            streamers: Vec::new(),
+            index_by_name: HashMap::new(),
+            list_revision: 0,
+            sessions: BTreeMap::new(),
+            deadlines: BinaryHeap::new(),
+            next_module_tick: None,
+            links_checked_at: now,
+            recent_viewers: RecentViewers::default(),
+            random: StdRng::seed_from_u64(seed),
+            last_nonce: 0,
             stopping: false,
             effects: Vec::new(),
-            taken: 0,
-            answered: [0; 3],
+            accepted_count: 0,
+            response_counts: [0; 3],
         }
     }
 
-    /// When `tick` wants to be called next.
-    pub fn next(&self) -> Point {
-        let due = self.due.peek().map(|Reverse((at, ..))| *at);
-        let beat = self.looked_after + LINK_BEAT;
-        [due, self.wake].into_iter().flatten().fold(beat, Point::min)
+    /// When `tick` has to be called next.
+    pub fn next_tick_at(&self) -> Point {
+        let next_deadline = self.deadlines.peek().map(|Reverse((deadline, ..))| *deadline);
+        let next_link_check = self.links_checked_at + LINK_CHECK_INTERVAL;
+        [next_deadline, self.next_module_tick].into_iter().flatten().fold(next_link_check, Point::min)
     }
 
-    pub fn in_hand(&self) -> usize {
-        self.held.len()
+    /// Number of sessions, waiting or playing.
+    pub fn session_count(&self) -> usize {
+        self.sessions.len()
     }
 
-    pub fn playing(&self) -> usize {
-        self.held.values().filter(|held| held.playing).count()
+    /// Number of sessions that play.
+    pub fn playing_count(&self) -> usize {
+        self.sessions.values().filter(|session| session.playing).count()
     }
 
+    /// Number of streamers with an established connection.
     pub fn links_up(&self) -> usize {
-        self.known.iter().filter(|known| known.link.is_up()).count()
+        self.streamers.iter().filter(|known| known.link.is_up()).count()
     }
 
-    pub fn streamers(&self) -> usize {
-        self.known.len()
+    /// Number of streamers that the list names or has named.
+    pub fn streamer_count(&self) -> usize {
+        self.streamers.len()
     }
 
-    /// Takes the list, whole: who is missing is gone. What waits for a streamer that drains or is gone is taken
-    /// back at once and placed anew.
-    pub fn learn(&mut self, now: Point, list: &StreamerList) {
-        self.listed += 1;
-        let mut gone: Vec<bool> = vec![true; self.known.len()];
+    /// Applies a complete list: a streamer that it does not name is gone. Set-ups that wait to be written to a draining
+    /// or gone streamer are withdrawn at once and placed again.
+    pub fn update_list(&mut self, now: Point, list: &StreamerList) {
+        self.list_revision += 1;
+        let mut gone: Vec<bool> = vec![true; self.streamers.len()];
         for entry in &list.streamers {
-            let at = self.by_name.get(&entry.streamer).copied().unwrap_or(self.known.len());
-            if at == self.known.len() {
-                self.by_name.insert(entry.streamer.clone(), at);
+            let streamer_index =
+                self.index_by_name.get(&entry.streamer).copied().unwrap_or(self.streamers.len());
+            if streamer_index == self.streamers.len() {
+                self.index_by_name.insert(entry.streamer.clone(), streamer_index);
                 let mut link = Link::new(now);
-                link.set_up_limit = self.terms.flights.then(|| ConcurrencyLimit::new(now));
-                // One of many dials when something needs the link, not all at once when the list comes.
-                link.idle_since = self.together.as_ref().map(|_| now);
-                let known = Known { entry: entry.clone(), welcomed: None, link, looking: None };
-                self.known.push(known);
+                link.set_up_limit = self.settings.limit_set_ups.then(|| ConcurrencyLimit::new(now));
+                // With coordination a link is dialled when something needs it, not all links when the list arrives.
+                link.idle_since = self.coordination.as_ref().map(|_| now);
+                let known =
+                    KnownStreamer { entry: entry.clone(), welcome_started_at_s: None, link, probe: None };
+                self.streamers.push(known);
                 gone.push(false);
-                self.tell(entry.clone());
+                self.record_list_change(entry.clone());
                 continue;
             }
-            gone[at] = false;
-            let before = std::mem::replace(&mut self.known[at].entry, entry.clone());
-            if (before.state, before.started_at) != (entry.state, entry.started_at) {
-                self.tell(entry.clone());
+            gone[streamer_index] = false;
+            let previous = std::mem::replace(&mut self.streamers[streamer_index].entry, entry.clone());
+            if (previous.state, previous.started_at) != (entry.state, entry.started_at) {
+                self.record_list_change(entry.clone());
             }
-            if before.address != entry.address {
-                // The old process is not the one that the list means: its streams are over.
-                self.hang(now, at);
+            if previous.address != entry.address {
+                // The list no longer names the process at the old address, so its streams are over.
+                self.close_link(now, streamer_index);
             }
         }
-        for at in (0..gone.len()).filter(|at| gone[*at]) {
-            if self.known[at].entry.state != list::StreamerState::Gone {
-                self.known[at].entry.state = list::StreamerState::Gone;
-                self.tell(self.known[at].entry.clone());
+        for streamer_index in (0..gone.len()).filter(|streamer_index| gone[*streamer_index]) {
+            if self.streamers[streamer_index].entry.state != list::StreamerState::Gone {
+                self.streamers[streamer_index].entry.state = list::StreamerState::Gone;
+                self.record_list_change(self.streamers[streamer_index].entry.clone());
             }
         }
-        let lines: Vec<StreamerEntry> = self.known.iter().map(Known::line).collect();
-        self.module.update_list(now, &lines, true);
-        self.carry_out(now);
-        for at in 0..self.known.len() {
-            let stage = self.known[at].entry.state;
-            self.known[at].link.is_listed = stage != list::StreamerState::Gone;
-            if stage != list::StreamerState::Ready {
-                let shots = self.known[at].link.withdraw_set_ups();
-                self.end_shots(now, at, shots, AttemptOutcome::NotSent);
+        let entries: Vec<StreamerEntry> = self.streamers.iter().map(KnownStreamer::module_entry).collect();
+        self.module.update_list(now, &entries, true);
+        self.apply_actions(now);
+        for streamer_index in 0..self.streamers.len() {
+            let state = self.streamers[streamer_index].entry.state;
+            self.streamers[streamer_index].link.is_listed = state != list::StreamerState::Gone;
+            if state != list::StreamerState::Ready {
+                let withdrawn = self.streamers[streamer_index].link.withdraw_set_ups();
+                self.end_unsent_attempts(now, streamer_index, withdrawn, AttemptOutcome::NotSent);
             }
         }
-        self.look_after_links(now, Span::ZERO);
-        self.carry_out(now);
+        self.check_links(now, Span::ZERO);
+        self.apply_actions(now);
     }
 
-    fn tell(&mut self, entry: list::ListEntry) {
-        let told = TapEvent::ListChangeReceived {
+    /// Records a new state of a streamer in the tap.
+    fn record_list_change(&mut self, entry: list::ListEntry) {
+        let event = TapEvent::ListChangeReceived {
             streamer: entry.streamer,
             state: entry.state,
             started_at: entry.started_at,
         };
-        self.effects.push(Effect::Tap(told));
+        self.effects.push(Effect::Tap(event));
     }
 
-    /// Takes a wish that came at `asked`; exactly one `Answer` with its id follows, unless it is refused here.
-    pub fn ask(
+    /// Submits a request that arrived at `requested_at`. Exactly one `Response` with its id follows, unless an error is
+    /// returned or the viewer leaves before.
+    pub fn submit(
         &mut self,
         now: Point,
-        asked: Point,
+        requested_at: Point,
         id: u32,
-        wish: &PlayRequest,
+        request: &PlayRequest,
         cmcd: &Cmcd,
-    ) -> Result<(), Refusal> {
-        let Some(lane) = self.terms.lanes.iter().position(|lane| lane.0 == wish.class) else {
-            return Err(Refusal::NoSuchLane);
+    ) -> Result<(), SubmitError> {
+        let Some(class) = self.settings.classes.iter().position(|(name, _)| *name == request.class) else {
+            return Err(SubmitError::UnknownClass);
         };
-        let Some((home, copies)) = self.terms.titles.get(&wish.title).copied() else {
-            return Err(Refusal::NoSuchTitle);
+        let Some((first_cell, replicas)) = self.settings.titles.get(&request.title).copied() else {
+            return Err(SubmitError::UnknownTitle);
         };
-        if self.stopping || self.held.len() >= self.terms.held_most || self.held.contains_key(&id) {
-            return Err(Refusal::Closed);
-        }
-        let lasts = wish.give_up_in_s.filter(|s| s.is_finite()).map_or(Span::of(1e6), Span::of);
-        let gone_at = asked + lasts.min(self.terms.lanes[lane].1);
-        let known = cmcd.session_id.as_ref().is_some_and(|session| self.viewers.record(now, session));
-        let wish_here = lemontide::interface::Request {
+        if self.stopping
+            || self.sessions.len() >= self.settings.max_sessions
+            || self.sessions.contains_key(&id)
+        {
+            return Err(SubmitError::Closed);
+        }
+        let time_limit = request.give_up_in_s.filter(|s| s.is_finite()).map_or(Span::of(1e6), Span::of);
+        let viewer_leaves_at = requested_at + time_limit.min(self.settings.classes[class].1);
+        let seen_before =
+            cmcd.session_id.as_ref().is_some_and(|session| self.recent_viewers.record(now, session));
+        let module_request = lemontide::interface::Request {
             id,
-            class: &wish.class,
-            tenant: &wish.tenant,
-            title: &wish.title,
-            deadline: gone_at - ANSWER_MARGIN,
-            first_cell: home,
-            replicas: copies,
-            max_rung: self.top(lane, wish, cmcd),
-            is_retry: wish.is_retry || known,
-            expected_duration: wish.expected_duration_s.filter(|s| s.is_finite()).map(Span::of),
+            class: &request.class,
+            tenant: &request.tenant,
+            title: &request.title,
+            deadline: viewer_leaves_at - RESPONSE_MARGIN,
+            first_cell,
+            replicas,
+            max_rung: self.max_rung(class, request, cmcd),
+            is_retry: request.is_retry || seen_before,
+            expected_duration: request.expected_duration_s.filter(|s| s.is_finite()).map(Span::of),
         };
-        let lane_name = wish.class.clone();
+        let class_name = request.class.clone();
         self.effects.push(Effect::Tap(TapEvent::RequestReceived {
-            request_id: wish.request_id.clone(),
-            class: lane_name,
-            title: wish.title.clone(),
-            deadline: seconds(gone_at),
+            request_id: request.request_id.clone(),
+            class: class_name,
+            title: request.title.clone(),
+            deadline: seconds(viewer_leaves_at),
         }));
-        self.taken += 1;
-        if let Some(together) = &mut self.together {
-            together.record_request(now);
+        self.accepted_count += 1;
+        if let Some(coordination) = &mut self.coordination {
+            coordination.record_request(now);
         }
-        let handle = self.module.submit(now, &wish_here);
-        let held = Held {
+        let handle = self.module.submit(now, &module_request);
+        let session = Session {
             handle,
-            ask: wish.request_id.clone(),
-            title: wish.title.clone(),
-            lane,
-            cut_off: wish_here.deadline,
-            at: usize::MAX,
+            request_id: request.request_id.clone(),
+            title: request.title.clone(),
+            class,
+            deadline: module_request.deadline,
+            streamer_index: usize::MAX,
             rung: 0,
-            shots: 0,
-            out: None,
+            attempt_count: 0,
+            attempt: None,
             playing: false,
-            left: false,
-            last: None,
+            viewer_left: false,
+            last_outcome: None,
         };
-        self.held.insert(id, held);
-        self.carry_out(now);
+        self.sessions.insert(id, session);
+        self.apply_actions(now);
         Ok(())
     }
 
-    /// The highest rung of use to a viewer: what the wish says, and what the player's hints say of its screen
-    /// and its link.
-    fn top(&self, lane: usize, wish: &PlayRequest, cmcd: &Cmcd) -> usize {
-        let highest = self.terms.ladder_kb.len().saturating_sub(1);
-        let hinted = [cmcd.top_kbps, cmcd.throughput_kbps].into_iter().flatten().min();
-        let within = |kbps: u64| {
-            let fits = |rung: &usize| self.rate_kb(lane, *rung) * 8.0 <= kbps as f64;
+    /// The highest rung that a viewer can use: by its request, and by its player's CMCD on top bitrate and throughput.
+    fn max_rung(&self, class: usize, request: &PlayRequest, cmcd: &Cmcd) -> usize {
+        let highest = self.settings.ladder_kb_per_s.len().saturating_sub(1);
+        let kbps_limit = [cmcd.top_kbps, cmcd.throughput_kbps].into_iter().flatten().min();
+        let highest_within = |kbps: u64| {
+            let fits = |rung: &usize| self.rate_kb(class, *rung) * 8.0 <= kbps as f64;
             (0..=highest).take_while(fits).last().unwrap_or(0)
         };
-        wish.max_rung.unwrap_or(highest).min(highest).min(hinted.map_or(highest, within))
+        request.max_rung.unwrap_or(highest).min(highest).min(kbps_limit.map_or(highest, highest_within))
     }
 
-    fn rate_kb(&self, lane: usize, rung: usize) -> f64 {
-        let kb = self.terms.ladder_kb.get(rung).copied().unwrap_or(0.0);
-        kb * self.terms.lane_scale.get(lane).copied().unwrap_or(1.0)
+    /// Rate of a rung for this class, in kB per second.
+    fn rate_kb(&self, class: usize, rung: usize) -> f64 {
+        let kb = self.settings.ladder_kb_per_s.get(rung).copied().unwrap_or(0.0);
+        kb * self.settings.class_rate_scales.get(class).copied().unwrap_or(1.0)
     }
 
-    /// The viewer went away, before the answer or after it.
-    pub fn left(&mut self, now: Point, id: u32) {
-        self.end(now, id, Why::Left, EndReason::ViewerLeft);
+    /// The viewer left, before or after the response.
+    pub fn viewer_left(&mut self, now: Point, id: u32) {
+        self.end_session(now, id, Why::Left, EndReason::ViewerLeft);
     }
 
-    /// Ends what is in hand under this id; whether there was something.
-    fn end(&mut self, now: Point, id: u32, why: Why, over: EndReason) -> bool {
-        let Some(held) = self.held.get_mut(&id).filter(|held| !held.left) else { return false };
-        let (at, handle) = (held.at, held.handle);
-        if held.playing {
-            let shot = held.shots - 1;
-            self.order(now, at, ControllerMessage::Cancel(Cancel { id, shot, why: why.into() }));
+    /// Ends the session with this id; returns whether there was one.
+    fn end_session(&mut self, now: Point, id: u32, why: Why, reason: EndReason) -> bool {
+        let Some(session) = self.sessions.get_mut(&id).filter(|session| !session.viewer_left) else {
+            return false;
+        };
+        let (streamer_index, handle) = (session.streamer_index, session.handle);
+        if session.playing {
+            let shot = session.attempt_count - 1;
+            self.send(now, streamer_index, ControllerMessage::Cancel(Cancel { id, shot, why: why.into() }));
             handle.attempt_ended(&mut self.module, now, AttemptOutcome::Cancelled, true, Load::default());
-            self.held.remove(&id);
-            self.effects.push(Effect::News { id, news: SessionEvent::Ended { reason: over } });
-            self.carry_out(now);
+            self.sessions.remove(&id);
+            self.effects.push(Effect::SessionEvent { id, event: SessionEvent::Ended { reason } });
+            self.apply_actions(now);
             return true;
         }
-        held.left = true;
+        session.viewer_left = true;
         handle.viewer_left(&mut self.module);
-        match &held.out {
+        match &session.attempt {
             None => {
-                self.held.remove(&id);
+                self.sessions.remove(&id);
             }
-            Some(out) if out.handed.is_none() => {
-                let shot = (id, out.number);
-                self.known[at].link.withdraw(shot);
-                self.end_shots(now, at, vec![shot], AttemptOutcome::NotSent);
+            Some(attempt) if attempt.sent_at.is_none() => {
+                let unsent = (id, attempt.number);
+                self.streamers[streamer_index].link.withdraw(unsent);
+                self.end_unsent_attempts(now, streamer_index, vec![unsent], AttemptOutcome::NotSent);
             }
-            Some(out) => {
-                let shot = out.number;
-                self.order(now, at, ControllerMessage::Cancel(Cancel { id, shot, why: why.into() }));
+            Some(attempt) => {
+                let shot = attempt.number;
+                self.send(
+                    now,
+                    streamer_index,
+                    ControllerMessage::Cancel(Cancel { id, shot, why: why.into() }),
+                );
             }
         }
-        self.carry_out(now);
+        self.apply_actions(now);
         true
     }
 
-    /// The player ends a subscription that plays; false where there is none.
-    pub fn leave(&mut self, now: Point, id: u32) -> bool {
-        let playing = self.held.get(&id).is_some_and(|held| held.playing);
-        playing && self.end(now, id, Why::Left, EndReason::ViewerLeft)
+    /// The player ends a playing session; returns whether there was one.
+    pub fn stop_playing(&mut self, now: Point, id: u32) -> bool {
+        let playing = self.sessions.get(&id).is_some_and(|session| session.playing);
+        playing && self.end_session(now, id, Why::Left, EndReason::ViewerLeft)
     }
 
-    /// What a subscription that plays is at now, for a player that starts to listen.
-    pub fn news_of(&self, id: u32) -> Option<SessionEvent> {
-        let held = self.held.get(&id).filter(|held| held.playing)?;
-        Some(SessionEvent::RungChanged { rung: held.rung, rate_kb: self.rate_kb(held.lane, held.rung) })
+    /// Current rung of a playing session, as the first event for a player that subscribes to its events.
+    pub fn current_rung(&self, id: u32) -> Option<SessionEvent> {
+        let session = self.sessions.get(&id).filter(|session| session.playing)?;
+        Some(SessionEvent::RungChanged {
+            rung: session.rung,
+            rate_kb: self.rate_kb(session.class, session.rung),
+        })
     }
 
-    pub fn stopping(&self) -> bool {
+    /// Whether new requests are refused because the controller stops.
+    pub fn is_stopping(&self) -> bool {
         self.stopping
     }
 
-    /// No new wishes from now on.
-    pub fn stop(&mut self) {
+    /// Accepts no more requests from now on.
+    pub fn stop_accepting(&mut self) {
         self.stopping = true;
     }
 
-    /// Ends everything: playing subscriptions are told, waiting wishes get their final answer.
-    pub fn close(&mut self, now: Point) {
+    /// Ends all sessions: players of playing ones get an event, waiting requests their final response.
+    pub fn end_all(&mut self, now: Point) {
         self.stopping = true;
-        let ids: Vec<u32> = self.held.keys().copied().collect();
+        let ids: Vec<u32> = self.sessions.keys().copied().collect();
         for id in ids {
-            if let Some(held) = self.held.get(&id).filter(|held| !held.playing && !held.left) {
-                // It may be set up by now or not: nothing is promised of the effect.
-                let (lane, shots) = (held.lane, held.shots);
-                let answer = PlayResponse::Failed { request_id: held.ask.clone() };
-                self.answer(id, answer, lane, shots);
+            if let Some(session) =
+                self.sessions.get(&id).filter(|session| !session.playing && !session.viewer_left)
+            {
+                // It may have been set up or not: a failed request leaves that open.
+                let (class, attempts) = (session.class, session.attempt_count);
+                let response = PlayResponse::Failed { request_id: session.request_id.clone() };
+                self.respond(id, response, class, attempts);
             }
-            self.end(now, id, Why::Left, EndReason::Stopped);
+            self.end_session(now, id, Why::Left, EndReason::Stopped);
         }
     }
 
-    /// How far others are believed that each streamer fails, from 0 to 1. The module decides what to make of it.
-    pub fn doubts(&mut self, now: Point, weights: &[(String, f64)]) {
-        for (streamer, weight) in weights {
-            self.module.set_peer_suspicion(now, streamer, *weight);
+    /// Passes on to the module how far other controllers are believed that each streamer fails, from 0 to 1. The module
+    /// decides what follows from it.
+    pub fn update_peer_suspicions(&mut self, now: Point, suspicions: &[(String, f64)]) {
+        for (streamer, suspicion) in suspicions {
+            self.module.set_peer_suspicion(now, streamer, *suspicion);
         }
     }
 
-    /// Who of the other controllers is there, by number. What follows of it for turns is the fleet core's to say.
-    pub fn fleet(&mut self, now: Point, numbers: &BTreeMap<u32, Option<Point>>) {
-        let Some(together) = &mut self.together else { return };
-        let (turns, tap) = together.update_membership(now, numbers);
+    /// Applies which controllers run: for each number the moment since which no controller holds it, or none where one
+    /// does. `lemontide_fleet` decides whose turns this controller then takes.
+    pub fn update_membership(&mut self, now: Point, absent_since: &BTreeMap<u32, Option<Point>>) {
+        let Some(coordination) = &mut self.coordination else { return };
+        let (turns, tap_effect) = coordination.update_membership(now, absent_since);
         self.module.cover_turns(turns.has_own_turns, &turns.missing_controllers, turns.until);
-        self.effects.extend(tap);
+        self.effects.extend(tap_effect);
     }
 
-    /// This controller as one of many, for the operators.
-    pub fn in_fleet(&self, now: Point) -> Option<FleetStatus> {
-        self.together.as_ref().map(|together| together.status(now))
+    /// This controller's view of the other controllers, for the operators.
+    pub fn fleet_status(&self, now: Point) -> Option<FleetStatus> {
+        self.coordination.as_ref().map(|coordination| coordination.status(now))
     }
 
-    /// Chooses which streamers go first, and closes links that nothing needs.
-    fn share_out(&mut self, now: Point) {
-        let Some(together) = &mut self.together else { return };
-        let (titles, entries) = (self.terms.titles.values().copied(), self.known.iter().map(|k| &k.entry));
-        for (at, first) in together.update_subset(now, self.listed, titles, self.terms.cells, entries) {
-            if let Some(known) = self.known.get(at as usize) {
-                self.module.set_preferred(&known.entry.streamer, first);
+    /// Updates which streamers are preferred, and closes links that nothing needs.
+    fn apply_coordination(&mut self, now: Point) {
+        let Some(coordination) = &mut self.coordination else { return };
+        let (titles, entries) =
+            (self.settings.titles.values().copied(), self.streamers.iter().map(|known| &known.entry));
+        for (streamer_index, is_preferred) in
+            coordination.update_subset(now, self.list_revision, titles, self.settings.cell_count, entries)
+        {
+            if let Some(known) = self.streamers.get(streamer_index as usize) {
+                self.module.set_preferred(&known.entry.streamer, is_preferred);
             }
         }
-        let mut needed = vec![false; self.known.len()];
-        for held in self.held.values().filter(|held| held.playing || held.out.is_some()) {
-            if let Some(needed) = needed.get_mut(held.at) {
-                *needed = true;
+        let mut is_needed = vec![false; self.streamers.len()];
+        for session in self.sessions.values().filter(|session| session.playing || session.attempt.is_some()) {
+            if let Some(is_needed) = is_needed.get_mut(session.streamer_index) {
+                *is_needed = true;
             }
         }
-        for (at, needed) in needed.into_iter().enumerate() {
-            let known = &mut self.known[at];
-            let needed = needed || known.looking.is_some();
-            known.link.idle_since = known.link.idle_since.or(Some(now)).filter(|_| !needed);
-            let idle = known.link.idle_since.map_or(Span::ZERO, |since| now - since);
-            if known.link.is_up() && together.can_close(at, idle) {
+        for (streamer_index, is_needed) in is_needed.into_iter().enumerate() {
+            let known = &mut self.streamers[streamer_index];
+            let is_needed = is_needed || known.probe.is_some();
+            known.link.idle_since = known.link.idle_since.or(Some(now)).filter(|_| !is_needed);
+            let idle_for = known.link.idle_since.map_or(Span::ZERO, |since| now - since);
+            if known.link.is_up() && coordination.can_close(streamer_index, idle_for) {
                 known.link.close_idle(now);
                 known.link.withdraw_all();
-                self.effects.push(Effect::Hang { at, dial: known.link.dial });
+                self.effects.push(Effect::CloseConnection { streamer_index, dial: known.link.dial });
             }
         }
     }
 
-    /// Tells of what was seen of a streamer, if it says anything of its health.
-    fn saw(&mut self, at: usize, ending: AttemptOutcome) {
-        let good = match ending {
+    /// Reports an outcome at a streamer for gossip, if it says anything about the streamer's health.
+    fn report_observation(&mut self, streamer_index: usize, outcome: AttemptOutcome) {
+        let succeeded = match outcome {
             AttemptOutcome::Served => true,
             AttemptOutcome::Errored
             | AttemptOutcome::TimedOut
@@ -487,402 +530,456 @@
             | AttemptOutcome::NotSent
             | AttemptOutcome::Unknown => return,
         };
-        if let Some(known) = self.known.get(at) {
-            self.effects.push(Effect::Saw { streamer: known.entry.streamer.clone(), good });
+        if let Some(known) = self.streamers.get(streamer_index) {
+            self.effects.push(Effect::StreamerObserved { streamer: known.entry.streamer.clone(), succeeded });
         }
     }
 
-    // What the links report.
+    // Reports of the links.
 
-    /// A dial came through and the streamer said when it started.
-    pub fn linked(&mut self, now: Point, at: usize, dial: u64, started: f64) {
-        if !self.is_current(at, dial) {
+    /// A dial succeeded and the streamer's welcome gave its start time, in seconds.
+    pub fn link_connected(&mut self, now: Point, streamer_index: usize, dial: u64, started_at_s: f64) {
+        if !self.is_current(streamer_index, dial) {
             return;
         }
-        let known = &mut self.known[at];
+        let known = &mut self.streamers[streamer_index];
         known.link.connected(now);
-        // A welcome is often earlier news of a restart than the list: the streamer is cold from then on.
-        if started.is_finite() && started > known.welcomed.unwrap_or(0.0) {
-            known.welcomed = Some(started);
-            let line = known.line();
-            self.module.update_list(now, &[line], false);
-            self.carry_out(now);
+        // A welcome often shows a restart before the list does: the streamer is cold from then on.
+        if started_at_s.is_finite() && started_at_s > known.welcome_started_at_s.unwrap_or(0.0) {
+            known.welcome_started_at_s = Some(started_at_s);
+            let entry = known.module_entry();
+            self.module.update_list(now, &[entry], false);
+            self.apply_actions(now);
         }
-        self.pump(now, at);
+        self.write_next_batch(now, streamer_index);
     }
 
-    /// A connection or dial is over. `by_streamer` says that the streamer closed or reset it, which proves what was
-    /// out there over.
-    pub fn lost(&mut self, now: Point, at: usize, dial: u64, by_streamer: bool) {
-        if self.is_current(at, dial) {
-            self.lose(now, at);
+    /// A connection or dial is over. `by_streamer` means that the streamer closed or reset it, which proves that the
+    /// attempts on it are over.
+    pub fn link_lost(&mut self, now: Point, streamer_index: usize, dial: u64, by_streamer: bool) {
+        if self.is_current(streamer_index, dial) {
+            self.disconnect(now, streamer_index);
         }
         if by_streamer {
-            self.learn_evidence(now, Connection { link: at as u64, dial }, Evidence::ClosedByStreamer);
+            self.apply_evidence(
+                now,
+                Connection { link: streamer_index as u64, dial },
+                Evidence::ClosedByStreamer,
+            );
         }
-        self.carry_out(now);
+        self.apply_actions(now);
     }
 
-    fn lose(&mut self, now: Point, at: usize) {
-        let was_up = self.known[at].link.is_up();
-        let chance = self.chance.random::<f64>();
-        self.known[at].link.disconnected(now, chance);
-        let waiting = self.known[at].link.withdraw_all();
-        if let Some((_, until)) = &mut self.known[at].looking {
-            *until = now;
+    /// Marks a link as down, and ends or abandons what was on it.
+    fn disconnect(&mut self, now: Point, streamer_index: usize) {
+        let was_up = self.streamers[streamer_index].link.is_up();
+        let random = self.random.random::<f64>();
+        self.streamers[streamer_index].link.disconnected(now, random);
+        let waiting = self.streamers[streamer_index].link.withdraw_all();
+        if let Some((_, deadline)) = &mut self.streamers[streamer_index].probe {
+            *deadline = now;
         }
         if was_up {
-            let streamer = self.known[at].entry.streamer.clone();
+            let streamer = self.streamers[streamer_index].entry.streamer.clone();
             tracing::info!(target: "link", streamer, waiting = waiting.len(), "lost");
             self.effects.push(Effect::Tap(TapEvent::LinkLost { streamer }));
-            let is_out =
-                |held: &Held| held.out.as_ref().is_some_and(|o| o.handed.is_some() && o.given_up.is_none());
-            let on_it = |held: &Held| held.at == at && (held.playing || is_out(held));
-            self.saw(at, AttemptOutcome::ConnectionLost);
-            let broken: Vec<_> =
-                self.held.iter().filter(|(_, h)| on_it(h)).map(|(id, h)| (*id, h.playing)).collect();
-            for (id, playing) in broken {
+            let awaits_outcome = |session: &Session| {
+                session
+                    .attempt
+                    .as_ref()
+                    .is_some_and(|attempt| attempt.sent_at.is_some() && attempt.abandoned.is_none())
+            };
+            let is_affected = |session: &Session| {
+                session.streamer_index == streamer_index && (session.playing || awaits_outcome(session))
+            };
+            self.report_observation(streamer_index, AttemptOutcome::ConnectionLost);
+            let affected: Vec<_> = self
+                .sessions
+                .iter()
+                .filter(|(_, session)| is_affected(session))
+                .map(|(id, session)| (*id, session.playing))
+                .collect();
+            for (id, playing) in affected {
                 if playing {
-                    self.ended(now, id, AttemptOutcome::ConnectionLost, Load::default());
+                    self.attempt_ended(now, id, AttemptOutcome::ConnectionLost, Load::default());
                 } else {
-                    self.in_doubt(now, id, AttemptOutcome::ConnectionLost, None);
+                    self.abandon_attempt(now, id, AttemptOutcome::ConnectionLost, None);
                 }
             }
         }
-        self.end_shots(now, at, waiting, AttemptOutcome::NoConnection);
+        self.end_unsent_attempts(now, streamer_index, waiting, AttemptOutcome::NoConnection);
     }
 
-    /// The orders of the last batch are written, but for these set-ups, whose time was over: they never ran.
-    pub fn wrote(&mut self, now: Point, at: usize, dial: u64, unsent: Vec<(u32, u32)>) {
-        if !self.is_current(at, dial) {
+    /// The messages of the last batch are written, except for these set-ups, which were too late: they never ran.
+    pub fn batch_written(&mut self, now: Point, streamer_index: usize, dial: u64, unsent: Vec<(u32, u32)>) {
+        if !self.is_current(streamer_index, dial) {
             return;
         }
-        self.known[at].link.batch_written();
-        self.end_shots(now, at, unsent, AttemptOutcome::NotSent);
-        self.carry_out(now);
-        self.pump(now, at);
+        self.streamers[streamer_index].link.batch_written();
+        self.end_unsent_attempts(now, streamer_index, unsent, AttemptOutcome::NotSent);
+        self.apply_actions(now);
+        self.write_next_batch(now, streamer_index);
     }
 
-    /// A streamer's word.
-    pub fn told(&mut self, now: Point, at: usize, dial: u64, told: StreamerMessage) {
-        if !self.is_current(at, dial) {
+    /// A message of a streamer arrived.
+    pub fn message_received(
+        &mut self,
+        now: Point,
+        streamer_index: usize,
+        dial: u64,
+        message: StreamerMessage,
+    ) {
+        if !self.is_current(streamer_index, dial) {
             return;
         }
-        self.known[at].link.message_received(now);
-        match told {
+        self.streamers[streamer_index].link.message_received(now);
+        match message {
             StreamerMessage::Plays(plays) => {
                 let load = load(&plays.cmsd_dynamic);
-                // An answer to a shot that is no longer waited for: its cancel is under way.
-                let Some(held) = self.waits_for(at, plays.id, plays.shot) else { return };
-                let handed = held.out.take().and_then(|out| out.handed);
-                held.playing = true;
-                let (handle, ask, rung, lane) = (held.handle, held.ask.clone(), held.rung, held.lane);
+                // Otherwise it belongs to an attempt that no longer awaits an outcome, whose cancel is already sent.
+                let Some(session) = self.awaited_session(streamer_index, plays.id, plays.shot) else {
+                    return;
+                };
+                let sent_at = session.attempt.take().and_then(|attempt| attempt.sent_at);
+                session.playing = true;
+                let (handle, request_id, rung, class) =
+                    (session.handle, session.request_id.clone(), session.rung, session.class);
                 self.effects.push(Effect::Tap(TapEvent::OutcomeReceived {
-                    request_id: ask.clone(),
+                    request_id: request_id.clone(),
                     attempt: plays.shot,
                     outcome: tap::TapOutcome::Served,
                 }));
                 handle.playing(&mut self.module, now);
-                self.saw(at, AttemptOutcome::Served);
-                self.landed(now, at, handed, AttemptOutcome::Served);
+                self.report_observation(streamer_index, AttemptOutcome::Served);
+                self.set_up_ended(now, streamer_index, sent_at, AttemptOutcome::Served);
                 if load.link_utilization.is_some() || load.uplink_utilization.is_some() {
                     handle.load_reported(&mut self.module, now, load);
                 }
-                if self.held.get(&plays.id).is_some_and(|held| held.left) {
-                    // It played before the cancel came: it is ended like one that plays.
+                if self.sessions.get(&plays.id).is_some_and(|session| session.viewer_left) {
+                    // It played before the cancel arrived there: it is ended like any playing session.
                     let cancel = Cancel { id: plays.id, shot: plays.shot, why: Why::Left.into() };
-                    self.order(now, at, ControllerMessage::Cancel(cancel));
-                    self.ended(now, plays.id, AttemptOutcome::Cancelled, Load::default());
+                    self.send(now, streamer_index, ControllerMessage::Cancel(cancel));
+                    self.attempt_ended(now, plays.id, AttemptOutcome::Cancelled, Load::default());
                 } else {
-                    let entry = &self.known[at].entry;
-                    let answer = PlayResponse::Plays {
-                        request_id: ask,
+                    let entry = &self.streamers[streamer_index].entry;
+                    let response = PlayResponse::Plays {
+                        request_id,
                         session: plays.id,
                         streamer: entry.streamer.clone(),
                         address: entry.address.clone(),
                         rung,
-                        rate_kb: self.rate_kb(lane, rung),
+                        rate_kb: self.rate_kb(class, rung),
                     };
-                    self.answer(plays.id, answer, lane, plays.shot + 1);
+                    self.respond(plays.id, response, class, plays.shot + 1);
                 }
             }
             StreamerMessage::Ended(ended) => {
-                let (how, ending) = match ended.how() {
+                let (tap_outcome, outcome) = match ended.how() {
                     How::Served => (tap::TapOutcome::Served, AttemptOutcome::Served),
                     How::SentBack => (tap::TapOutcome::Refused, AttemptOutcome::Refused),
                     How::Cancelled => (tap::TapOutcome::Cancelled, AttemptOutcome::Cancelled),
                     How::Errored => (tap::TapOutcome::Errored, AttemptOutcome::Errored),
-                    // A newer streamer's word: it may have run.
+                    // A value that only newer streamers know: the attempt may have run.
                     How::Unspecified => (tap::TapOutcome::Errored, AttemptOutcome::Unknown),
                 };
-                let Some(held) = self.held.get(&ended.id).filter(|held| held.at == at) else { return };
-                let out = held.out.as_ref().map(|out| out.number);
-                let current =
-                    if held.playing { held.shots == ended.shot + 1 } else { out == Some(ended.shot) };
-                if !current {
+                let Some(session) =
+                    self.sessions.get(&ended.id).filter(|session| session.streamer_index == streamer_index)
+                else {
+                    return;
+                };
+                let pending_number = session.attempt.as_ref().map(|attempt| attempt.number);
+                let is_current = if session.playing {
+                    session.attempt_count == ended.shot + 1
+                } else {
+                    pending_number == Some(ended.shot)
+                };
+                if !is_current {
                     return;
                 }
-                let ask = held.ask.clone();
+                let request_id = session.request_id.clone();
                 self.effects.push(Effect::Tap(TapEvent::OutcomeReceived {
-                    request_id: ask,
+                    request_id,
                     attempt: ended.shot,
-                    outcome: how,
+                    outcome: tap_outcome,
                 }));
-                self.ended(now, ended.id, ending, load(&ended.cmsd_dynamic));
+                self.attempt_ended(now, ended.id, outcome, load(&ended.cmsd_dynamic));
             }
             StreamerMessage::Rung(rung) => {
-                if let Some(handle) = self.plays_at(at, rung.id) {
+                if let Some(handle) = self.playing_session_at(streamer_index, rung.id) {
                     handle.rung_reported(&mut self.module, now, rung.rung as usize);
                 }
             }
             StreamerMessage::Short(short) => {
-                if let Some(handle) = self.plays_at(at, short.id).filter(|_| short.share.is_finite()) {
+                if let Some(handle) =
+                    self.playing_session_at(streamer_index, short.id).filter(|_| short.share.is_finite())
+                {
                     handle.shortfall_reported(&mut self.module, now, short.share.clamp(0.0, 1.0));
                 }
             }
             StreamerMessage::Fullness(fullness) => {
-                if let Some(handle) = self.plays_at(at, fullness.id) {
+                if let Some(handle) = self.playing_session_at(streamer_index, fullness.id) {
                     handle.load_reported(&mut self.module, now, load(&fullness.cmsd_dynamic));
                 }
             }
             StreamerMessage::Looked(looked) => {
-                let known = &mut self.known[at];
-                if known.looking.is_some_and(|(nonce, _)| nonce == looked.nonce) {
-                    known.looking = None;
+                let known = &mut self.streamers[streamer_index];
+                if known.probe.is_some_and(|(nonce, _)| nonce == looked.nonce) {
+                    known.probe = None;
                     let name = known.entry.streamer.clone();
                     self.module.probe_finished(now, &name, true, load(&looked.cmsd_dynamic));
                 }
             }
             StreamerMessage::Pong(pong) => {
-                let on = Connection { link: at as u64, dial };
-                self.learn_evidence(now, on, Evidence::TestPassed { test: pong.nonce });
+                let connection = Connection { link: streamer_index as u64, dial };
+                self.apply_evidence(now, connection, Evidence::TestPassed { test: pong.nonce });
             }
             StreamerMessage::Welcome(_) => {}
         }
-        self.carry_out(now);
+        self.apply_actions(now);
     }
 
-    /// Regular work, when `next` says so.
+    /// Periodic work, to be called when `next_tick_at` is due.
     pub fn tick(&mut self, now: Point) {
-        if now - self.looked_after >= LINK_BEAT {
-            self.look_after_links(now, now - self.looked_after);
-            self.share_out(now);
-            self.looked_after = now;
-        }
-        while let Some(Reverse((at, id, shot))) = self.due.peek().copied().filter(|r| r.0 .0 <= now) {
-            self.due.pop();
-            debug_assert!(at <= now);
-            self.overdue(now, id, shot);
-        }
-        if self.wake.is_some_and(|wake| wake <= now) {
-            self.wake = None;
+        if now - self.links_checked_at >= LINK_CHECK_INTERVAL {
+            self.check_links(now, now - self.links_checked_at);
+            self.apply_coordination(now);
+            self.links_checked_at = now;
+        }
+        while let Some(Reverse((deadline, id, number))) =
+            self.deadlines.peek().copied().filter(|next| next.0 .0 <= now)
+        {
+            self.deadlines.pop();
+            debug_assert!(deadline <= now);
+            self.check_attempt_deadline(now, id, number);
+        }
+        if self.next_module_tick.is_some_and(|tick_at| tick_at <= now) {
+            self.next_module_tick = None;
             self.module.tick(now);
         }
-        self.carry_out(now);
+        self.apply_actions(now);
     }
 
-    fn look_after_links(&mut self, now: Point, gap: Span) {
-        for at in 0..self.known.len() {
-            let dial = self.known[at].link.dial;
-            match self.known[at].link.check(now, gap) {
+    /// Dials, pings or closes links as they need it, and ends overdue probes. `gap` is the time since the last check.
+    fn check_links(&mut self, now: Point, gap: Span) {
+        for streamer_index in 0..self.streamers.len() {
+            let dial = self.streamers[streamer_index].link.dial;
+            match self.streamers[streamer_index].link.check(now, gap) {
                 LinkAction::None => {}
-                LinkAction::Dial => self.dial(now, at),
+                LinkAction::Dial => self.dial(now, streamer_index),
                 LinkAction::Ping => {
-                    self.ping(now, at);
+                    self.ping(now, streamer_index);
                 }
                 LinkAction::Close => {
-                    self.effects.push(Effect::Hang { at, dial });
-                    self.lost(now, at, dial, false);
+                    self.effects.push(Effect::CloseConnection { streamer_index, dial });
+                    self.link_lost(now, streamer_index, dial, false);
                 }
             }
-            let late = self.known[at].looking.is_some_and(|(_, until)| now >= until);
-            if late {
-                self.known[at].looking = None;
-                let name = self.known[at].entry.streamer.clone();
+            let is_overdue =
+                self.streamers[streamer_index].probe.is_some_and(|(_, deadline)| now >= deadline);
+            if is_overdue {
+                self.streamers[streamer_index].probe = None;
+                let name = self.streamers[streamer_index].entry.streamer.clone();
                 self.module.probe_finished(now, &name, false, Load::default());
             }
         }
     }
 
-    fn dial(&mut self, now: Point, at: usize) {
-        let dial = self.known[at].link.start_dial(now, self.terms.dial_timeout);
-        let list::ListEntry { streamer, address, .. } = self.known[at].entry.clone();
-        self.effects.push(Effect::Dial { at, dial, streamer, address });
+    fn dial(&mut self, now: Point, streamer_index: usize) {
+        let dial = self.streamers[streamer_index].link.start_dial(now, self.settings.dial_timeout);
+        let list::ListEntry { streamer, address, .. } = self.streamers[streamer_index].entry.clone();
+        self.effects.push(Effect::Dial { streamer_index, dial, streamer, address });
     }
 
-    fn hang(&mut self, now: Point, at: usize) {
-        let dial = self.known[at].link.dial;
-        self.effects.push(Effect::Hang { at, dial });
-        self.lost(now, at, dial, false);
+    /// Closes the connection of a link from this end.
+    fn close_link(&mut self, now: Point, streamer_index: usize) {
+        let dial = self.streamers[streamer_index].link.dial;
+        self.effects.push(Effect::CloseConnection { streamer_index, dial });
+        self.link_lost(now, streamer_index, dial, false);
     }
 
-    fn is_current(&self, at: usize, dial: u64) -> bool {
-        let link = self.known.get(at).map(|known| &known.link);
+    /// Whether this is the dial that the link uses now.
+    fn is_current(&self, streamer_index: usize, dial: u64) -> bool {
+        let link = self.streamers.get(streamer_index).map(|known| &known.link);
         link.is_some_and(|link| link.dial == dial && (link.is_up() || link.is_dialling()))
     }
 
-    fn plays_at(&self, at: usize, id: u32) -> Option<SessionHandle> {
-        self.held.get(&id).filter(|held| held.playing && held.at == at).map(|held| held.handle)
+    /// Handle of a session that plays at this streamer.
+    fn playing_session_at(&self, streamer_index: usize, id: u32) -> Option<SessionHandle> {
+        self.sessions
+            .get(&id)
+            .filter(|session| session.playing && session.streamer_index == streamer_index)
+            .map(|session| session.handle)
     }
 
-    /// Puts an order that is no set-up on a link; where it can't go, the link's end is the streamer's news.
-    fn order(&mut self, now: Point, at: usize, order: ControllerMessage) {
-        let Some(known) = self.known.get_mut(at).filter(|known| known.link.is_up()) else { return };
-        if !known.link.push(QueuedMessage { message: order, attempt: None, not_after: None }) {
-            // It takes no orders any more: to go on would leave it with streams that it does not know to end.
-            self.hang(now, at);
+    /// Queues a message other than a set-up. Where the link is down nothing is sent: the streamer ends what is on a
+    /// connection with it.
+    fn send(&mut self, now: Point, streamer_index: usize, message: ControllerMessage) {
+        let Some(known) = self.streamers.get_mut(streamer_index).filter(|known| known.link.is_up()) else {
+            return;
+        };
+        if !known.link.push(QueuedMessage { message, attempt: None, not_after: None }) {
+            // Its queue is full. Without this message the streamer could keep streams that it should have ended.
+            self.close_link(now, streamer_index);
         }
-        self.pump(now, at);
+        self.write_next_batch(now, streamer_index);
     }
 
-    /// Hands the next orders of a link to the I/O.
-    fn pump(&mut self, now: Point, at: usize) {
-        let Some(known) = self.known.get_mut(at) else { return };
-        let orders = known.link.next_batch(now);
-        if orders.is_empty() {
+    /// Hands the next messages of a link to the I/O.
+    fn write_next_batch(&mut self, now: Point, streamer_index: usize) {
+        let Some(known) = self.streamers.get_mut(streamer_index) else { return };
+        let messages = known.link.next_batch(now);
+        if messages.is_empty() {
             return;
         }
-        for (id, number) in orders.iter().filter_map(|queued| queued.attempt) {
-            let out = self.held.get_mut(&id).and_then(|held| held.out.as_mut());
-            if let Some(out) = out.filter(|out| out.number == number) {
-                out.handed = Some(now);
-                self.due.push(Reverse((out.deadline, id, number)));
+        for (id, number) in messages.iter().filter_map(|queued| queued.attempt) {
+            let attempt = self.sessions.get_mut(&id).and_then(|session| session.attempt.as_mut());
+            if let Some(attempt) = attempt.filter(|attempt| attempt.number == number) {
+                attempt.sent_at = Some(now);
+                self.deadlines.push(Reverse((attempt.deadline, id, number)));
             }
         }
-        let dial = self.known[at].link.dial;
-        self.effects.push(Effect::Write { at, dial, orders });
+        let dial = self.streamers[streamer_index].link.dial;
+        self.effects.push(Effect::Write { streamer_index, dial, messages });
     }
 
-    /// Memory is short: what is only remembered to serve better goes, nothing that is in hand.
-    pub fn relieve(&mut self, history: bool) {
-        self.viewers.shrink();
+    /// Frees memory when it is short: drops half of the remembered viewers and, with `history`, unused capacity of
+    /// queues. Sessions are kept.
+    pub fn free_memory(&mut self, history: bool) {
+        self.recent_viewers.shrink();
         if history {
-            self.due.shrink_to_fit();
+            self.deadlines.shrink_to_fit();
             self.effects.shrink_to_fit();
         }
     }
 
-    /// Set-ups under way and the bound of each link that has one, for the operators.
-    pub fn flights(&self) -> Vec<(String, usize, usize)> {
-        let flight = |known: &Known| {
-            let flight = known.link.set_up_limit.as_ref()?;
-            Some((known.entry.streamer.clone(), flight.in_flight(), flight.limit()))
+    /// Name, concurrent set-ups and their limit for each streamer that has a limit, for the operators.
+    pub fn set_ups_in_flight(&self) -> Vec<(String, usize, usize)> {
+        let counts = |known: &KnownStreamer| {
+            let set_up_limit = known.link.set_up_limit.as_ref()?;
+            Some((known.entry.streamer.clone(), set_up_limit.in_flight(), set_up_limit.limit()))
         };
-        self.known.iter().filter_map(flight).collect()
+        self.streamers.iter().filter_map(counts).collect()
     }
 
-    /// Does what the module left to be done, until nothing is left.
-    fn carry_out(&mut self, now: Point) {
+    /// Carries out the module's actions, until none are left.
+    fn apply_actions(&mut self, now: Point) {
         loop {
-            let mut results = std::mem::take(&mut self.module.actions);
-            self.wake = results.next_tick.or(self.wake);
-            let nothing = results == Default::default();
-            for (id, rung) in results.rung_changes.drain(..) {
+            let mut actions = std::mem::take(&mut self.module.actions);
+            self.next_module_tick = actions.next_tick.or(self.next_module_tick);
+            let is_done = actions == Default::default();
+            for (id, rung) in actions.rung_changes.drain(..) {
                 self.set_rung(now, id, rung);
             }
-            for shot in results.attempts.drain(..) {
-                self.shoot(now, &shot);
+            for attempt in actions.attempts.drain(..) {
+                self.start_attempt(now, &attempt);
             }
-            for (id, after) in results.rejected.drain(..) {
-                let Some(held) = self.held.remove(&id) else { continue };
-                self.explain(now, "turned back", &held);
-                let retry_after_s = after.map(Span::seconds);
-                let answer = PlayResponse::Rejected { request_id: held.ask, retry_after_s };
-                self.answer(id, answer, held.lane, held.shots);
+            for (id, retry_after) in actions.rejected.drain(..) {
+                let Some(session) = self.sessions.remove(&id) else { continue };
+                self.log_decision(now, "turned back", &session);
+                let retry_after_s = retry_after.map(Span::seconds);
+                let response = PlayResponse::Rejected { request_id: session.request_id, retry_after_s };
+                self.respond(id, response, session.class, session.attempt_count);
             }
-            for id in results.failed.drain(..) {
-                let Some(held) = self.held.remove(&id) else { continue };
-                self.explain(now, "scrapped", &held);
-                self.answer(id, PlayResponse::Failed { request_id: held.ask }, held.lane, held.shots);
+            for id in actions.failed.drain(..) {
+                let Some(session) = self.sessions.remove(&id) else { continue };
+                self.log_decision(now, "scrapped", &session);
+                self.respond(
+                    id,
+                    PlayResponse::Failed { request_id: session.request_id },
+                    session.class,
+                    session.attempt_count,
+                );
             }
-            for id in results.moved.drain(..) {
-                self.end(now, id, Why::Moved, EndReason::Moved);
+            for id in actions.moved.drain(..) {
+                self.end_session(now, id, Why::Moved, EndReason::Moved);
             }
-            for streamer in results.probes.drain(..) {
-                self.look_at(now, &streamer);
+            for streamer in actions.probes.drain(..) {
+                self.send_probe(now, &streamer);
             }
-            if nothing {
+            if is_done {
                 return;
             }
         }
     }
 
-    /// One line a decision, for who asks for them.
-    fn explain(&self, now: Point, verdict: &str, held: &Held) {
+    /// Writes one debug line per decision. The logged values of `verdict` are "shot", "turned back" and "scrapped".
+    fn log_decision(&self, now: Point, verdict: &str, session: &Session) {
         tracing::debug!(
             target: "decision",
-            ask = held.ask,
-            lane = self.terms.lanes[held.lane].0,
-            title = held.title,
+            ask = session.request_id,
+            lane = self.settings.classes[session.class].0,
+            title = session.title,
             verdict,
-            shots = held.shots,
-            last_ending = ?held.last,
-            left_s = (held.cut_off - now).seconds(),
-            in_hand = self.held.len(),
+            shots = session.attempt_count,
+            last_ending = ?session.last_outcome,
+            left_s = (session.deadline - now).seconds(),
+            in_hand = self.sessions.len(),
         );
     }
 
-    fn answer(&mut self, id: u32, answer: PlayResponse, lane: usize, shots: u32) {
-        let (kind, place, ask) = match &answer {
-            PlayResponse::Plays { request_id: ask, .. } => (ResponseKind::Plays, 0, ask.clone()),
-            PlayResponse::Rejected { request_id: ask, .. } => (ResponseKind::Rejected, 1, ask.clone()),
-            PlayResponse::Failed { request_id: ask } => (ResponseKind::Failed, 2, ask.clone()),
-            // What was not taken never comes here.
+    /// Sends the final response to a request.
+    fn respond(&mut self, id: u32, response: PlayResponse, class: usize, attempts: u32) {
+        let (kind, kind_index, request_id) = match &response {
+            PlayResponse::Plays { request_id, .. } => (ResponseKind::Plays, 0, request_id.clone()),
+            PlayResponse::Rejected { request_id, .. } => (ResponseKind::Rejected, 1, request_id.clone()),
+            PlayResponse::Failed { request_id } => (ResponseKind::Failed, 2, request_id.clone()),
+            // Requests that were not accepted get their response from the caller of `submit`.
             PlayResponse::NotAccepted { .. } => return,
         };
-        self.answered[place] += 1;
-        self.effects.push(Effect::Tap(TapEvent::ResponseSent { request_id: ask, kind }));
-        let suggested_kbps = match &answer {
+        self.response_counts[kind_index] += 1;
+        self.effects.push(Effect::Tap(TapEvent::ResponseSent { request_id, kind }));
+        let suggested_kbps = match &response {
             PlayResponse::Plays { rate_kb, .. } => Some((rate_kb * 8.0).round() as u64),
             _ => None,
         };
         let duress = kind != ResponseKind::Plays;
-        self.effects.push(Effect::Answer { id, answer, suggested_kbps, duress, lane, shots });
+        self.effects.push(Effect::Response { id, response, suggested_kbps, duress, class, attempts });
     }
 
     fn set_rung(&mut self, now: Point, id: u32, rung: usize) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        held.rung = rung;
-        if !held.playing {
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        session.rung = rung;
+        if !session.playing {
             return;
         }
-        let (at, lane) = (held.at, held.lane);
-        let rate_kb = self.rate_kb(lane, rung);
-        self.effects.push(Effect::News { id, news: SessionEvent::RungChanged { rung, rate_kb } });
-        let order = SetRung { id, rung: rung as u32, rate_kb: rate_kb.round() as u32 };
-        self.order(now, at, ControllerMessage::SetRung(order));
+        let (streamer_index, class) = (session.streamer_index, session.class);
+        let rate_kb = self.rate_kb(class, rung);
+        self.effects.push(Effect::SessionEvent { id, event: SessionEvent::RungChanged { rung, rate_kb } });
+        let message = SetRung { id, rung: rung as u32, rate_kb: rate_kb.round() as u32 };
+        self.send(now, streamer_index, ControllerMessage::SetRung(message));
     }
 
-    /// Looks at a streamer, once for all who wait for it.
-    fn look_at(&mut self, now: Point, streamer: &str) {
-        let Some(at) = self.by_name.get(streamer).copied() else { return };
-        if self.known[at].looking.is_some() {
+    /// Probes a streamer, unless a probe of it awaits its answer already.
+    fn send_probe(&mut self, now: Point, streamer: &str) {
+        let Some(streamer_index) = self.index_by_name.get(streamer).copied() else { return };
+        if self.streamers[streamer_index].probe.is_some() {
             return;
         }
-        if self.known[at].link.can_dial(now) {
-            self.dial(now, at);
+        if self.streamers[streamer_index].link.can_dial(now) {
+            self.dial(now, streamer_index);
         }
-        self.nonce += 1;
-        let (nonce, until) = (self.nonce, now + self.terms.look_timeout);
-        self.known[at].looking = Some((nonce, until));
-        let order = QueuedMessage {
+        self.last_nonce += 1;
+        let (nonce, deadline) = (self.last_nonce, now + self.settings.probe_timeout);
+        self.streamers[streamer_index].probe = Some((nonce, deadline));
+        let queued = QueuedMessage {
             message: ControllerMessage::Look(Look { nonce }),
             attempt: None,
-            not_after: Some(until),
+            not_after: Some(deadline),
         };
-        let link = &mut self.known[at].link;
-        let possible = link.is_up() || link.is_dialling();
-        if !possible || !link.push(order) {
-            // Told at the next look at the links: a look never fails within the call that asked for it.
-            self.known[at].looking = Some((nonce, now));
+        let link = &mut self.streamers[streamer_index].link;
+        let is_possible = link.is_up() || link.is_dialling();
+        if !is_possible || !link.push(queued) {
+            // Reported at the next check of the links: a probe never fails within the call that requested it.
+            self.streamers[streamer_index].probe = Some((nonce, now));
         }
-        self.pump(now, at);
+        self.write_next_batch(now, streamer_index);
     }
 }
 
-impl Known {
-    fn line(&self) -> StreamerEntry {
-        let started = self.entry.started_at.unwrap_or(0.0).max(self.welcomed.unwrap_or(0.0));
+impl KnownStreamer {
+    /// The entry for the decision module, with the later start time of list and welcome.
+    fn module_entry(&self) -> StreamerEntry {
+        let started_at_s = self.entry.started_at.unwrap_or(0.0).max(self.welcome_started_at_s.unwrap_or(0.0));
         StreamerEntry {
             streamer: self.entry.streamer.clone(),
             zone: self.entry.zone.clone(),
@@ -894,18 +991,18 @@
                 list::StreamerState::Gone => StreamerState::Gone,
             },
             weight: self.entry.weight,
-            started_at: (started > 0.0).then(|| Point::at(started)),
+            started_at: (started_at_s > 0.0).then(|| Point::at(started_at_s)),
         }
     }
 }
 
-/// The load report in a CMSD-Dynamic value; nothing where there is none or it is not valid.
+/// The load report in a CMSD-Dynamic value; empty where there is none or it is not valid.
 fn load(cmsd_dynamic: &str) -> Load {
     let Some(dynamic) = CmsdDynamic::parse(cmsd_dynamic) else { return Load::default() };
-    let sane = |value: Option<f64>| value.filter(|v| v.is_finite() && *v >= 0.0);
+    let valid = |value: Option<f64>| value.filter(|v| v.is_finite() && *v >= 0.0);
     Load {
-        streams: sane(dynamic.streams),
-        link_utilization: sane(dynamic.link_utilization),
-        uplink_utilization: sane(dynamic.uplink_utilization),
+        streams: valid(dynamic.streams),
+        link_utilization: valid(dynamic.link_utilization),
+        uplink_utilization: valid(dynamic.uplink_utilization),
     }
 }
--- a/crates/lemontide-front/src/core/driver/attempts.rs
+++ b/crates/lemontide-front/src/core/driver/attempts.rs
@@ -1,214 +1,280 @@
-//! The driver's part of shots: each is sent, ends once, and the module is told the truth of it. Another one follows only
-//! with a proof that the last is over.
+//! Attempts in the driver: each is sent, ends once, and its outcome is reported to the module. The next attempt of a
+//! request starts only with proof that the last one is over.
 
 use super::*;
 
 impl Driver {
-    pub(super) fn shoot(&mut self, now: Point, shot: &NewAttempt) {
-        let id = shot.session;
-        let Some(at) = self.by_name.get(&*shot.streamer).copied() else { return };
-        let Some(held) = self.held.get_mut(&id) else { return };
-        let (number, lane, rung) = (held.shots, held.lane, held.rung);
-        let deadline = now + shot.timeout;
-        // A decision is of its moment: a set-up that can't leave soon goes back to the module.
-        let not_after = deadline.min(now + self.terms.dial_timeout);
-        held.shots += 1;
-        held.at = at;
-        held.out = Some(Out { number, deadline, not_after, handed: None, given_up: None });
-        let order = ControllerMessage::SetUp(SetUp {
+    /// Starts an attempt that the module decided on: queues its set-up, or ends it where it cannot be sent.
+    pub(super) fn start_attempt(&mut self, now: Point, new_attempt: &NewAttempt) {
+        let id = new_attempt.session;
+        let Some(streamer_index) = self.index_by_name.get(&*new_attempt.streamer).copied() else { return };
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let (number, class, rung) = (session.attempt_count, session.class, session.rung);
+        let deadline = now + new_attempt.timeout;
+        // A decision is valid only for a moment: a set-up that cannot be sent soon is returned to the module.
+        let not_after = deadline.min(now + self.settings.dial_timeout);
+        session.attempt_count += 1;
+        session.streamer_index = streamer_index;
+        session.attempt =
+            Some(PendingAttempt { number, deadline, not_after, sent_at: None, abandoned: None });
+        let message = ControllerMessage::SetUp(SetUp {
             id,
             shot: number,
-            ask: held.ask.clone(),
-            title: held.title.clone(),
-            lane: self.terms.lanes[lane].0.clone(),
+            ask: session.request_id.clone(),
+            title: session.title.clone(),
+            lane: self.settings.classes[class].0.clone(),
             rung: rung as u32,
-            rate_kb: self.rate_kb(lane, rung).round() as u32,
-            within_ms: (shot.timeout.seconds() * 1e3).max(0.0) as u32,
+            rate_kb: self.rate_kb(class, rung).round() as u32,
+            within_ms: (new_attempt.timeout.seconds() * 1e3).max(0.0) as u32,
         });
-        if let Some(held) = self.held.get(&id) {
-            self.explain(now, "shot", held);
+        if let Some(session) = self.sessions.get(&id) {
+            self.log_decision(now, "shot", session);
         }
-        if shot.timeout <= Span::ZERO || self.known[at].entry.state != list::StreamerState::Ready {
-            return self.end_shots(now, at, vec![(id, number)], AttemptOutcome::NotSent);
+        if new_attempt.timeout <= Span::ZERO
+            || self.streamers[streamer_index].entry.state != list::StreamerState::Ready
+        {
+            return self.end_unsent_attempts(
+                now,
+                streamer_index,
+                vec![(id, number)],
+                AttemptOutcome::NotSent,
+            );
         }
-        if self.known[at].link.can_dial(now) {
-            self.dial(now, at);
+        if self.streamers[streamer_index].link.can_dial(now) {
+            self.dial(now, streamer_index);
         }
-        let link = &mut self.known[at].link;
+        let link = &mut self.streamers[streamer_index].link;
         if !link.is_up() && !link.is_dialling() {
-            return self.end_shots(now, at, vec![(id, number)], AttemptOutcome::NoConnection);
+            return self.end_unsent_attempts(
+                now,
+                streamer_index,
+                vec![(id, number)],
+                AttemptOutcome::NoConnection,
+            );
         }
-        if !link.push(QueuedMessage {
-            message: order,
-            attempt: Some((id, number)),
-            not_after: Some(not_after),
-        }) {
-            return self.end_shots(now, at, vec![(id, number)], AttemptOutcome::NotSent);
+        if !link.push(QueuedMessage { message, attempt: Some((id, number)), not_after: Some(not_after) }) {
+            return self.end_unsent_attempts(
+                now,
+                streamer_index,
+                vec![(id, number)],
+                AttemptOutcome::NotSent,
+            );
         }
-        self.due.push(Reverse((not_after, id, number)));
-        self.pump(now, at);
+        self.deadlines.push(Reverse((not_after, id, number)));
+        self.write_next_batch(now, streamer_index);
     }
 
-    /// A shot's moment came: it was not written in time, or not answered in time.
-    pub(super) fn overdue(&mut self, now: Point, id: u32, shot: u32) {
-        let Some(held) = self.held.get(&id) else { return };
-        let Some(out) = held.out.as_ref().filter(|out| out.number == shot) else { return };
-        let (at, ask) = (held.at, held.ask.clone());
-        if let Some(given_up) = out.given_up {
-            if now >= held.cut_off {
-                self.ended(now, id, given_up.outcome, Load::default());
+    /// A deadline of an attempt is reached: it is ended where it was not written in time, abandoned where it was not
+    /// answered in time, and ended where its proof did not arrive within the request's time.
+    pub(super) fn check_attempt_deadline(&mut self, now: Point, id: u32, number: u32) {
+        let Some(session) = self.sessions.get(&id) else { return };
+        let Some(attempt) = session.attempt.as_ref().filter(|attempt| attempt.number == number) else {
+            return;
+        };
+        let (streamer_index, request_id) = (session.streamer_index, session.request_id.clone());
+        if let Some(abandoned) = attempt.abandoned {
+            if now >= session.deadline {
+                self.attempt_ended(now, id, abandoned.outcome, Load::default());
             }
-        } else if out.handed.is_none() {
-            if now >= out.not_after {
-                self.known[at].link.withdraw((id, shot));
-                self.end_shots(now, at, vec![(id, shot)], AttemptOutcome::NoConnection);
+        } else if attempt.sent_at.is_none() {
+            if now >= attempt.not_after {
+                self.streamers[streamer_index].link.withdraw((id, number));
+                self.end_unsent_attempts(
+                    now,
+                    streamer_index,
+                    vec![(id, number)],
+                    AttemptOutcome::NoConnection,
+                );
             }
-        } else if now >= out.deadline {
-            let left = held.left;
-            self.effects.push(Effect::Tap(TapEvent::AttemptAbandoned { request_id: ask, attempt: shot }));
-            if left {
-                return self.ended(now, id, AttemptOutcome::TimedOut, Load::default());
+        } else if now >= attempt.deadline {
+            let viewer_left = session.viewer_left;
+            self.effects.push(Effect::Tap(TapEvent::AttemptAbandoned { request_id, attempt: number }));
+            if viewer_left {
+                return self.attempt_ended(now, id, AttemptOutcome::TimedOut, Load::default());
             }
-            let dial = self.known[at].link.dial;
-            self.order(now, at, ControllerMessage::Cancel(Cancel { id, shot, why: Why::TimedOut.into() }));
-            let test = self.is_current(at, dial).then(|| self.ping(now, at));
-            let waits = |held: &Held| held.out.as_ref().is_some_and(|out| out.given_up.is_none());
-            if self.held.get(&id).is_some_and(waits) {
-                self.in_doubt(now, id, AttemptOutcome::TimedOut, test);
+            let dial = self.streamers[streamer_index].link.dial;
+            let cancel = Cancel { id, shot: number, why: Why::TimedOut.into() };
+            self.send(now, streamer_index, ControllerMessage::Cancel(cancel));
+            let test = self.is_current(streamer_index, dial).then(|| self.ping(now, streamer_index));
+            let awaits_outcome = |session: &Session| {
+                session.attempt.as_ref().is_some_and(|attempt| attempt.abandoned.is_none())
+            };
+            if self.sessions.get(&id).is_some_and(awaits_outcome) {
+                self.abandon_attempt(now, id, AttemptOutcome::TimedOut, test);
             }
         }
     }
 
-    /// An attempt that has begun is given up. The module may place the wish anew once the attempt is proven over;
-    /// where it would not do so anyway, the wish is decided at once.
-    pub(super) fn in_doubt(&mut self, now: Point, id: u32, ending: AttemptOutcome, test: Option<u64>) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        let (handle, at, cut_off) = (held.handle, held.at, held.cut_off);
-        let Some(out) = held.out.as_mut() else { return };
-        let dial = self.known.get(at).map_or(0, |known| known.link.dial);
-        let on = Connection { link: at as u64, dial };
-        let (number, handed) = (out.number, out.handed);
-        out.given_up = Some(AbandonedAttempt {
-            connection: on,
+    /// Abandons an attempt that may have begun. The module can place the request again once the attempt is proven over;
+    /// where it would not place it again anyway, the request is decided at once.
+    pub(super) fn abandon_attempt(
+        &mut self,
+        now: Point,
+        id: u32,
+        outcome: AttemptOutcome,
+        test: Option<u64>,
+    ) {
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let (handle, streamer_index, deadline) = (session.handle, session.streamer_index, session.deadline);
+        let Some(attempt) = session.attempt.as_mut() else { return };
+        let dial = self.streamers.get(streamer_index).map_or(0, |known| known.link.dial);
+        let connection = Connection { link: streamer_index as u64, dial };
+        let (number, sent_at) = (attempt.number, attempt.sent_at);
+        attempt.abandoned = Some(AbandonedAttempt {
+            connection,
             connection_closed: false,
             is_first_attempt: true,
-            outcome: ending,
+            outcome,
             test,
         });
-        tracing::debug!(target: "attempt", ask = held.ask, number, ?on, ?ending, ?test, "given up, not proven over");
-        let left = held.left;
-        self.count_end(now, at, handed, ending, false);
-        if left || !handle.attempt_in_doubt(&mut self.module, now) {
-            return self.ended(now, id, ending, Load::default());
+        tracing::debug!(
+            target: "attempt", ask = session.request_id, number, on = ?connection, ending = ?outcome, ?test,
+            "abandoned, not proven over"
+        );
+        let viewer_left = session.viewer_left;
+        self.record_attempt_end(now, streamer_index, sent_at, outcome, false);
+        if viewer_left || !handle.attempt_in_doubt(&mut self.module, now) {
+            return self.attempt_ended(now, id, outcome, Load::default());
         }
-        self.due.push(Reverse((cut_off, id, number)));
+        self.deadlines.push(Reverse((deadline, id, number)));
     }
 
-    /// Something was heard of a connection that may prove attempts over.
-    pub(super) fn learn_evidence(&mut self, now: Point, on: Connection, evidence: Evidence) {
-        let proven = |held: &Held| {
-            let given_up = held.out.as_ref()?.given_up?;
-            Some((given_up.outcome, given_up.proof(on, evidence)?))
+    /// Ends the abandoned attempts that evidence from a connection proves to be over.
+    pub(super) fn apply_evidence(&mut self, now: Point, connection: Connection, evidence: Evidence) {
+        let proven = |session: &Session| {
+            let abandoned = session.attempt.as_ref()?.abandoned?;
+            Some((abandoned.outcome, abandoned.proof(connection, evidence)?))
         };
-        let proven: Vec<_> = self.held.iter().filter_map(|(id, held)| Some((*id, proven(held)?))).collect();
-        for (id, (ending, proof)) in proven {
-            tracing::debug!(target: "attempt", ask = self.held[&id].ask, ?on, ?ending, ?proof, "over");
-            self.ended(now, id, ending, Load::default());
+        let proven: Vec<_> =
+            self.sessions.iter().filter_map(|(id, session)| Some((*id, proven(session)?))).collect();
+        for (id, (outcome, proof)) in proven {
+            tracing::debug!(
+                target: "attempt", ask = self.sessions[&id].request_id, on = ?connection, ending = ?outcome, ?proof,
+                "proven over"
+            );
+            self.attempt_ended(now, id, outcome, Load::default());
         }
     }
 
-    pub(super) fn waits_for(&mut self, at: usize, id: u32, shot: u32) -> Option<&mut Held> {
-        let held = self.held.get_mut(&id).filter(|held| held.at == at)?;
-        let out = held.out.as_ref().filter(|out| out.number == shot && out.given_up.is_none());
-        out.is_some_and(|out| out.handed.is_some()).then_some(held)
+    /// The session, if this attempt of it was sent to this streamer and still awaits its outcome.
+    pub(super) fn awaited_session(
+        &mut self,
+        streamer_index: usize,
+        id: u32,
+        number: u32,
+    ) -> Option<&mut Session> {
+        let session =
+            self.sessions.get_mut(&id).filter(|session| session.streamer_index == streamer_index)?;
+        let attempt = session
+            .attempt
+            .as_ref()
+            .filter(|attempt| attempt.number == number && attempt.abandoned.is_none());
+        attempt.is_some_and(|attempt| attempt.sent_at.is_some()).then_some(session)
     }
 
-    /// These shots never left: they are ended as such, where they are still waited for.
-    pub(super) fn end_shots(
+    /// Ends attempts that were never sent, where their sessions still await them.
+    pub(super) fn end_unsent_attempts(
         &mut self,
         now: Point,
-        at: usize,
-        shots: Vec<(u32, u32)>,
-        ending: AttemptOutcome,
+        streamer_index: usize,
+        unsent: Vec<(u32, u32)>,
+        outcome: AttemptOutcome,
     ) {
-        for (id, number) in shots {
-            let held = self.held.get(&id).filter(|held| held.at == at);
-            let out = held.and_then(|held| held.out.as_ref());
-            if out.is_some_and(|out| out.number == number) {
-                self.ended(now, id, ending, Load::default());
+        for (id, number) in unsent {
+            let session = self.sessions.get(&id).filter(|session| session.streamer_index == streamer_index);
+            let attempt = session.and_then(|session| session.attempt.as_ref());
+            if attempt.is_some_and(|attempt| attempt.number == number) {
+                self.attempt_ended(now, id, outcome, Load::default());
             }
         }
     }
 
-    /// A shot, or the stream that came of it, ended: the module is told, and what plays is over. A shot that was
-    /// handed to a socket must be proven over, unless it was the last.
-    pub(super) fn ended(&mut self, now: Point, id: u32, ending: AttemptOutcome, load: Load) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        let out = held.out.take();
-        held.last = Some(ending);
-        let (handle, playing, left, at) = (held.handle, held.playing, held.left, held.at);
-        // One that was given up is counted already.
-        if out.as_ref().is_none_or(|out| out.given_up.is_none()) {
-            self.count_end(now, at, out.and_then(|out| out.handed), ending, playing);
+    /// An attempt or its stream ended: reports it to the module, and ends the session if it was playing. An attempt
+    /// that was handed to a socket must be proven over before, unless it is the last of its request.
+    pub(super) fn attempt_ended(&mut self, now: Point, id: u32, outcome: AttemptOutcome, load: Load) {
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let attempt = session.attempt.take();
+        session.last_outcome = Some(outcome);
+        let (handle, playing, viewer_left, streamer_index) =
+            (session.handle, session.playing, session.viewer_left, session.streamer_index);
+        // The end of an abandoned attempt was recorded when it was abandoned.
+        if attempt.as_ref().is_none_or(|attempt| attempt.abandoned.is_none()) {
+            self.record_attempt_end(
+                now,
+                streamer_index,
+                attempt.and_then(|attempt| attempt.sent_at),
+                outcome,
+                playing,
+            );
         }
-        handle.attempt_ended(&mut self.module, now, ending, playing, load);
-        if playing || left {
-            self.held.remove(&id);
+        handle.attempt_ended(&mut self.module, now, outcome, playing, load);
+        if playing || viewer_left {
+            self.sessions.remove(&id);
         }
-        if playing && !left {
-            let why =
-                if ending == AttemptOutcome::Served { EndReason::Served } else { EndReason::ConnectionLost };
-            self.effects.push(Effect::News { id, news: SessionEvent::Ended { reason: why } });
+        if playing && !viewer_left {
+            let reason =
+                if outcome == AttemptOutcome::Served { EndReason::Served } else { EndReason::ConnectionLost };
+            self.effects.push(Effect::SessionEvent { id, event: SessionEvent::Ended { reason } });
         }
     }
 
-    /// Counts the end of a shot, or of the stream that came of it, for its streamer.
-    pub(super) fn count_end(
+    /// Records the end of an attempt or its stream for its streamer: in its set-up limit, its preference and its
+    /// health.
+    pub(super) fn record_attempt_end(
         &mut self,
         now: Point,
-        at: usize,
-        handed: Option<Point>,
-        ending: AttemptOutcome,
+        streamer_index: usize,
+        sent_at: Option<Point>,
+        outcome: AttemptOutcome,
         playing: bool,
     ) {
-        self.landed(now, at, handed, ending);
-        let against = !matches!(
-            ending,
+        self.set_up_ended(now, streamer_index, sent_at, outcome);
+        let is_failure = !matches!(
+            outcome,
             AttemptOutcome::Served
                 | AttemptOutcome::Cancelled
                 | AttemptOutcome::NotSent
                 | AttemptOutcome::Unknown
         );
-        if let Some(together) = self.together.as_mut().filter(|_| against) {
-            together.avoid_streamer(now, at);
+        if let Some(coordination) = self.coordination.as_mut().filter(|_| is_failure) {
+            coordination.avoid_streamer(now, streamer_index);
         }
-        // Streams that end well say no more than their start did; one lost streamer is one failure, not hundreds.
+        // The end of a stream adds nothing to what its start showed, and a lost streamer counts as one failure, not as
+        // one for each of its streams.
         if !playing {
-            self.saw(at, ending);
+            self.report_observation(streamer_index, outcome);
         }
     }
 
-    /// A set-up that was handed to a link is no longer under way.
-    pub(super) fn landed(&mut self, now: Point, at: usize, handed: Option<Point>, ending: AttemptOutcome) {
-        let Some(handed) = handed else { return };
-        let Some(flight) = self.known.get_mut(at).and_then(|known| known.link.set_up_limit.as_mut()) else {
+    /// A set-up that was handed to a link has ended, so it no longer counts against the limit of concurrent set-ups.
+    pub(super) fn set_up_ended(
+        &mut self,
+        now: Point,
+        streamer_index: usize,
+        sent_at: Option<Point>,
+        outcome: AttemptOutcome,
+    ) {
+        let Some(sent_at) = sent_at else { return };
+        let Some(set_up_limit) =
+            self.streamers.get_mut(streamer_index).and_then(|known| known.link.set_up_limit.as_mut())
+        else {
             return;
         };
-        match ending {
-            AttemptOutcome::Served => flight.record_answer(now, Some(now - handed)),
-            // Too many at once: it said so, or said nothing.
-            AttemptOutcome::Refused | AttemptOutcome::TimedOut => flight.record_answer(now, None),
-            // This tells of its health, which is the module's to judge, and nothing of its room.
-            _ => flight.release(),
+        match outcome {
+            AttemptOutcome::Served => set_up_limit.record_answer(now, Some(now - sent_at)),
+            // A refusal or a timeout means too many concurrent set-ups.
+            AttemptOutcome::Refused | AttemptOutcome::TimedOut => set_up_limit.record_answer(now, None),
+            // The other outcomes are about the streamer's health, which the module evaluates, not about its capacity.
+            _ => set_up_limit.release(),
         }
-        self.pump(now, at);
+        self.write_next_batch(now, streamer_index);
     }
 
-    /// Asks a streamer for a word; the number that it comes back with.
-    pub(super) fn ping(&mut self, now: Point, at: usize) -> u64 {
-        self.nonce += 1;
-        let nonce = self.nonce;
-        self.order(now, at, ControllerMessage::Ping(Ping { nonce }));
+    /// Sends a ping to a streamer; returns the nonce of its pong.
+    pub(super) fn ping(&mut self, now: Point, streamer_index: usize) -> u64 {
+        self.last_nonce += 1;
+        let nonce = self.last_nonce;
+        self.send(now, streamer_index, ControllerMessage::Ping(Ping { nonce }));
         nonce
     }
 }
--- a/crates/lemontide-front/src/events.rs
+++ b/crates/lemontide-front/src/events.rs
@@ -1,6 +1,6 @@
 //! What passes between the sockets' tasks and the deciding thread: wishes, what happens, and the controller in figures.
 
-use crate::core::{FleetStatus, Refusal};
+use crate::core::{FleetStatus, SubmitError};
 use lemontide::clock::Point;
 use lemontide_shed::connection_limits::ConnectionCounts;
 use lemontide_shed::shedder::LoadSnapshot;
@@ -26,7 +26,7 @@
     pub asked: f64,
     pub wish: PlayRequest,
     pub cmcd: Cmcd,
-    pub reply: oneshot::Sender<Result<Said, Refusal>>,
+    pub reply: oneshot::Sender<Result<Said, SubmitError>>,
 }
 
 /// What happens to what is in hand, and to the fleet.
--- a/crates/lemontide-front/src/front.rs
+++ b/crates/lemontide-front/src/front.rs
@@ -2,7 +2,7 @@
 //! the deciding thread over two bounded queues, and what it decides goes out as effects.
 
 use crate::connections::Hall;
-use crate::core::{seconds, Driver, Effect, QueuedMessage, Refusal};
+use crate::core::{seconds, Driver, Effect, QueuedMessage, SubmitError};
 use crate::events::{Asked, Happened, Said, State};
 use crate::gossip::{self, Heard};
 use crate::guard::Guard;
@@ -112,12 +112,8 @@
             let Ok(own) = tokio::runtime::Builder::new_current_thread().enable_time().build() else {
                 return tracing::error!("no timers for the deciding thread");
             };
-            let driver = Driver::start(
-                Point::at(clock.now()),
-                seed,
-                &settings.controller_settings(),
-                settings.terms(),
-            );
+            let driver =
+                Driver::new(Point::at(clock.now()), seed, &settings.controller_settings(), settings.terms());
             let mut decider = Decider {
                 driver,
                 links,
@@ -149,7 +145,7 @@
     driver: Driver,
     links: Links,
     runtime: Handle,
-    replies: HashMap<u32, oneshot::Sender<Result<Said, Refusal>>>,
+    replies: HashMap<u32, oneshot::Sender<Result<Said, SubmitError>>>,
     listeners: HashMap<u32, mpsc::Sender<SessionEvent>>,
     wires: HashMap<usize, (mpsc::Sender<Vec<QueuedMessage>>, AbortHandle)>,
     /// Where those who gossip hear what was seen here.
@@ -173,7 +169,7 @@
         let room = self.room.clone();
         loop {
             // Wishes that wait already are not waited for, but what came of those in hand is looked at first.
-            let next = if more { self.now() } else { self.driver.next() };
+            let next = if more { self.now() } else { self.driver.next_tick_at() };
             let next = self.links.clock.instant(seconds(next));
             let mut round = Vec::new();
             let _ = timeout_at(next.into(), async {
@@ -204,20 +200,20 @@
             self.driver.tick(self.now());
             self.perform();
             if let Some(guard) = &self.guard {
-                guard.in_hand(self.driver.in_hand());
+                guard.in_hand(self.driver.session_count());
             }
             self.spent += began.elapsed();
             if *stopped.borrow() {
                 let now = self.links.clock.now();
                 let closes_at = *closes_at.get_or_insert(now + stop_within);
-                self.driver.stop();
-                if self.driver.in_hand() == 0 || now >= closes_at {
+                self.driver.stop_accepting();
+                if self.driver.session_count() == 0 || now >= closes_at {
                     break;
                 }
             }
         }
         room.close();
-        self.driver.close(self.now());
+        self.driver.end_all(self.now());
         self.perform();
         // What was ordered last, and the last answers, get a moment to leave.
         tokio::time::sleep(Duration::from_millis(200)).await;
@@ -242,12 +238,12 @@
             guard.waited(self.links.clock.now() - asked);
             if late {
                 self.late += 1;
-                let _ = reply.send(Err(Refusal::Overloaded { wait: guard.wait() }));
+                let _ = reply.send(Err(SubmitError::Overloaded { retry_after: guard.wait() }));
                 return;
             }
         }
         self.replies.insert(id, reply);
-        if let Err(refusal) = self.driver.ask(self.now(), Point::at(asked), id, &wish, &cmcd) {
+        if let Err(refusal) = self.driver.submit(self.now(), Point::at(asked), id, &wish, &cmcd) {
             if let Some(reply) = self.replies.remove(&id) {
                 let _ = reply.send(Err(refusal));
             }
@@ -257,23 +253,23 @@
     fn happened(&mut self, happened: Happened) {
         let now = self.now();
         match happened {
-            Happened::Linked { at, dial, started } => self.driver.linked(now, at, dial, started),
-            Happened::Lost { at, dial, by_streamer } => self.driver.lost(now, at, dial, by_streamer),
-            Happened::Wrote { at, dial, unsent } => self.driver.wrote(now, at, dial, unsent),
-            Happened::Told { at, dial, told } => self.driver.told(now, at, dial, told),
+            Happened::Linked { at, dial, started } => self.driver.link_connected(now, at, dial, started),
+            Happened::Lost { at, dial, by_streamer } => self.driver.link_lost(now, at, dial, by_streamer),
+            Happened::Wrote { at, dial, unsent } => self.driver.batch_written(now, at, dial, unsent),
+            Happened::Told { at, dial, told } => self.driver.message_received(now, at, dial, told),
             Happened::List(list) => {
                 tracing::info!(target: "list", version = list.version, streamers = list.streamers.len(), "read");
-                self.driver.learn(now, &list);
+                self.driver.update_list(now, &list);
             }
             Happened::Left { id } => {
                 self.replies.remove(&id);
-                self.driver.left(now, id);
+                self.driver.viewer_left(now, id);
             }
             Happened::Leave { id, done } => {
-                let _ = done.send(self.driver.leave(now, id));
+                let _ = done.send(self.driver.stop_playing(now, id));
             }
             Happened::Listen { id, news } => {
-                let listens = self.driver.news_of(id).map(|first| {
+                let listens = self.driver.current_rung(id).map(|first| {
                     let (tell, hear) = mpsc::channel(NEWS_MOST);
                     let _ = tell.try_send(first);
                     self.listeners.insert(id, tell);
@@ -281,24 +277,24 @@
                 });
                 let _ = news.send(listens);
             }
-            Happened::Relieve { history } => self.driver.relieve(history),
-            Happened::Fleet(numbers) => self.driver.fleet(now, &numbers),
-            Happened::Doubts(weights) => self.driver.doubts(now, &weights),
+            Happened::Relieve { history } => self.driver.free_memory(history),
+            Happened::Fleet(numbers) => self.driver.update_membership(now, &numbers),
+            Happened::Doubts(weights) => self.driver.update_peer_suspicions(now, &weights),
             Happened::State(reply) => {
-                let [plays, turned_back, scrapped] = self.driver.answered;
+                let [plays, turned_back, scrapped] = self.driver.response_counts;
                 let _ = reply.send(State {
-                    taken: self.driver.taken,
+                    taken: self.driver.accepted_count,
                     plays,
                     turned_back,
                     scrapped,
-                    in_hand: self.driver.in_hand(),
-                    playing: self.driver.playing(),
-                    streamers: self.driver.streamers(),
+                    in_hand: self.driver.session_count(),
+                    playing: self.driver.playing_count(),
+                    streamers: self.driver.streamer_count(),
                     links_up: self.driver.links_up(),
-                    stopping: self.driver.stopping(),
+                    stopping: self.driver.is_stopping(),
                     late: self.late,
-                    flights: self.driver.flights(),
-                    together: self.driver.in_fleet(now),
+                    flights: self.driver.set_ups_in_flight(),
+                    together: self.driver.fleet_status(now),
                     deciding_s: self.spent.as_secs_f64(),
                     // The rest is filled in where it is known.
                     ..State::default()
@@ -313,23 +309,30 @@
             for effect in std::mem::take(&mut self.driver.effects) {
                 match effect {
                     Effect::Tap(what) => self.links.tap.record(what),
-                    Effect::Saw { streamer, good } => {
+                    Effect::StreamerObserved { streamer, succeeded: good } => {
                         // Evidence that finds the queue full is left out: gossip is a help, never a duty.
                         if let Some(heard) = &self.heard {
                             let _ = heard.try_send(Heard { streamer, good });
                         }
                     }
-                    Effect::Answer { id, answer, suggested_kbps, duress, lane, shots } => {
+                    Effect::Response {
+                        id,
+                        response: answer,
+                        suggested_kbps,
+                        duress,
+                        class: lane,
+                        attempts: shots,
+                    } => {
                         if let Some(guard) = &self.guard {
                             guard.cost(lane, shots);
                         }
                         let Some(reply) = self.replies.remove(&id) else { continue };
                         if reply.send(Ok(Said { answer, suggested_kbps, duress })).is_err() {
                             // Gone without a word: what was set up for it is ended.
-                            self.driver.left(self.now(), id);
+                            self.driver.viewer_left(self.now(), id);
                         }
                     }
-                    Effect::News { id, news } => {
+                    Effect::SessionEvent { id, event: news } => {
                         let over = matches!(news, SessionEvent::Ended { .. });
                         let slow = self.listeners.get(&id).is_some_and(|tell| tell.try_send(news).is_err());
                         // A listener that does not read loses its news, nothing else.
@@ -337,7 +340,7 @@
                             self.listeners.remove(&id);
                         }
                     }
-                    Effect::Dial { at, dial, streamer, address } => {
+                    Effect::Dial { streamer_index: at, dial, streamer, address } => {
                         let (orders, ordered) = mpsc::channel(2);
                         let to = Dial { at, dial, streamer, address };
                         let task = self.runtime.spawn(link::run(self.links.clone(), to, ordered));
@@ -345,14 +348,14 @@
                             old.abort();
                         }
                     }
-                    Effect::Write { at, dial, orders } => {
+                    Effect::Write { streamer_index: at, dial, messages: orders } => {
                         let wire = self.wires.get(&at);
                         if wire.is_none_or(|(wire, _)| wire.try_send(orders).is_err()) {
                             // The task is gone; its own report may still be on the way.
-                            self.driver.lost(self.now(), at, dial, false);
+                            self.driver.link_lost(self.now(), at, dial, false);
                         }
                     }
-                    Effect::Hang { at, .. } => {
+                    Effect::CloseConnection { streamer_index: at, .. } => {
                         if let Some((_, wire)) = self.wires.remove(&at) {
                             wire.abort();
                         }
--- a/crates/lemontide-front/src/http.rs
+++ b/crates/lemontide-front/src/http.rs
@@ -1,7 +1,7 @@
 //! The players' side: HTTP/1.1. A wish gets exactly one answer; a player that goes away is heard at once.
 
 use crate::connections::{accept, Hall, LetIn, Stack};
-use crate::core::Refusal;
+use crate::core::SubmitError;
 use crate::delivery::Undelivered;
 use crate::events::{Asked, Happened, Said, State as Figures};
 use crate::guard::Guard;
@@ -209,7 +209,7 @@
         Enqueued::Waiting => {}
         Enqueued::Displaced(lost) => {
             let wait = serving.guard.as_ref().map_or(Span::ZERO, |guard| guard.wait());
-            let _ = lost.reply.send(Err(Refusal::Overloaded { wait }));
+            let _ = lost.reply.send(Err(SubmitError::Overloaded { retry_after: wait }));
         }
         Enqueued::Rejected(_) => {
             let spread = serving.guard.as_ref().map(|guard| guard.wait().seconds());
@@ -229,16 +229,23 @@
 }
 
 /// The response to a wish that was not taken.
-fn refusal(serving: &Serving, said: Result<Result<Said, Refusal>, oneshot::error::RecvError>) -> Response {
+fn refusal(
+    serving: &Serving,
+    said: Result<Result<Said, SubmitError>, oneshot::error::RecvError>,
+) -> Response {
     let near = "the controller is near its limit";
     match said {
         Ok(Ok(said)) => answer(serving, said, false),
-        Ok(Err(Refusal::NoSuchTitle)) => not_taken(StatusCode::NOT_FOUND, "there is no such title", None),
-        Ok(Err(Refusal::NoSuchLane)) => not_taken(StatusCode::BAD_REQUEST, "there is no such lane", None),
-        Ok(Err(Refusal::Closed)) => {
+        Ok(Err(SubmitError::UnknownTitle)) => {
+            not_taken(StatusCode::NOT_FOUND, "there is no such title", None)
+        }
+        Ok(Err(SubmitError::UnknownClass)) => {
+            not_taken(StatusCode::BAD_REQUEST, "there is no such lane", None)
+        }
+        Ok(Err(SubmitError::Closed)) => {
             not_taken(StatusCode::SERVICE_UNAVAILABLE, "no more is taken here", serving.retry_after)
         }
-        Ok(Err(Refusal::Overloaded { wait })) => {
+        Ok(Err(SubmitError::Overloaded { retry_after: wait })) => {
             let wait = serving.retry_after.map(|_| wait.seconds());
             not_taken(StatusCode::SERVICE_UNAVAILABLE, near, wait)
         }
--- a/crates/lemontide-front/src/settings.rs
+++ b/crates/lemontide-front/src/settings.rs
@@ -1,7 +1,7 @@
 //! What the operators state, as JSON with a published schema. Read once at start and checked; an error names
 //! the file, the path in it and the remedy. Nothing is decided here: the module gets it all as a plain map.
 
-use crate::core::{CoordinationSettings, Terms};
+use crate::core::{CoordinationSettings, DriverSettings};
 use lemontide::clock::Span;
 use lemontide::interface::{ControllerSettings, SettingValue};
 use lemontide_fleet::view::MAX_INSTANCES;
@@ -622,18 +622,18 @@
     }
 
     /// What the driver needs beside the module.
-    pub fn terms(&self) -> Terms {
-        Terms {
-            lanes: self.lanes.iter().map(|lane| (lane.name.clone(), Span::of(lane.cut_off_s))).collect(),
+    pub fn terms(&self) -> DriverSettings {
+        DriverSettings {
+            classes: self.lanes.iter().map(|lane| (lane.name.clone(), Span::of(lane.cut_off_s))).collect(),
             titles: self.titles.iter().map(|(name, at)| (name.clone(), (at.home, at.copies))).collect(),
-            ladder_kb: self.ladder.kb.clone(),
-            lane_scale: self.lanes.iter().map(|lane| lane.scale).collect(),
+            ladder_kb_per_s: self.ladder.kb.clone(),
+            class_rate_scales: self.lanes.iter().map(|lane| lane.scale).collect(),
             dial_timeout: Span::of(self.links.dial_timeout_s),
-            look_timeout: Span::of(self.looks.timeout_s),
-            held_most: self.limits.held,
-            flights: self.shedding.is_some(),
-            cells: self.fleet.cells,
-            together: self.together.as_ref().map(|together| CoordinationSettings {
+            probe_timeout: Span::of(self.looks.timeout_s),
+            max_sessions: self.limits.held,
+            limit_set_ups: self.shedding.is_some(),
+            cell_count: self.fleet.cells,
+            coordination: self.together.as_ref().map(|together| CoordinationSettings {
                 own_number: self.me as u32,
                 controller_count: self.controllers as u32,
                 uses_gossip: together.view == Source::Gossip,
--- a/crates/lemontide-front/tests/common/mod.rs
+++ b/crates/lemontide-front/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A driver with scripted links, in virtual time: what it writes is kept, what it answers is counted.
 
 use lemontide::clock::{Point, Span};
-use lemontide_front::core::{Driver, Effect, QueuedMessage, Refusal};
+use lemontide_front::core::{Driver, Effect, QueuedMessage, SubmitError};
 use lemontide_front::settings::Settings;
 use lemontide_wire::cmcd::Cmcd;
 use lemontide_wire::link::{ControllerMessage, Ended, How, Plays, Pong, SetUp, StreamerMessage};
@@ -76,7 +76,7 @@
 
     pub fn of(settings: &Settings) -> World {
         let now = Point::at(1000.0);
-        let driver = Driver::start(now, 7, &settings.controller_settings(), settings.terms());
+        let driver = Driver::new(now, 7, &settings.controller_settings(), settings.terms());
         let mut world = World {
             driver,
             now,
@@ -92,14 +92,14 @@
             unread_pings: Vec::new(),
             next: 0,
         };
-        world.driver.learn(now, &list(1, |_| {}));
+        world.driver.update_list(now, &list(1, |_| {}));
         world.perform();
         world.pass(20.0);
         world
     }
 
     pub fn learn(&mut self, list: &StreamerList) {
-        self.driver.learn(self.now, list);
+        self.driver.update_list(self.now, list);
         self.perform();
     }
 
@@ -107,7 +107,7 @@
         self.try_ask(lane, None).expect("it is taken")
     }
 
-    pub fn try_ask(&mut self, lane: &str, give_up_in_s: Option<f64>) -> Result<u32, Refusal> {
+    pub fn try_ask(&mut self, lane: &str, give_up_in_s: Option<f64>) -> Result<u32, SubmitError> {
         self.next += 1;
         let id = self.next;
         let ask = format!("a{id}");
@@ -118,7 +118,7 @@
             give_up_in_s,
             ..PlayRequest::default()
         };
-        self.driver.ask(self.now, self.now, id, &wish, &Cmcd::default())?;
+        self.driver.submit(self.now, self.now, id, &wish, &Cmcd::default())?;
         self.perform();
         Ok(id)
     }
@@ -135,7 +135,7 @@
 
     pub fn tell(&mut self, at: usize, told: StreamerMessage) {
         let dial = self.dials.get(&at).copied().unwrap_or(0);
-        self.driver.told(self.now, at, dial, told);
+        self.driver.message_received(self.now, at, dial, told);
         self.perform();
     }
 
@@ -152,7 +152,7 @@
 
     pub fn cut(&mut self, at: usize) {
         let dial = self.dials.get(&at).copied().unwrap_or(0);
-        self.driver.lost(self.now, at, dial, true);
+        self.driver.link_lost(self.now, at, dial, true);
         self.perform();
     }
 
@@ -185,17 +185,21 @@
         while !self.driver.effects.is_empty() {
             for effect in std::mem::take(&mut self.driver.effects) {
                 match effect {
-                    Effect::Answer { id, answer, .. } => self.answers.entry(id).or_default().push(answer),
-                    Effect::News { id, news } => self.news.push((id, news)),
-                    Effect::Dial { at, dial, .. } => {
+                    Effect::Response { id, response, .. } => {
+                        self.answers.entry(id).or_default().push(response)
+                    }
+                    Effect::SessionEvent { id, event: news } => self.news.push((id, news)),
+                    Effect::Dial { streamer_index: at, dial, .. } => {
                         self.dials.insert(at, dial);
                         if !self.away.contains(&at) {
-                            self.driver.linked(self.now, at, dial, 1.0);
+                            self.driver.link_connected(self.now, at, dial, 1.0);
                         }
                     }
-                    Effect::Write { at, dial, orders } => self.write(at, dial, orders),
-                    Effect::Hang { at, .. } => self.hung.push(at),
-                    Effect::Tap(_) | Effect::Saw { .. } => {}
+                    Effect::Write { streamer_index: at, dial, messages: orders } => {
+                        self.write(at, dial, orders)
+                    }
+                    Effect::CloseConnection { streamer_index: at, .. } => self.hung.push(at),
+                    Effect::Tap(_) | Effect::StreamerObserved { .. } => {}
                 }
             }
         }
@@ -219,12 +223,12 @@
                 _ => {}
             }
         }
-        self.driver.wrote(self.now, at, dial, unsent);
+        self.driver.batch_written(self.now, at, dial, unsent);
         for nonce in pings {
             if self.unread.contains(&at) {
                 self.unread_pings.push((at, nonce));
             } else {
-                self.driver.told(self.now, at, dial, StreamerMessage::Pong(Pong { nonce }));
+                self.driver.message_received(self.now, at, dial, StreamerMessage::Pong(Pong { nonce }));
             }
         }
     }
--- a/crates/lemontide-front/tests/driver.rs
+++ b/crates/lemontide-front/tests/driver.rs
@@ -4,7 +4,7 @@
 
 use common::{list, World, STREAMERS};
 use lemontide::clock::Span;
-use lemontide_front::core::Refusal;
+use lemontide_front::core::SubmitError;
 use lemontide_front::settings::{Settings, Source, Together};
 use lemontide_wire::link::{How, Plays, StreamerMessage};
 use lemontide_wire::list::StreamerState;
@@ -28,7 +28,7 @@
     assert!(matches!(world.answer(id), PlayResponse::Plays { .. }));
     world.ends(id, How::Served);
     assert_eq!(world.news.last(), Some(&(id, SessionEvent::Ended { reason: EndReason::Served })));
-    assert_eq!(world.driver.in_hand(), 0);
+    assert_eq!(world.driver.session_count(), 0);
 }
 
 #[test]
@@ -36,12 +36,12 @@
     let mut world = World::new();
     let id = world.ask("free");
     let (at, shot) = world.shot(id);
-    world.driver.left(world.now, id);
+    world.driver.viewer_left(world.now, id);
     world.pass(0.02);
     assert_eq!(world.cancels, [(at, id, shot)]);
     world.plays(id);
     assert!(world.is_open(id), "who left gets no answer");
-    assert_eq!(world.driver.in_hand(), 0);
+    assert_eq!(world.driver.session_count(), 0);
 }
 
 #[test]
@@ -94,7 +94,7 @@
         let id = world.ask("free");
         let (at, _) = world.shot(id);
         let dial = world.dials[&at];
-        world.driver.lost(world.now, at, dial, by_streamer);
+        world.driver.link_lost(world.now, at, dial, by_streamer);
         world.pass(0.1);
         assert_eq!(world.shots(id), if by_streamer { 2 } else { 1 }, "closed by its streamer: {by_streamer}");
         world.pass(3.0);
@@ -233,21 +233,21 @@
         .filter(|(_, news)| *news == SessionEvent::Ended { reason: EndReason::ConnectionLost })
         .count();
     assert_eq!(broken, lost);
-    assert_eq!(world.driver.playing(), 4000 - lost);
+    assert_eq!(world.driver.playing_count(), 4000 - lost);
 }
 
 #[test]
 fn what_can_not_be_taken_says_so() {
     let mut world = World::new();
-    assert_eq!(world.try_ask("nowhere", None), Err(Refusal::NoSuchLane));
-    world.driver.stop();
-    assert_eq!(world.try_ask("free", None), Err(Refusal::Closed));
+    assert_eq!(world.try_ask("nowhere", None), Err(SubmitError::UnknownClass));
+    world.driver.stop_accepting();
+    assert_eq!(world.try_ask("free", None), Err(SubmitError::Closed));
     let mut world = World::new();
     let id = world.try_ask("free", Some(0.0)).expect("it is taken");
     assert!(is_turned_back(world.answer(id)), "no time left: answered at once");
     let id = world.try_ask("free", Some(f64::NAN)).expect("it is taken");
     assert!(world.is_open(id));
-    world.driver.close(world.now);
+    world.driver.end_all(world.now);
     world.pass(0.02);
     assert!(is_scrapped(world.answer(id)), "the last word at a stop");
 }
@@ -318,7 +318,7 @@
                 Event::Left(i) if !ids.is_empty() => {
                     let place = i % ids.len();
                     ids[place].2 |= world.is_open(ids[place].0);
-                    world.driver.left(world.now, ids[place].0);
+                    world.driver.viewer_left(world.now, ids[place].0);
                     world.pass(0.001);
                 }
                 Event::Cut(at) => world.cut(at),
@@ -362,7 +362,7 @@
                 }
             }
         }
-        prop_assert!(world.driver.next() > world.now - Span::of_millis(1));
+        prop_assert!(world.driver.next_tick_at() > world.now - Span::of_millis(1));
     }
 }
 
@@ -382,7 +382,7 @@
     assert_eq!(world.driver.links_up(), 0);
     let id = world.ask("free");
     world.plays(id);
-    let first = world.driver.in_fleet(world.now).expect("it is one of many").preferred_count;
+    let first = world.driver.fleet_status(world.now).expect("it is one of many").preferred_count;
     assert_eq!((world.driver.links_up(), first), (1, 1), "one title, one streamer that goes first");
     let (at, _) = world.shot(id);
     // Crowded out of the first one, it opens others, and closes those when they are idle.
@@ -398,7 +398,7 @@
     others.iter().for_each(|id| world.ends(*id, How::Served));
     world.pass(8.0);
     assert!(world.driver.links_up() <= 2, "{} links stand", world.driver.links_up());
-    assert_eq!(world.driver.in_hand(), 1, "and what plays plays on");
+    assert_eq!(world.driver.session_count(), 1, "and what plays plays on");
     let news = world.news.iter().filter(|(of, _)| *of == id).count();
     assert_eq!(news, 0);
 }
@@ -410,10 +410,11 @@
         let at = |s: f64| lemontide::clock::Point::at(s);
         [(0, None), (1, gone.map(at)), (3, None), (77, None)].into_iter().collect()
     };
-    let stands = |world: &World| world.driver.in_fleet(world.now).expect("it is one of many").covered_numbers;
+    let stands =
+        |world: &World| world.driver.fleet_status(world.now).expect("it is one of many").covered_numbers;
     let hear = |world: &mut World, gone: Option<f64>, seconds: f64| {
         for _ in 0..(seconds * 4.0) as usize {
-            world.driver.fleet(world.now, &told(gone));
+            world.driver.update_membership(world.now, &told(gone));
             world.pass(0.25);
         }
     };
@@ -427,12 +428,12 @@
     world.stall(8.0);
     hear(&mut world, Some(1040.0), 2.0);
     assert!(stands(&world).is_empty());
-    let figures = world.driver.in_fleet(world.now).expect("it is one of many");
+    let figures = world.driver.fleet_status(world.now).expect("it is one of many");
     assert_eq!((figures.present_count, figures.controller_count, figures.has_duplicate), (3, 4, false));
     let twice = [(2, None)].into_iter().collect();
-    world.driver.fleet(world.now, &twice);
+    world.driver.update_membership(world.now, &twice);
     assert!(
-        world.driver.in_fleet(world.now).expect("it is one of many").has_duplicate,
+        world.driver.fleet_status(world.now).expect("it is one of many").has_duplicate,
         "two under one number"
     );
 }
--- a/crates/lemontide-standin/src/swarm.rs
+++ b/crates/lemontide-standin/src/swarm.rs
@@ -197,14 +197,10 @@
             mean_requests_per_s: Some(self.plan.per_s / self.plan.controllers as f64),
         };
         let mut terms = settings.terms();
-        terms.together = (self.plan.views != Views::Mesh).then_some(shared);
-        let mut driver = Driver::start(
-            Point::at(born),
-            self.plan.seed + me as u64,
-            &settings.controller_settings(),
-            terms,
-        );
-        driver.learn(Point::at(born), &self.list);
+        terms.coordination = (self.plan.views != Views::Mesh).then_some(shared);
+        let mut driver =
+            Driver::new(Point::at(born), self.plan.seed + me as u64, &settings.controller_settings(), terms);
+        driver.update_list(Point::at(born), &self.list);
         self.instances[me] = Some(Instance { driver, wires: BTreeMap::new(), stands: Vec::new() });
         self.perform(me);
     }
@@ -248,7 +244,7 @@
     fn effect(&mut self, me: usize, effect: Effect) {
         let now = self.at();
         match effect {
-            Effect::Dial { at, dial, .. } => {
+            Effect::Dial { streamer_index: at, dial, .. } => {
                 if self.model.stand(at) == Stand::Up {
                     let conn = self.model.connected(self.now, at, me);
                     self.came.opened += 1;
@@ -259,29 +255,29 @@
                         self.by_conn.remove(&old);
                         self.model.disconnected(at, old);
                     }
-                    instance.driver.linked(now, at, dial, started);
+                    instance.driver.link_connected(now, at, dial, started);
                 } else if let Some(instance) = self.instances[me].as_mut() {
-                    instance.driver.lost(now, at, dial, false);
+                    instance.driver.link_lost(now, at, dial, false);
                 }
             }
-            Effect::Hang { at, .. } => {
+            Effect::CloseConnection { streamer_index: at, .. } => {
                 let wire = self.instances[me].as_mut().and_then(|instance| instance.wires.remove(&at));
                 if let Some((conn, _)) = wire {
                     self.by_conn.remove(&conn);
                     self.model.disconnected(at, conn);
                 }
             }
-            Effect::Write { at, dial, orders } => {
+            Effect::Write { streamer_index: at, dial, messages: orders } => {
                 let wire = self.instances[me].as_ref().and_then(|instance| instance.wires.get(&at).copied());
                 let Some((conn, _)) = wire.filter(|wire| wire.1 == dial) else { return };
                 for queued in orders {
                     self.order(me, at, conn, queued.message);
                 }
                 if let Some(instance) = self.instances[me].as_mut() {
-                    instance.driver.wrote(now, at, dial, Vec::new());
+                    instance.driver.batch_written(now, at, dial, Vec::new());
                 }
             }
-            Effect::Answer { answer, .. } => match answer {
+            Effect::Response { response: answer, .. } => match answer {
                 PlayResponse::Plays { .. } => self.came.plays += 1,
                 _ => self.came.turned_back += 1,
             },
@@ -290,7 +286,7 @@
                     instance.stands = numbers;
                 }
             }
-            Effect::Tap(_) | Effect::Saw { .. } | Effect::News { .. } => {}
+            Effect::Tap(_) | Effect::StreamerObserved { .. } | Effect::SessionEvent { .. } => {}
         }
     }
 
@@ -319,7 +315,7 @@
         let Some(instance) = self.instances[me].as_mut() else { return };
         let Some((_, dial)) = instance.wires.get(&at).copied() else { return };
         let began = Instant::now();
-        instance.driver.told(now, at, dial, told);
+        instance.driver.message_received(now, at, dial, told);
         self.came.spent += began.elapsed();
     }
 
@@ -358,7 +354,7 @@
                         let now = self.at();
                         let Some(instance) = self.instances[me].as_mut() else { continue };
                         let Some((_, dial)) = instance.wires.remove(&at) else { continue };
-                        instance.driver.lost(now, at, dial, true);
+                        instance.driver.link_lost(now, at, dial, true);
                         self.perform(me);
                     }
                     Out::Tap {
@@ -409,7 +405,7 @@
                 expected_duration_s: Some(watches),
                 ..PlayRequest::default()
             };
-            let _ = self.with(me, |driver, now| driver.ask(now, now, id, &wish, &Cmcd::default()));
+            let _ = self.with(me, |driver, now| driver.submit(now, now, id, &wish, &Cmcd::default()));
         }
     }
 
@@ -417,7 +413,7 @@
         self.list.version += 1;
         let list = self.list.clone();
         for me in 0..self.instances.len() {
-            self.with(me, |driver, now| driver.learn(now, &list));
+            self.with(me, |driver, now| driver.update_list(now, &list));
         }
     }
 
@@ -506,7 +502,7 @@
             }
             let now = self.at();
             for me in 0..self.instances.len() {
-                if self.instances[me].as_ref().is_some_and(|instance| instance.driver.next() <= now) {
+                if self.instances[me].as_ref().is_some_and(|instance| instance.driver.next_tick_at() <= now) {
                     self.with(me, |driver, now| driver.tick(now));
                 }
             }
@@ -524,7 +520,7 @@
             for me in 0..self.instances.len() {
                 if self.instances[me].is_some() {
                     let numbers = town.with_node(me, |node, _| node.gone_since_by_number());
-                    self.with(me, |driver, now| driver.fleet(now, &numbers));
+                    self.with(me, |driver, now| driver.update_membership(now, &numbers));
                 }
             }
             self.town = Some(town);
