--- a/crates/lemontide-front/tests/common/mod.rs
+++ b/crates/lemontide-front/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A driver with scripted links, in virtual time: what it writes is kept, what it answers is counted.
+//! A driver with simulated links in virtual time, which records what the driver writes and responds.
 
 use lemontide::clock::{Point, Span};
 use lemontide_front::core::{Driver, Effect, QueuedMessage, SubmitError};
@@ -12,13 +12,13 @@
 
 pub const STREAMERS: usize = 4;
 
-/// Four streamers that hold every title; a free and a paid lane, three shots.
+/// Four streamers that hold every title, a free and a paid class, and at most three attempts.
 pub fn settings() -> Settings {
-    let lane = |name: &str, repeat: &str| json!({"name": name, "gain": 1, "latency_goal_s": 1, "cut_off_s": 3, "repeat": repeat});
+    let class = |name: &str, repeat: &str| json!({"name": name, "gain": 1, "latency_goal_s": 1, "cut_off_s": 3, "repeat": repeat});
     let settings = json!({
         "listen": "127.0.0.1:0", "me": 0, "controllers": 1, "seed": 7, "zone": "here", "list": "list.json",
         "titles": {"t": {"home": 0, "copies": STREAMERS}},
-        "lanes": [lane("free", "free"), lane("paid", "paid")],
+        "lanes": [class("free", "free"), class("paid", "paid")],
         "ladder": {"kb": [200, 400, 800], "gain": [0.3, 0.6, 1.0]},
         "fleet": {"cells": STREAMERS, "racks": 1, "rack_kb": 1e8, "kb_per_weight": 1e7,
                   "kinds": [{"name": "std", "streams": 3000}]},
@@ -30,217 +30,242 @@
     serde_json::from_value(settings).expect("the settings are valid")
 }
 
-pub fn entry(at: usize, stage: StreamerState) -> ListEntry {
+/// List entry of a streamer.
+pub fn entry(streamer_index: usize, state: StreamerState) -> ListEntry {
     ListEntry {
-        streamer: format!("s{at}"),
-        address: format!("127.0.0.1:{}", 9000 + at),
+        streamer: format!("s{streamer_index}"),
+        address: format!("127.0.0.1:{}", 9000 + streamer_index),
         zone: "here".into(),
         kind: "std".into(),
-        cell: at,
-        state: stage,
+        cell: streamer_index,
+        state,
         weight: 1.0,
         started_at: None,
     }
 }
 
+/// A list of all streamers as ready, after a change to each entry.
 pub fn list(version: u64, change: impl Fn(&mut ListEntry)) -> StreamerList {
-    let mut streamers: Vec<ListEntry> = (0..STREAMERS).map(|at| entry(at, StreamerState::Ready)).collect();
+    let mut streamers: Vec<ListEntry> =
+        (0..STREAMERS).map(|index| entry(index, StreamerState::Ready)).collect();
     streamers.iter_mut().for_each(change);
     StreamerList { version, streamers }
 }
 
-pub struct World {
+/// The driver and what it has done. Streamers are identified by their index.
+pub struct Simulation {
     pub driver: Driver,
     pub now: Point,
-    /// Set-ups that went out, with where to, in order.
-    pub sent: Vec<(usize, SetUp)>,
+    /// Set-ups sent, with the streamer, in order.
+    pub set_ups: Vec<(usize, SetUp)>,
+    /// Cancels sent: streamer, id of the session, number of the attempt.
     pub cancels: Vec<(usize, u32, u32)>,
+    /// Last dial of each streamer.
     pub dials: HashMap<usize, u64>,
-    pub answers: HashMap<u32, Vec<PlayResponse>>,
-    pub news: Vec<(u32, SessionEvent)>,
-    pub hung: Vec<usize>,
-    /// These can't be reached; batches to these are taken and never written.
-    pub away: Vec<usize>,
+    pub responses: HashMap<u32, Vec<PlayResponse>>,
+    pub session_events: Vec<(u32, SessionEvent)>,
+    /// Streamers whose connections the driver closed, in order.
+    pub closed: Vec<usize>,
+    /// Streamers that cannot be reached.
+    pub unreachable: Vec<usize>,
+    /// Streamers to which batches are accepted and never written.
     pub stuck: Vec<usize>,
-    /// These read nothing for now, and the numbers of the pings that they have not read.
-    pub unread: Vec<usize>,
+    /// Streamers that do not read for now.
+    pub not_reading: Vec<usize>,
+    /// Pings that these have not read: streamer and nonce.
     pub unread_pings: Vec<(usize, u64)>,
-    next: u32,
+    last_id: u32,
 }
 
-impl World {
-    /// Young controllers hold back, so the world begins a while after the start.
-    pub fn new() -> World {
-        World::of(&settings())
+impl Simulation {
+    /// A simulation with the settings above.
+    pub fn new() -> Simulation {
+        Simulation::with_settings(&settings())
     }
 
-    pub fn of(settings: &Settings) -> World {
+    /// The simulation begins 20 s after the start: a controller that has just started treats streamers as possibly
+    /// cold, and sends less.
+    pub fn with_settings(settings: &Settings) -> Simulation {
         let now = Point::at(1000.0);
         let driver = Driver::new(now, 7, &settings.controller_settings(), settings.terms());
-        let mut world = World {
+        let mut simulation = Simulation {
             driver,
             now,
-            sent: Vec::new(),
+            set_ups: Vec::new(),
             cancels: Vec::new(),
             dials: HashMap::new(),
-            answers: HashMap::new(),
-            news: Vec::new(),
-            hung: Vec::new(),
-            away: Vec::new(),
+            responses: HashMap::new(),
+            session_events: Vec::new(),
+            closed: Vec::new(),
+            unreachable: Vec::new(),
             stuck: Vec::new(),
-            unread: Vec::new(),
+            not_reading: Vec::new(),
             unread_pings: Vec::new(),
-            next: 0,
+            last_id: 0,
         };
-        world.driver.update_list(now, &list(1, |_| {}));
-        world.perform();
-        world.pass(20.0);
-        world
+        simulation.driver.update_list(now, &list(1, |_| {}));
+        simulation.perform_effects();
+        simulation.advance(20.0);
+        simulation
     }
 
-    pub fn learn(&mut self, list: &StreamerList) {
+    pub fn update_list(&mut self, list: &StreamerList) {
         self.driver.update_list(self.now, list);
-        self.perform();
+        self.perform_effects();
     }
 
-    pub fn ask(&mut self, lane: &str) -> u32 {
-        self.try_ask(lane, None).expect("it is taken")
+    /// Submits a request of this class; returns the id of its session.
+    pub fn submit(&mut self, class: &str) -> u32 {
+        self.try_submit(class, None).expect("the request is accepted")
     }
 
-    pub fn try_ask(&mut self, lane: &str, give_up_in_s: Option<f64>) -> Result<u32, SubmitError> {
-        self.next += 1;
-        let id = self.next;
-        let ask = format!("a{id}");
-        let wish = PlayRequest {
+    pub fn try_submit(&mut self, class: &str, give_up_in_s: Option<f64>) -> Result<u32, SubmitError> {
+        self.last_id += 1;
+        let id = self.last_id;
+        let request = PlayRequest {
             title: "t".into(),
-            class: lane.into(),
-            request_id: ask,
+            class: class.into(),
+            request_id: format!("a{id}"),
             give_up_in_s,
             ..PlayRequest::default()
         };
-        self.driver.submit(self.now, self.now, id, &wish, &Cmcd::default())?;
-        self.perform();
+        self.driver.submit(self.now, self.now, id, &request, &Cmcd::default())?;
+        self.perform_effects();
         Ok(id)
     }
 
-    /// The last set-up of this ask and where it went.
-    pub fn shot(&self, id: u32) -> (usize, u32) {
-        let (at, set_up) = self.sent.iter().rev().find(|(_, s)| s.id == id).expect("it was sent");
-        (*at, set_up.shot)
+    /// Streamer and number of the last attempt of this session.
+    pub fn last_attempt(&self, id: u32) -> (usize, u32) {
+        let sent = self.set_ups.iter().rev().find(|(_, set_up)| set_up.id == id);
+        let (streamer, set_up) = sent.expect("an attempt was sent");
+        (*streamer, set_up.shot)
     }
 
-    pub fn shots(&self, id: u32) -> usize {
-        self.sent.iter().filter(|(_, s)| s.id == id).count()
+    /// Number of attempts sent for this session.
+    pub fn attempt_count(&self, id: u32) -> usize {
+        self.set_ups.iter().filter(|(_, set_up)| set_up.id == id).count()
     }
 
-    pub fn tell(&mut self, at: usize, told: StreamerMessage) {
-        let dial = self.dials.get(&at).copied().unwrap_or(0);
-        self.driver.message_received(self.now, at, dial, told);
-        self.perform();
+    /// A streamer sends a message.
+    pub fn streamer_sends(&mut self, streamer: usize, message: StreamerMessage) {
+        let dial = self.dials.get(&streamer).copied().unwrap_or(0);
+        self.driver.message_received(self.now, streamer, dial, message);
+        self.perform_effects();
     }
 
-    pub fn plays(&mut self, id: u32) {
-        let (at, shot) = self.shot(id);
-        self.tell(at, StreamerMessage::Plays(Plays { id, shot, cmsd_dynamic: String::new() }));
+    /// The streamer of the last attempt starts to play.
+    pub fn start_playing(&mut self, id: u32) {
+        let (streamer, shot) = self.last_attempt(id);
+        self.streamer_sends(
+            streamer,
+            StreamerMessage::Plays(Plays { id, shot, cmsd_dynamic: String::new() }),
+        );
     }
 
-    pub fn ends(&mut self, id: u32, how: How) {
-        let (at, shot) = self.shot(id);
+    /// The streamer of the last attempt ends it.
+    pub fn end_attempt(&mut self, id: u32, how: How) {
+        let (streamer, shot) = self.last_attempt(id);
         let how = how.into();
-        self.tell(at, StreamerMessage::Ended(Ended { id, shot, how, cmsd_dynamic: String::new() }));
+        self.streamer_sends(
+            streamer,
+            StreamerMessage::Ended(Ended { id, shot, how, cmsd_dynamic: String::new() }),
+        );
     }
 
-    pub fn cut(&mut self, at: usize) {
-        let dial = self.dials.get(&at).copied().unwrap_or(0);
-        self.driver.link_lost(self.now, at, dial, true);
-        self.perform();
+    /// A streamer closes its connection.
+    pub fn close_by_streamer(&mut self, streamer: usize) {
+        let dial = self.dials.get(&streamer).copied().unwrap_or(0);
+        self.driver.link_lost(self.now, streamer, dial, true);
+        self.perform_effects();
     }
 
-    /// Lets time pass in steps of at most 20 ms, with a word from every link that is not away now and then.
-    pub fn pass(&mut self, seconds: f64) {
+    /// Lets time pass in steps of at most 20 ms. Streamers that can be reached and read answer pings meanwhile.
+    pub fn advance(&mut self, seconds: f64) {
         let until = self.now + Span::of(seconds);
         while self.now < until {
             self.now = until.min(self.now + Span::of_millis(20));
             self.driver.tick(self.now);
-            self.perform();
+            self.perform_effects();
         }
     }
 
-    /// The process stands still for so long, then goes on.
+    /// The process is stalled for this time: the clock advances without a call of the driver.
     pub fn stall(&mut self, seconds: f64) {
         self.now = self.now + Span::of(seconds);
     }
 
-    pub fn answer(&self, id: u32) -> &PlayResponse {
-        let answers = self.answers.get(&id).map_or(&[][..], |answers| answers);
-        assert_eq!(answers.len(), 1, "one answer, and no more: {answers:?}");
-        &answers[0]
+    /// The one response to this request.
+    pub fn response(&self, id: u32) -> &PlayResponse {
+        let responses = self.responses.get(&id).map_or(&[][..], |responses| responses);
+        assert_eq!(responses.len(), 1, "exactly one response: {responses:?}");
+        &responses[0]
     }
 
-    pub fn is_open(&self, id: u32) -> bool {
-        !self.answers.contains_key(&id)
+    pub fn is_waiting(&self, id: u32) -> bool {
+        !self.responses.contains_key(&id)
     }
 
-    fn perform(&mut self) {
+    fn perform_effects(&mut self) {
         while !self.driver.effects.is_empty() {
             for effect in std::mem::take(&mut self.driver.effects) {
                 match effect {
                     Effect::Response { id, response, .. } => {
-                        self.answers.entry(id).or_default().push(response)
+                        self.responses.entry(id).or_default().push(response);
                     }
-                    Effect::SessionEvent { id, event: news } => self.news.push((id, news)),
-                    Effect::Dial { streamer_index: at, dial, .. } => {
-                        self.dials.insert(at, dial);
-                        if !self.away.contains(&at) {
-                            self.driver.link_connected(self.now, at, dial, 1.0);
+                    Effect::SessionEvent { id, event } => self.session_events.push((id, event)),
+                    Effect::Dial { streamer_index, dial, .. } => {
+                        self.dials.insert(streamer_index, dial);
+                        if !self.unreachable.contains(&streamer_index) {
+                            self.driver.link_connected(self.now, streamer_index, dial, 1.0);
                         }
                     }
-                    Effect::Write { streamer_index: at, dial, messages: orders } => {
-                        self.write(at, dial, orders)
+                    Effect::Write { streamer_index, dial, messages } => {
+                        self.write(streamer_index, dial, messages);
                     }
-                    Effect::CloseConnection { streamer_index: at, .. } => self.hung.push(at),
+                    Effect::CloseConnection { streamer_index, .. } => self.closed.push(streamer_index),
                     Effect::Tap(_) | Effect::StreamerObserved { .. } => {}
                 }
             }
         }
     }
 
-    fn write(&mut self, at: usize, dial: u64, orders: Vec<QueuedMessage>) {
-        if self.stuck.contains(&at) {
+    fn write(&mut self, streamer: usize, dial: u64, messages: Vec<QueuedMessage>) {
+        if self.stuck.contains(&streamer) {
             return;
         }
         let mut unsent = Vec::new();
         let mut pings = Vec::new();
-        for queued in orders {
-            if queued.not_after.is_some_and(|until| self.now > until) {
+        for queued in messages {
+            if queued.not_after.is_some_and(|not_after| self.now > not_after) {
                 unsent.extend(queued.attempt);
                 continue;
             }
             match queued.message {
-                ControllerMessage::SetUp(set_up) => self.sent.push((at, set_up)),
-                ControllerMessage::Cancel(cancel) => self.cancels.push((at, cancel.id, cancel.shot)),
+                ControllerMessage::SetUp(set_up) => self.set_ups.push((streamer, set_up)),
+                ControllerMessage::Cancel(cancel) => self.cancels.push((streamer, cancel.id, cancel.shot)),
                 ControllerMessage::Ping(ping) => pings.push(ping.nonce),
                 _ => {}
             }
         }
-        self.driver.batch_written(self.now, at, dial, unsent);
+        self.driver.batch_written(self.now, streamer, dial, unsent);
         for nonce in pings {
-            if self.unread.contains(&at) {
-                self.unread_pings.push((at, nonce));
+            if self.not_reading.contains(&streamer) {
+                self.unread_pings.push((streamer, nonce));
             } else {
-                self.driver.message_received(self.now, at, dial, StreamerMessage::Pong(Pong { nonce }));
+                let pong = StreamerMessage::Pong(Pong { nonce });
+                self.driver.message_received(self.now, streamer, dial, pong);
             }
         }
     }
 
-    /// A streamer reads what lies unread, and answers the pings in it.
-    pub fn reads(&mut self, at: usize) {
-        self.unread.retain(|unread| *unread != at);
+    /// A streamer reads again, and answers the pings that it has not read yet.
+    pub fn resume_reading(&mut self, streamer: usize) {
+        self.not_reading.retain(|other| *other != streamer);
         let (read, unread) =
-            std::mem::take(&mut self.unread_pings).into_iter().partition(|ping| ping.0 == at);
+            std::mem::take(&mut self.unread_pings).into_iter().partition(|ping| ping.0 == streamer);
         self.unread_pings = unread;
         for (_, nonce) in read {
-            self.tell(at, StreamerMessage::Pong(Pong { nonce }));
+            self.streamer_sends(streamer, StreamerMessage::Pong(Pong { nonce }));
         }
     }
 }
