--- a/crates/lemontide-front/src/core/mod.rs
+++ b/crates/lemontide-front/src/core/mod.rs
@@ -1,23 +1,23 @@
-//! The driver around the decision module, and what stands before it. No sockets, no files, no clock: time, ids and
-//! the seed come from outside, events are calls, and what has to be done is left in `effects`.
+//! The driver around the decision module, and the early admission of requests. No sockets, no files, no clock: time,
+//! ids and the seed come from outside, events are method calls, and what the caller has to do is left in `effects`.
 
+mod admission;
 mod attempt;
-mod doorway;
+mod coordination;
 mod driver;
 mod links;
-mod together;
 mod viewers;
 
-pub use attempt::{Connection, Evidence, GivenUp, Proof};
-pub use doorway::{Doorway, Pass};
-pub use driver::{Driver, Effect, Held, Refusal, Terms};
-pub use links::{Link, Queued, Verdict};
-pub use together::{InFleet, Shared, Together};
-pub use viewers::Viewers;
+pub use admission::{EarlyAdmission, EarlyDecision};
+pub use attempt::{AbandonedAttempt, Connection, Evidence, Proof};
+pub use coordination::{Coordination, CoordinationSettings, FleetStatus};
+pub use driver::{Driver, DriverSettings, Effect, Session, SubmitError};
+pub use links::{Link, LinkAction, QueuedMessage};
+pub use viewers::RecentViewers;
 
 use lemontide::clock::Point;
 
-/// Seconds of the clock that a moment was made of.
+/// A moment as seconds of the clock, the inverse of `Point::at`.
 pub fn seconds(at: Point) -> f64 {
     (at - Point::default()).seconds()
 }
--- a/crates/lemontide-platform/src/dispatcher.rs
+++ b/crates/lemontide-platform/src/dispatcher.rs
@@ -26,7 +26,7 @@
 use lemontide::interface::{
     AttemptOutcome, ControllerSettings, Load, NewAttempt, Request, SettingValue, StreamerEntry, StreamerState,
 };
-use lemontide_front::core::{Connection, Evidence, GivenUp, Link, Proof, Queued, Verdict};
+use lemontide_front::core::{AbandonedAttempt, Connection, Evidence, Link, LinkAction, Proof, QueuedMessage};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -90,7 +90,7 @@
     /// Dial a streamer.
     Dial { on: Connection, address: String },
     /// Write a batch of messages to a streamer.
-    Write { on: Connection, messages: Vec<Queued<OutboundMessage>> },
+    Write { on: Connection, messages: Vec<QueuedMessage<OutboundMessage>> },
     /// Close a connection to a streamer. With `awaits_close`, only this end's half is closed at first, and the
     /// streamer's own close is awaited for a while: after it the streamer reads nothing more of that connection, and
     /// has given up the set-ups on it that had not finished.
@@ -150,13 +150,13 @@
     /// No earlier attempt of its request may have set up a session at its streamer.
     is_first: bool,
     /// Set once it is given up: the next attempt waits for a proof that this one is over.
-    given_up: Option<GivenUp>,
+    given_up: Option<AbandonedAttempt>,
 }
 
 /// An attempt whose request is over and that may still run: no other may begin under its session.
 struct UnprovenAttempt {
     session: u64,
-    attempt: GivenUp,
+    attempt: AbandonedAttempt,
     until: Point,
 }
 
@@ -302,7 +302,7 @@
                 session == Some(self.session)
             }
             // An established session belongs to no connection and outlives it.
-            Evidence::ClosedByStreamer | Evidence::Refused => false,
+            Evidence::ClosedByStreamer | Evidence::ConnectRefused => false,
         }
     }
 }
--- a/crates/lemontide-platform/src/dispatcher/attempts.rs
+++ b/crates/lemontide-platform/src/dispatcher/attempts.rs
@@ -21,12 +21,18 @@
     }
 
     /// Marks an attempt that has begun as given up, and returns what is known of its end. Nothing is sent yet.
-    fn give_up(&mut self, attempt: &mut Attempt, ending: AttemptOutcome) -> GivenUp {
+    fn give_up(&mut self, attempt: &mut Attempt, ending: AttemptOutcome) -> AbandonedAttempt {
         let (on, is_first) = (attempt.on, attempt.is_first);
         if let Some(streamer_link) = self.links.get_mut(&on.link).filter(|_| attempt.given_up.is_none()) {
             streamer_link.pending_set_ups = streamer_link.pending_set_ups.saturating_sub(1);
         }
-        *attempt.given_up.get_or_insert(GivenUp { on, is_closed: false, is_first, ending, test: None })
+        *attempt.given_up.get_or_insert(AbandonedAttempt {
+            connection: on,
+            connection_closed: false,
+            is_first_attempt: is_first,
+            outcome: ending,
+            test: None,
+        })
     }
 
     /// Releases an attempt that is given up, and sends a test behind the release, whose number is returned: once the
@@ -41,7 +47,7 @@
     }
 
     /// Remembers an attempt that may still run though its request is over, and the release that it needs.
-    fn remember_unproven(&mut self, now: Point, streamer: Arc<str>, session: u64, attempt: GivenUp) {
+    fn remember_unproven(&mut self, now: Point, streamer: Arc<str>, session: u64, attempt: AbandonedAttempt) {
         self.release_unproven(now, streamer, session, &attempt);
         if self.unproven.len() >= MAX_REMEMBERED {
             self.unproven.pop_front();
@@ -72,7 +78,7 @@
         let is_new = attempt.given_up.is_none();
         let mut attempt = self.give_up(&mut attempt, AttemptOutcome::Cancelled);
         if is_new {
-            attempt.test = self.send_release_and_test(now, session, attempt.on);
+            attempt.test = self.send_release_and_test(now, session, attempt.connection);
         }
         self.remember_unproven(now, tracked.streamer.clone(), session, attempt);
         AttemptOutcome::Cancelled
@@ -204,7 +210,7 @@
         let Some(given_up) = tracked.attempt.take().and_then(|attempt| attempt.given_up) else { return };
         let (session, streamer) = (tracked.session, tracked.streamer.clone());
         self.remember_unproven(now, streamer, session, given_up);
-        self.report_ended(now, id, given_up.ending, Load::default());
+        self.report_ended(now, id, given_up.outcome, Load::default());
     }
 
     /// Applies what was learnt on a connection and may prove that attempts are over: those of one session, or all on
@@ -222,7 +228,7 @@
             .retain(|unproven| !concerns(unproven.session) || unproven.attempt.proof(on, evidence).is_none());
         let proven = |tracked: &TrackedSession| {
             let given_up = tracked.attempt.as_ref()?.given_up.filter(|_| concerns(tracked.session))?;
-            Some((given_up.ending, given_up.proof(on, evidence)?))
+            Some((given_up.outcome, given_up.proof(on, evidence)?))
         };
         let proven: Vec<_> =
             self.sessions.iter().filter_map(|(id, tracked)| Some((*id, proven(tracked)?))).collect();
@@ -237,8 +243,8 @@
     pub(super) fn on_closed_by_streamer(&mut self, now: Point, on: Connection) {
         for tracked in self.sessions.values_mut() {
             let given_up = tracked.attempt.as_mut().and_then(|attempt| attempt.given_up.as_mut());
-            if let Some(given_up) = given_up.filter(|given_up| given_up.on == on) {
-                given_up.is_closed = true;
+            if let Some(given_up) = given_up.filter(|given_up| given_up.connection == on) {
+                given_up.connection_closed = true;
             }
         }
         self.release_on_other_connections(now);
@@ -249,7 +255,7 @@
     pub(super) fn release_on_other_connections(&mut self, now: Point) {
         let waits = |tracked: &TrackedSession| {
             let given_up = tracked.attempt.as_ref()?.given_up?;
-            (given_up.is_closed && !self.is_current(given_up.on))
+            (given_up.connection_closed && !self.is_current(given_up.connection))
                 .then_some((tracked.session, tracked.streamer.clone()))
         };
         let waiting: Vec<_> =
@@ -260,7 +266,7 @@
                 // The streamer closed its connection, and the list does not contain it any more or marks it as gone.
                 let attempt = self.sessions.get(&id).and_then(|tracked| tracked.attempt.as_ref());
                 let Some(given_up) = attempt.and_then(|attempt| attempt.given_up) else { continue };
-                self.attempt_over(now, id, given_up.ending, Load::default(), Proof::ProcessGone);
+                self.attempt_over(now, id, given_up.outcome, Load::default(), Proof::ProcessGone);
                 continue;
             }
             let Some(link) = self.best_link(&streamer).or_else(|| self.dial_now(now, &streamer)) else {
@@ -273,7 +279,7 @@
             let test = self.send_release_and_test(now, session, on);
             let attempt = self.sessions.get_mut(&id).and_then(|tracked| tracked.attempt.as_mut());
             if let Some(given_up) = attempt.and_then(|attempt| attempt.given_up.as_mut()) {
-                (given_up.on, given_up.test) = (on, test);
+                (given_up.connection, given_up.test) = (on, test);
             }
         }
     }
@@ -478,7 +484,8 @@
             return self.end_unbegun(now, vec![(id, number)], outcome);
         };
         let Some(streamer_link) = self.links.get_mut(&link) else { return };
-        let queued = Queued { order: outbound, shot: Some((id, number)), not_after: Some(not_after) };
+        let queued =
+            QueuedMessage { message: outbound, attempt: Some((id, number)), not_after: Some(not_after) };
         if streamer_link.pending_set_ups >= self.settings.max_set_ups_per_link
             || !streamer_link.link.push(queued)
         {
--- a/crates/lemontide-platform/src/dispatcher/connections.rs
+++ b/crates/lemontide-platform/src/dispatcher/connections.rs
@@ -34,10 +34,11 @@
         now: Point,
         streamer: Arc<str>,
         session: u64,
-        attempt: &GivenUp,
+        attempt: &AbandonedAttempt,
     ) {
-        let sent =
-            attempt.test.map(|test| SentRelease { on: attempt.on, after_test: test.saturating_sub(1) });
+        let sent = attempt
+            .test
+            .map(|test| SentRelease { on: attempt.connection, after_test: test.saturating_sub(1) });
         self.remember_release(PendingRelease {
             streamer,
             session,
@@ -104,7 +105,7 @@
         }
         let link = on.link;
         if let Some(streamer_link) = self.links.get_mut(&link) {
-            streamer_link.link.up(now);
+            streamer_link.link.connected(now);
             if let Some(known) = self.streamers.get_mut(&streamer_link.streamer) {
                 known.unreachable_since = None;
             }
@@ -120,7 +121,7 @@
         let awaits_close = self.await_close_if_useful(on, true);
         self.effects.push(Effect::Close { on, awaits_close });
         if loss == ConnectionLoss::Refused {
-            self.apply_evidence(now, on, None, Evidence::Refused);
+            self.apply_evidence(now, on, None, Evidence::ConnectRefused);
         }
         self.handle_loss(now, on.link, loss);
         self.apply_actions(now);
@@ -163,7 +164,7 @@
         let waiting = self.withdraw_waiting(link);
         let Some(streamer_link) = self.links.get_mut(&link) else { return };
         let streamer = streamer_link.streamer.clone();
-        streamer_link.link.down(now, jitter);
+        streamer_link.link.disconnected(now, jitter);
         streamer_link.suspect_until = None;
         streamer_link.link.withdraw_all();
         tracing::info!(target: "streamers", streamer = &*streamer, %loss, waiting = waiting.len(), "link lost");
@@ -192,7 +193,7 @@
         let unreachable_since = is_last.then(|| *known.unreachable_since.get_or_insert(now));
         let is_gone = known.entry.stage() == StreamerState::Gone;
         let can_redial = |streamer_link: &StreamerLink| {
-            streamer_link.link.idle.is_none() && streamer_link.link.may_dial(now)
+            streamer_link.link.idle_since.is_none() && streamer_link.link.can_dial(now)
         };
         for id in begun {
             self.attempt_in_doubt(now, id);
@@ -224,7 +225,7 @@
             return;
         }
         if let Some(streamer_link) = self.links.get_mut(&on.link) {
-            streamer_link.link.wrote();
+            streamer_link.link.batch_written();
         }
         self.end_unbegun(now, unsent, AttemptOutcome::NotSent);
         self.apply_actions(now);
@@ -259,7 +260,7 @@
         }
         if self.is_current(on) {
             if let Some(streamer_link) = self.links.get_mut(&on.link) {
-                streamer_link.link.heard(now);
+                streamer_link.link.message_received(now);
                 streamer_link.suspect_until = None;
             }
         }
@@ -352,9 +353,12 @@
         let links: Vec<u64> = self.links.keys().copied().collect();
         for link in links {
             let Some(streamer_link) = self.links.get_mut(&link) else { continue };
-            streamer_link.link.idle =
-                streamer_link.link.idle.or(Some(now)).filter(|_| !needed.contains(&streamer_link.streamer));
-            if let Some(since) = streamer_link.link.idle {
+            streamer_link.link.idle_since = streamer_link
+                .link
+                .idle_since
+                .or(Some(now))
+                .filter(|_| !needed.contains(&streamer_link.streamer));
+            if let Some(since) = streamer_link.link.idle_since {
                 // Well below the idle timeout of the other end, whose close could cross a set-up.
                 if now - since >= self.settings.max_idle {
                     self.close_link(now, link, ConnectionLoss::Disconnected, CloseReason::Idle);
@@ -366,7 +370,7 @@
                     known.unreachable_since = None;
                 }
             }
-            let verdict = streamer_link.link.look(now, gap);
+            let verdict = streamer_link.link.check(now, gap);
             if gap >= LINK_CHECK_INTERVAL + LINK_CHECK_INTERVAL {
                 // This process itself did not run for a while, so the messages that it did not read do not count as
                 // silence.
@@ -374,15 +378,15 @@
             }
             let is_silent = streamer_link.suspect_until.is_some_and(|until| now >= until);
             match verdict {
-                Verdict::Lost => {
+                LinkAction::Close => {
                     self.close_link(now, link, ConnectionLoss::Disconnected, CloseReason::Silent)
                 }
                 _ if is_silent => {
                     self.close_link(now, link, ConnectionLoss::Disconnected, CloseReason::Unanswered)
                 }
-                Verdict::Fine => {}
-                Verdict::Dial => self.dial(now, link),
-                Verdict::Ping => {
+                LinkAction::None => {}
+                LinkAction::Dial => self.dial(now, link),
+                LinkAction::Ping => {
                     self.send_test(now, link);
                 }
             }
@@ -436,11 +440,12 @@
         let is_free = |streamer_link: &StreamerLink| {
             streamer_link.link.is_up()
                 && streamer_link.pending_set_ups == 0
-                && (streamer_link.link.idle.is_some() || has_several(&streamer_link.streamer))
+                && (streamer_link.link.idle_since.is_some() || has_several(&streamer_link.streamer))
         };
         let candidates = self.links.iter().filter(|(_, streamer_link)| is_free(streamer_link));
-        let first = candidates
-            .min_by_key(|(_, streamer_link)| (streamer_link.link.idle.is_none(), streamer_link.link.idle));
+        let first = candidates.min_by_key(|(_, streamer_link)| {
+            (streamer_link.link.idle_since.is_none(), streamer_link.link.idle_since)
+        });
         if let Some(link) = first.map(|(link, _)| *link) {
             self.close_link(now, link, ConnectionLoss::Disconnected, CloseReason::MakesRoom);
         }
@@ -483,9 +488,9 @@
         if !streamer_link.link.is_up() && !streamer_link.link.is_dialling() {
             return;
         }
-        if streamer_link.link.push(Queued {
-            order: OutboundMessage { message, permit: None },
-            shot: None,
+        if streamer_link.link.push(QueuedMessage {
+            message: OutboundMessage { message, permit: None },
+            attempt: None,
             not_after: None,
         }) {
             self.write_next_batch(now, link);
@@ -497,7 +502,7 @@
     /// Passes the next messages of a link to the I/O.
     pub(super) fn write_next_batch(&mut self, now: Point, link: u64) {
         let Some(streamer_link) = self.links.get_mut(&link) else { return };
-        let messages = streamer_link.link.batch(now);
+        let messages = streamer_link.link.next_batch(now);
         if messages.is_empty() {
             return;
         }
@@ -514,9 +519,9 @@
             return Some(self.last_link).filter(|link| self.links[link].link.is_dialling());
         }
         let can_dial_now =
-            |link: &&u64| self.links.get(link).is_some_and(|streamer_link| streamer_link.link.may_dial(now));
+            |link: &&u64| self.links.get(link).is_some_and(|streamer_link| streamer_link.link.can_dial(now));
         let link = *links.iter().find(can_dial_now)?;
-        self.links.get_mut(&link)?.link.idle = None;
+        self.links.get_mut(&link)?.link.idle_since = None;
         self.dial(now, link);
         self.links.get(&link).filter(|streamer_link| streamer_link.link.is_dialling()).map(|_| link)
     }
--- a/crates/lemontide-platform/src/dispatcher/list.rs
+++ b/crates/lemontide-platform/src/dispatcher/list.rs
@@ -61,7 +61,7 @@
         let state = known.entry.stage();
         for link in known.link_ids.clone() {
             let Some(streamer_link) = self.links.get_mut(&link) else { continue };
-            streamer_link.link.wanted = state != StreamerState::Gone;
+            streamer_link.link.is_listed = state != StreamerState::Gone;
             if state != StreamerState::Ready {
                 let attempts = self.withdraw_waiting(link);
                 self.end_unbegun(now, attempts, AttemptOutcome::NotSent);
