--- a/crates/lemontide-cli/tests/common/mod.rs
+++ b/crates/lemontide-cli/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use lemontide::interface::Load;
-use lemontide_platform::codec::{Body, Figures, Message, SetUp};
+use lemontide_platform::codec::{Body, Message, RequestDetails, SetUp};
 use lemontide_standin::platform::{settings, Attended, End, Journal, SOON};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -163,11 +163,17 @@
 pub fn set_up(lane: &str, at: Option<&str>) -> Body {
     let at = at.map(str::to_owned);
     Body::SetUp(SetUp {
-        lane: lane.into(),
+        class: lane.into(),
         tenant: "acme".into(),
         title: "t".into(),
         wait_ms: 60_000,
-        figures: Some(Figures { home: 0, copies: 1, top: 1, again: false, at }),
+        details: Some(RequestDetails {
+            first_cell: 0,
+            replicas: 1,
+            max_rung: 1,
+            is_retry: false,
+            playing_at: at,
+        }),
         description: Bytes::from_static(b"asked"),
         ..SetUp::default()
     })
@@ -182,7 +188,7 @@
     viewer.say(u64::MAX, Body::Test).await.expect("sent");
     loop {
         let heard = viewer.hear().await.expect("told");
-        if heard.body == (Body::Tested { passed: true }) {
+        if heard.body == (Body::TestResult { passed: true }) {
             return;
         }
     }
--- a/crates/lemontide-cli/tests/crossings.rs
+++ b/crates/lemontide-cli/tests/crossings.rs
@@ -52,7 +52,7 @@
             gone.insert(session);
         }
         for (session, at) in &out {
-            served.say(*at, *session, Body::release(cause::MOOT)).await;
+            served.say(*at, *session, Body::release(cause::NOT_SENT)).await;
         }
         sleep(Duration::from_millis(150)).await;
         served.go_on();
@@ -87,8 +87,8 @@
         tokio::spawn(async move {
             while let Ok(message) = link.hear().await {
                 let answer = match message.body {
-                    Body::SetUp(_) => Body::release(cause::MOOT),
-                    Body::Test => Body::Tested { passed: true },
+                    Body::SetUp(_) => Body::release(cause::NOT_SENT),
+                    Body::Test => Body::TestResult { passed: true },
                     _ => continue,
                 };
                 if matches!(message.body, Body::SetUp(_)) {
@@ -372,7 +372,7 @@
     // Longer than the eight seconds after which a stopping process used to end, whatever it owed.
     sleep(Duration::from_millis(8700)).await;
     served.say((at, link), 1, Body::release(cause::ERROR)).await;
-    assert_eq!(viewer.hear().await.expect("the final answer").body, Body::release(cause::BROKEN));
+    assert_eq!(viewer.hear().await.expect("the final answer").body, Body::release(cause::FAILED));
     assert!(served.ends().await.success());
 }
 
--- a/crates/lemontide-cli/tests/program.rs
+++ b/crates/lemontide-cli/tests/program.rs
@@ -184,7 +184,7 @@
 /// viewer never got its final answer.
 #[test]
 fn the_last_answer_before_a_stop_reaches_its_viewer() {
-    use lemontide_platform::codec::{cause, Body, Figures, SetUp};
+    use lemontide_platform::codec::{cause, Body, RequestDetails, SetUp};
     use lemontide_standin::platform::{settings, End, Journal};
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
@@ -211,11 +211,17 @@
         let pid = nix::unistd::Pid::from_raw(serve.id().expect("it runs") as i32);
         let mut viewer = End::viewer(listen).await.expect("it serves");
         let set_up = SetUp {
-            lane: "paid".into(),
+            class: "paid".into(),
             tenant: "acme".into(),
             title: "t".into(),
             wait_ms: 60_000,
-            figures: Some(Figures { home: 0, copies: 1, top: 1, again: false, at: None }),
+            details: Some(RequestDetails {
+                first_cell: 0,
+                replicas: 1,
+                max_rung: 1,
+                is_retry: false,
+                playing_at: None,
+            }),
             ..SetUp::default()
         };
         viewer.say(7, Body::SetUp(set_up)).await.expect("sent");
@@ -226,7 +232,7 @@
         tokio::time::sleep(std::time::Duration::from_millis(1600)).await;
         link.say(7, Body::release(cause::ERROR)).await.expect("sent");
         let answer = viewer.hear().await.expect("the final answer, before the end");
-        assert_eq!(answer.body, Body::release(cause::BROKEN), "paid, and it may have run");
+        assert_eq!(answer.body, Body::release(cause::FAILED), "paid, and it may have run");
         let ended = tokio::time::timeout(lemontide_standin::platform::SOON, serve.wait()).await;
         assert!(ended.expect("within the bound").expect("waited for").success());
     });
--- a/crates/lemontide-platform/src/codec.rs
+++ b/crates/lemontide-platform/src/codec.rs
@@ -1,162 +1,189 @@
-//! The platform's binary messages. All of the platform's outer names and numbers are here and in `config`; behind
-//! this file there are typed messages only. Pure: bytes in, messages out, and back.
+//! Encodes and decodes the platform's binary messages. All names and numbers of the platform's protocol are here and in
+//! `config`; the rest of the crate sees typed messages only. Does no I/O: it turns bytes into messages and back.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use lemontide::interface::Load;
 use std::io;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// What follows the length field of a message: the type, the session and the parameters.
-pub const MESSAGE_MOST: usize = 16 * 1024;
-const HEAD: usize = 9;
+/// Maximum length of a message after its length field: type, session and parameters.
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
+/// Type and session of a message; the parameters follow.
+const HEADER_BYTES: usize = 9;
 
-mod kind {
+/// Numbers of the message types.
+mod message_type {
     pub const SET_UP: u8 = 1;
     pub const PROGRESS: u8 = 6;
     pub const ANSWER: u8 = 9;
     pub const RELEASE: u8 = 12;
-    pub const HEARD: u8 = 16;
-    pub const NOTE: u8 = 44;
+    pub const ACKNOWLEDGED: u8 = 16;
+    pub const SESSION_REPORT: u8 = 44;
     pub const MOVE: u8 = 51;
     pub const TEST: u8 = 52;
-    pub const TESTED: u8 = 53;
+    pub const TEST_RESULT: u8 = 53;
     pub const RUNG: u8 = 60;
 }
 
+/// Codes of the parameters.
 mod code {
-    pub const LANE: u8 = 64;
-    pub const WAIT: u8 = 66;
+    pub const CLASS: u8 = 64;
+    pub const WAIT_MS: u8 = 66;
     pub const TENANT: u8 = 68;
     pub const RETRY: u8 = 70;
     pub const TITLE: u8 = 72;
-    pub const FIGURES: u8 = 74;
-    pub const STAY_AWAY: u8 = 76;
-    pub const NOTE: u8 = 78;
+    pub const DETAILS: u8 = 74;
+    pub const RETRY_AFTER_MS: u8 = 76;
+    pub const REPORT_NAME: u8 = 78;
     pub const LOAD: u8 = 82;
     pub const RUNG: u8 = 86;
-    pub const FIGURE: u8 = 88;
+    pub const REPORT_VALUE: u8 = 88;
     pub const CAUSE: u8 = 92;
     pub const DESCRIPTION: u8 = 94;
 }
 
-/// Why something ended, as the platform numbers it.
+/// Why a request or session ended, as the platform numbers it.
 pub mod cause {
-    /// It came to its end, or was given up.
+    /// The session ended normally, or the attempt was given up.
     pub const NORMAL: u8 = 16;
-    /// Moved, or ended by its viewer.
+    /// The session was moved to another streamer, or its viewer ended it.
     pub const CANCELLED: u8 = 31;
-    /// Full: it never ran.
+    /// Refused for lack of capacity; the set-up did not run.
     pub const FULL: u8 = 34;
-    /// It broke: on its way, or while it stood.
-    pub const BROKEN: u8 = 41;
-    /// Turned back: to try again is harmless.
-    pub const TURNED_BACK: u8 = 42;
+    /// The attempt failed on its way, or the session failed while it was playing.
+    pub const FAILED: u8 = 41;
+    /// The request was rejected; it is safe to repeat it.
+    pub const REJECTED: u8 = 42;
+    /// The streamer failed to set the session up.
     pub const ERROR: u8 = 47;
-    /// It never left.
-    pub const MOOT: u8 = 102;
-    /// Not usable as it was sent.
-    pub const UNUSABLE: u8 = 111;
-
-    /// Whether a streamer that gives this cause refuses or fails a set-up. Any other may also end what stands, and be
-    /// said again on another connection.
-    pub fn ends_a_set_up(cause: u8) -> bool {
-        [FULL, ERROR, MOOT].contains(&cause)
+    /// The set-up was not sent on and did not run.
+    pub const NOT_SENT: u8 = 102;
+    /// The request is not valid.
+    pub const INVALID: u8 = 111;
+
+    /// Whether a streamer that gives this cause refuses or fails a set-up. Any other cause may also end an existing
+    /// session, and may be repeated on another connection.
+    pub fn ends_set_up(cause: u8) -> bool {
+        [FULL, ERROR, NOT_SENT].contains(&cause)
     }
 }
 
-/// The figures of a viewer's wish.
+/// Details of a viewer's request that the decision needs.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
-    pub home: usize,
-    pub copies: usize,
-    pub top: usize,
-    /// The viewer comes again.
-    pub again: bool,
-    /// The streamer at which it plays already.
-    pub at: Option<String>,
+pub struct RequestDetails {
+    /// The first cell that holds the title.
+    pub first_cell: usize,
+    /// The number of cells in a row that hold the title.
+    pub replicas: usize,
+    /// The highest rung that the viewer can use.
+    pub max_rung: usize,
+    /// The viewer repeats a request that was rejected or failed before.
+    pub is_retry: bool,
+    /// The streamer at which the session plays already.
+    pub playing_at: Option<String>,
 }
 
+/// A request to set up a session.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SetUp {
-    pub lane: String,
+    /// Name of the request's class.
+    pub class: String,
+    /// Name of the tenant, empty where none is given.
     pub tenant: String,
+    /// Id of the title.
     pub title: String,
+    /// How long the sender waits for the answer, in milliseconds.
     pub wait_ms: u64,
-    pub retry: bool,
-    /// Told by viewers only.
-    pub figures: Option<Figures>,
-    /// Told to streamers only.
+    /// The retry flag of the message (parameter 70).
+    pub is_retry: bool,
+    /// Sent by viewers only.
+    pub details: Option<RequestDetails>,
+    /// Sent to streamers only.
     pub rung: Option<usize>,
+    /// Opaque session description, passed on unchanged.
     pub description: Bytes,
 }
 
 impl SetUp {
-    /// The streamer at which it plays already, where it is handed over.
+    /// The streamer at which the session plays already, if another controller hands it over.
     pub fn plays_at(&self) -> Option<&String> {
-        self.figures.as_ref()?.at.as_ref()
+        self.details.as_ref()?.playing_at.as_ref()
     }
 }
 
-/// What a streamer notes about a subscription that stands.
+/// A streamer's report on a session that plays.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
-    /// The share of their rates that subscriptions get there.
-    Share(f64),
+pub enum SessionReport {
+    /// The share of its rate that a session gets on this streamer.
+    RateShare(f64),
+    /// The rung at which the session plays.
     Rung(usize),
-    /// What is asked of its link, or its rack's uplink, over what that gives.
-    Link(f64),
-    Rack(f64),
+    /// Demand over capacity of the streamer's link.
+    LinkUtilization(f64),
+    /// Demand over capacity of the uplink of the streamer's rack.
+    UplinkUtilization(f64),
 }
 
+/// The type and content of a message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Body {
     SetUp(SetUp),
-    /// A set-up that can be read and not be used, with the reason.
-    Unusable(&'static str),
+    /// A set-up that can be decoded but is not valid, with the reason.
+    Invalid(&'static str),
+    /// Only shows that the sender is alive.
     Progress,
+    /// The session plays.
     Answer {
         description: Bytes,
         load: Load,
     },
+    /// The end of a request or session.
     Release {
         cause: u8,
-        stay_away_ms: Option<u64>,
+        retry_after_ms: Option<u64>,
         load: Load,
     },
-    Heard,
+    /// The streamer has read a release.
+    Acknowledged,
+    /// Asks the receiver for a `TestResult` with the same session number.
     Test,
-    Tested {
+    TestResult {
         passed: bool,
     },
-    Note(Note),
-    /// A note of a kind that is not known: it means nothing.
-    OtherNote,
+    SessionReport(SessionReport),
+    /// A session report with an unknown name; it is ignored.
+    UnknownReport,
+    /// The streamer asks to move the session to another one.
     Move,
+    /// The session's new rung.
     Rung(usize),
 }
 
 impl Body {
+    /// A release with this cause and without a load report.
     pub fn release(cause: u8) -> Body {
-        Body::Release { cause, stay_away_ms: None, load: Load::default() }
+        Body::Release { cause, retry_after_ms: None, load: Load::default() }
     }
 }
 
+/// A message of the platform's protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
+    /// Number of the session, or of the test.
     pub session: u64,
     pub body: Body,
 }
 
-/// Reads and writes messages on one connection. Bytes that can't be a message are an error: nothing behind them
-/// can be read either.
+/// Encodes and decodes the messages of one connection. After bytes that can't be a message it returns an error, as the
+/// bytes behind them can't be decoded either.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Codec;
 
-fn bad(what: &str) -> io::Error {
+fn invalid_data(what: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what)
 }
 
-/// The parameters of one message; later ones of a code are not looked at.
+/// The parameters of one message. If a code occurs more than once, the first parameter counts.
 struct Parameters(Vec<(u8, Bytes)>);
 
 impl Parameters {
@@ -164,11 +191,11 @@
         let mut all = Vec::new();
         while bytes.has_remaining() {
             if bytes.remaining() < 3 {
-                return Err(bad("a parameter is cut off"));
+                return Err(invalid_data("a parameter is truncated"));
             }
             let (code, length) = (bytes.get_u8(), usize::from(bytes.get_u16()));
             if bytes.remaining() < length {
-                return Err(bad("a parameter is longer than its message"));
+                return Err(invalid_data("a parameter is longer than its message"));
             }
             all.push((code, bytes.split_to(length)));
         }
@@ -176,28 +203,28 @@
     }
 
     fn bytes(&self, code: u8) -> Option<&Bytes> {
-        self.0.iter().find(|(of, _)| *of == code).map(|(_, value)| value)
+        self.0.iter().find(|(own_code, _)| *own_code == code).map(|(_, value)| value)
     }
 
     fn text(&self, code: u8) -> Option<&str> {
         self.bytes(code).and_then(|value| std::str::from_utf8(value).ok())
     }
 
-    fn whole(&self, code: u8) -> Option<u64> {
-        self.text(code).and_then(whole)
+    fn whole_number(&self, code: u8) -> Option<u64> {
+        self.text(code).and_then(parse_whole_number)
     }
 
     fn cause(&self) -> io::Result<u8> {
         match self.bytes(code::CAUSE).map(|value| &value[..]) {
             Some([cause]) => Ok(*cause),
-            _ => Err(bad("no cause of one byte")),
+            _ => Err(invalid_data("a cause of one byte is missing")),
         }
     }
 
-    /// A report names its own figures; what is not a sane number is left out.
+    /// The load report, `name:value` pairs; values that are not finite or are negative are left out.
     fn load(&self) -> Load {
         let mut load = Load::default();
-        for (name, value) in self.text(code::LOAD).into_iter().flat_map(pairs) {
+        for (name, value) in self.text(code::LOAD).into_iter().flat_map(named_values) {
             let value = value.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0);
             lemontide_settings::read_load_field(&mut load, name, value);
         }
@@ -206,74 +233,83 @@
 
     fn set_up(&self) -> Result<SetUp, &'static str> {
         let text = |code, missing| self.text(code).map(str::to_owned).ok_or(missing);
-        let figures = match self.bytes(code::FIGURES) {
-            Some(_) => Some(figures(self.text(code::FIGURES).ok_or("figures are no text")?)?),
+        let details = match self.bytes(code::DETAILS) {
+            Some(_) => {
+                Some(parse_details(self.text(code::DETAILS).ok_or("the request details are not text")?)?)
+            }
             None => None,
         };
         let rung = match self.bytes(code::RUNG) {
-            Some(_) => Some(self.whole(code::RUNG).ok_or("the rung is no number")? as usize),
+            Some(_) => Some(self.whole_number(code::RUNG).ok_or("the rung is not a number")? as usize),
             None => None,
         };
-        let retry = match self.bytes(code::RETRY).map(|value| &value[..]) {
+        let is_retry = match self.bytes(code::RETRY).map(|value| &value[..]) {
             None | Some(b"0") => false,
             Some(b"1") => true,
-            Some(_) => return Err("the mark of a retry is neither 0 nor 1"),
+            Some(_) => return Err("the retry flag is neither 0 nor 1"),
         };
         Ok(SetUp {
-            lane: text(code::LANE, "no lane")?,
+            class: text(code::CLASS, "the class is missing")?,
             tenant: self.text(code::TENANT).unwrap_or_default().to_owned(),
-            title: text(code::TITLE, "no title")?,
-            wait_ms: self.whole(code::WAIT).ok_or("no wait in milliseconds")?,
-            retry,
-            figures,
+            title: text(code::TITLE, "the title is missing")?,
+            wait_ms: self.whole_number(code::WAIT_MS).ok_or("the wait in milliseconds is missing")?,
+            is_retry,
+            details,
             rung,
-            description: self.bytes(code::DESCRIPTION).cloned().ok_or("no description")?,
+            description: self.bytes(code::DESCRIPTION).cloned().ok_or("the description is missing")?,
         })
     }
 
-    fn note(&self) -> io::Result<Body> {
-        let what = self.text(code::NOTE).ok_or_else(|| bad("a note without a name"))?;
-        let figure: f64 = self.text(code::FIGURE).and_then(|f| f.parse().ok()).unwrap_or(f64::NAN);
-        if !figure.is_finite() || figure < 0.0 {
-            return Err(bad("a note without a sane figure"));
+    fn session_report(&self) -> io::Result<Body> {
+        let name =
+            self.text(code::REPORT_NAME).ok_or_else(|| invalid_data("a session report without a name"))?;
+        let value: f64 =
+            self.text(code::REPORT_VALUE).and_then(|value| value.parse().ok()).unwrap_or(f64::NAN);
+        if !value.is_finite() || value < 0.0 {
+            return Err(invalid_data("a session report without a finite value of at least 0"));
         }
-        Ok(match what {
-            "quality" => Body::Note(Note::Share(figure)),
-            "profile" => Body::Note(Note::Rung(figure as usize)),
-            "nic" => Body::Note(Note::Link(figure)),
-            "tor" => Body::Note(Note::Rack(figure)),
-            _ => Body::OtherNote,
+        Ok(match name {
+            "quality" => Body::SessionReport(SessionReport::RateShare(value)),
+            "profile" => Body::SessionReport(SessionReport::Rung(value as usize)),
+            "nic" => Body::SessionReport(SessionReport::LinkUtilization(value)),
+            "tor" => Body::SessionReport(SessionReport::UplinkUtilization(value)),
+            _ => Body::UnknownReport,
         })
     }
 }
 
-/// A whole number in plain digits; signs, blanks and what does not fit are none.
-fn whole(text: &str) -> Option<u64> {
-    let plain = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
-    plain.then(|| text.parse().ok()).flatten()
+/// Parses a number of decimal digits only; none if there is a sign or a blank, or if it does not fit.
+fn parse_whole_number(text: &str) -> Option<u64> {
+    let is_plain = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
+    is_plain.then(|| text.parse().ok()).flatten()
 }
 
-/// `name:value;name:value`.
-fn pairs(text: &str) -> impl Iterator<Item = (&str, &str)> {
+/// The pairs of `name:value;name:value`.
+fn named_values(text: &str) -> impl Iterator<Item = (&str, &str)> {
     text.split(';').filter_map(|pair| pair.split_once(':'))
 }
 
-fn figures(text: &str) -> Result<Figures, &'static str> {
-    let mut all = Figures::default();
-    let mut told = 0;
-    for (name, value) in pairs(text) {
-        let number = || whole(value).and_then(|n| usize::try_from(n).ok()).ok_or("a figure is no number");
+fn parse_details(text: &str) -> Result<RequestDetails, &'static str> {
+    let mut details = RequestDetails::default();
+    // One bit for each required name that was found.
+    let mut found = 0;
+    for (name, value) in named_values(text) {
+        let number = || {
+            parse_whole_number(value)
+                .and_then(|n| usize::try_from(n).ok())
+                .ok_or("a number in the request details is not valid")
+        };
         match name {
-            "home" => (all.home, told) = (number()?, told | 1),
-            "copies" => (all.copies, told) = (number()?, told | 2),
-            "top" => (all.top, told) = (number()?, told | 4),
-            "again" => all.again = number()? == 1,
-            "at" => all.at = Some(value.to_owned()),
+            "home" => (details.first_cell, found) = (number()?, found | 1),
+            "copies" => (details.replicas, found) = (number()?, found | 2),
+            "top" => (details.max_rung, found) = (number()?, found | 4),
+            "again" => details.is_retry = number()? == 1,
+            "at" => details.playing_at = Some(value.to_owned()),
             _ => {}
         }
     }
-    if told == 7 {
-        Ok(all)
+    if found == 7 {
+        Ok(details)
     } else {
         Err("home, copies or top is missing")
     }
@@ -286,8 +322,8 @@
     fn decode(&mut self, from: &mut BytesMut) -> io::Result<Option<Message>> {
         let Some(head) = from.get(..2) else { return Ok(None) };
         let length = usize::from(u16::from_be_bytes([head[0], head[1]]));
-        if !(HEAD..=MESSAGE_MOST).contains(&length) {
-            return Err(bad("a message of impossible length"));
+        if !(HEADER_BYTES..=MAX_MESSAGE_BYTES).contains(&length) {
+            return Err(invalid_data("the length of a message is out of range"));
         }
         if from.len() < 2 + length {
             from.reserve(2 + length - from.len());
@@ -295,31 +331,32 @@
         }
         from.advance(2);
         let mut bytes = from.split_to(length).freeze();
-        let (kind, session) = (bytes.get_u8(), bytes.get_u64());
+        let (message_type, session) = (bytes.get_u8(), bytes.get_u64());
         let parameters = Parameters::read(bytes)?;
-        let body = match kind {
-            kind::SET_UP => parameters.set_up().map_or_else(Body::Unusable, Body::SetUp),
-            kind::PROGRESS => Body::Progress,
-            kind::ANSWER => {
+        let body = match message_type {
+            message_type::SET_UP => parameters.set_up().map_or_else(Body::Invalid, Body::SetUp),
+            message_type::PROGRESS => Body::Progress,
+            message_type::ANSWER => {
                 let description = parameters.bytes(code::DESCRIPTION).cloned();
-                let description = description.ok_or_else(|| bad("an answer without a description"))?;
+                let description =
+                    description.ok_or_else(|| invalid_data("an answer without a description"))?;
                 Body::Answer { description, load: parameters.load() }
             }
-            kind::RELEASE => Body::Release {
+            message_type::RELEASE => Body::Release {
                 cause: parameters.cause()?,
-                stay_away_ms: parameters.whole(code::STAY_AWAY),
+                retry_after_ms: parameters.whole_number(code::RETRY_AFTER_MS),
                 load: parameters.load(),
             },
-            kind::HEARD => Body::Heard,
-            kind::TEST => Body::Test,
-            kind::TESTED => Body::Tested { passed: parameters.cause()? == 1 },
-            kind::NOTE => parameters.note()?,
-            kind::MOVE => Body::Move,
-            kind::RUNG => match parameters.whole(code::RUNG) {
+            message_type::ACKNOWLEDGED => Body::Acknowledged,
+            message_type::TEST => Body::Test,
+            message_type::TEST_RESULT => Body::TestResult { passed: parameters.cause()? == 1 },
+            message_type::SESSION_REPORT => parameters.session_report()?,
+            message_type::MOVE => Body::Move,
+            message_type::RUNG => match parameters.whole_number(code::RUNG) {
                 Some(rung) => Body::Rung(rung as usize),
-                None => return Err(bad("a new rung without its number")),
+                None => return Err(invalid_data("a rung change without a rung")),
             },
-            _ => return Err(bad("a message of unknown type")),
+            _ => return Err(invalid_data("unknown message type")),
         };
         Ok(Some(Message { session, body }))
     }
@@ -331,82 +368,84 @@
     fn encode(&mut self, message: Message, into: &mut BytesMut) -> io::Result<()> {
         let mut out = Vec::new();
         let mut put = |code: u8, value: &[u8]| out.push((code, Bytes::copy_from_slice(value)));
-        let kind = match &message.body {
+        let message_type = match &message.body {
             Body::SetUp(set_up) => {
-                put(code::LANE, set_up.lane.as_bytes());
-                put(code::WAIT, set_up.wait_ms.to_string().as_bytes());
+                put(code::CLASS, set_up.class.as_bytes());
+                put(code::WAIT_MS, set_up.wait_ms.to_string().as_bytes());
                 if !set_up.tenant.is_empty() {
                     put(code::TENANT, set_up.tenant.as_bytes());
                 }
-                if set_up.retry {
+                if set_up.is_retry {
                     put(code::RETRY, b"1");
                 }
                 put(code::TITLE, set_up.title.as_bytes());
-                if let Some(figures) = &set_up.figures {
-                    let Figures { home, copies, top, again, at } = figures;
-                    let mut text = format!("home:{home};copies:{copies};top:{top}");
-                    if *again {
+                if let Some(details) = &set_up.details {
+                    let RequestDetails { first_cell, replicas, max_rung, is_retry, playing_at } = details;
+                    let mut text = format!("home:{first_cell};copies:{replicas};top:{max_rung}");
+                    if *is_retry {
                         text += ";again:1";
                     }
-                    if let Some(at) = at {
-                        text += &format!(";at:{at}");
+                    if let Some(streamer) = playing_at {
+                        text += &format!(";at:{streamer}");
                     }
-                    put(code::FIGURES, text.as_bytes());
+                    put(code::DETAILS, text.as_bytes());
                 }
                 if let Some(rung) = set_up.rung {
                     put(code::RUNG, rung.to_string().as_bytes());
                 }
                 put(code::DESCRIPTION, &set_up.description);
-                kind::SET_UP
+                message_type::SET_UP
             }
-            Body::Progress => kind::PROGRESS,
+            Body::Progress => message_type::PROGRESS,
             Body::Answer { description, load } => {
                 put_load(&mut put, load);
                 put(code::DESCRIPTION, description);
-                kind::ANSWER
+                message_type::ANSWER
             }
-            Body::Release { cause, stay_away_ms, load } => {
+            Body::Release { cause, retry_after_ms, load } => {
                 put(code::CAUSE, &[*cause]);
-                if let Some(ms) = stay_away_ms {
-                    put(code::STAY_AWAY, ms.to_string().as_bytes());
+                if let Some(ms) = retry_after_ms {
+                    put(code::RETRY_AFTER_MS, ms.to_string().as_bytes());
                 }
                 put_load(&mut put, load);
-                kind::RELEASE
+                message_type::RELEASE
             }
-            Body::Heard => kind::HEARD,
+            Body::Acknowledged => message_type::ACKNOWLEDGED,
             Body::Test => {
                 put(code::CAUSE, &[0]);
-                kind::TEST
+                message_type::TEST
             }
-            Body::Tested { passed } => {
+            Body::TestResult { passed } => {
                 put(code::CAUSE, &[u8::from(*passed)]);
-                kind::TESTED
+                message_type::TEST_RESULT
             }
-            Body::Note(note) => {
-                let (name, figure) = match note {
-                    Note::Share(f) => ("quality", *f),
-                    Note::Rung(rung) => ("profile", *rung as f64),
-                    Note::Link(f) => ("nic", *f),
-                    Note::Rack(f) => ("tor", *f),
+            Body::SessionReport(report) => {
+                let (name, value) = match report {
+                    SessionReport::RateShare(share) => ("quality", *share),
+                    SessionReport::Rung(rung) => ("profile", *rung as f64),
+                    SessionReport::LinkUtilization(utilization) => ("nic", *utilization),
+                    SessionReport::UplinkUtilization(utilization) => ("tor", *utilization),
                 };
-                put(code::NOTE, name.as_bytes());
-                put(code::FIGURE, figure.to_string().as_bytes());
-                kind::NOTE
+                put(code::REPORT_NAME, name.as_bytes());
+                put(code::REPORT_VALUE, value.to_string().as_bytes());
+                message_type::SESSION_REPORT
             }
-            Body::Move => kind::MOVE,
+            Body::Move => message_type::MOVE,
             Body::Rung(rung) => {
                 put(code::RUNG, rung.to_string().as_bytes());
-                kind::RUNG
+                message_type::RUNG
+            }
+            Body::Invalid(_) | Body::UnknownReport => {
+                return Err(invalid_data("this kind of message is never sent"))
             }
-            Body::Unusable(_) | Body::OtherNote => return Err(bad("not a message to be sent")),
         };
-        let length = HEAD + out.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
-        if length > MESSAGE_MOST {
-            return Err(bad("a message over the bound"));
+        let length = HEADER_BYTES + out.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
+        if length > MAX_MESSAGE_BYTES {
+            return Err(invalid_data("the message is too long"));
         }
         into.reserve(2 + length);
         into.put_u16(length as u16);
-        into.put_u8(kind);
+        into.put_u8(message_type);
         into.put_u64(message.session);
         for (code, value) in out {
             into.put_u8(code);
@@ -419,8 +458,8 @@
 
 fn put_load(put: &mut impl FnMut(u8, &[u8]), load: &Load) {
     let named = [("busy_reqs", load.streams), ("x0", load.link_utilization), ("x1", load.uplink_utilization)];
-    let told = named.iter().filter_map(|(name, value)| Some(format!("{name}:{}", (*value)?)));
-    let text = told.collect::<Vec<_>>().join(";");
+    let present = named.iter().filter_map(|(name, value)| Some(format!("{name}:{}", (*value)?)));
+    let text = present.collect::<Vec<_>>().join(";");
     if !text.is_empty() {
         put(code::LOAD, text.as_bytes());
     }
--- a/crates/lemontide-platform/src/dispatcher.rs
+++ b/crates/lemontide-platform/src/dispatcher.rs
@@ -12,7 +12,7 @@
 
 pub use unanswered::InputEnd;
 
-use crate::codec::{cause, Body, Message, Note, SetUp};
+use crate::codec::{cause, Body, Message, SessionReport, SetUp};
 use crate::config::{Entry, Hosts};
 use crate::permit::Permit;
 use crate::replies::{Departure, Heard, PendingReply, Replies};
--- a/crates/lemontide-platform/src/dispatcher/attempts.rs
+++ b/crates/lemontide-platform/src/dispatcher/attempts.rs
@@ -318,7 +318,7 @@
             AttemptOutcome::Served => self.release(now, held.conn, held.session, cause::NORMAL),
             // Its viewer ended it and is owed nothing.
             AttemptOutcome::Cancelled => {}
-            _ => self.release(now, held.conn, held.session, cause::BROKEN),
+            _ => self.release(now, held.conn, held.session, cause::FAILED),
         }
     }
 
@@ -349,7 +349,7 @@
                 self.finish(now, id, viewers::turned_back(after), Outcome::Rejected);
             }
             for id in results.failed.drain(..) {
-                self.finish(now, id, Body::release(cause::BROKEN), Outcome::Failed);
+                self.finish(now, id, Body::release(cause::FAILED), Outcome::Failed);
             }
             for id in results.moved.drain(..) {
                 let Some(held) = self.remove(now, id) else { continue };
@@ -375,7 +375,7 @@
         self.turn_away(held.conn, held.session);
         tracing::debug!(
             target: "decision",
-            session = format!("{:016x}", held.session), lane = held.set_up.lane, shots = held.shots, ?body
+            session = format!("{:016x}", held.session), lane = held.set_up.class, shots = held.shots, ?body
         );
         let steps = Self::steps(&held, outcome, now);
         if let Some(reply) = held.reply.take() {
@@ -419,9 +419,9 @@
         let set_up = SetUp {
             wait_ms: (shot.timeout.seconds() * 1e3).max(0.0) as u64,
             rung: Some(held.rung),
-            figures: None,
+            details: None,
             tenant: String::new(),
-            retry: false,
+            is_retry: false,
             ..held.set_up.clone()
         };
         let permit = Permit::new();
@@ -429,7 +429,7 @@
         let order = Order { message, permit: Some(permit.clone()) };
         tracing::debug!(
             target: "decision",
-            session = format!("{:016x}", held.session), lane = held.set_up.lane, shot = number,
+            session = format!("{:016x}", held.session), lane = held.set_up.class, shot = number,
             streamer = &*at, rung = held.rung, within_s = shot.timeout.seconds()
         );
         // No link has this number: it is not on one yet.
--- a/crates/lemontide-platform/src/dispatcher/connections.rs
+++ b/crates/lemontide-platform/src/dispatcher/connections.rs
@@ -197,9 +197,9 @@
     /// What a streamer's message proves of attempts that were given up on its connection.
     fn evidence_of(message: &Message) -> Option<(Option<u64>, Evidence)> {
         match message.body {
-            Body::Tested { .. } => Some((None, Evidence::TestPassed { test: message.session })),
-            Body::Heard => Some((Some(message.session), Evidence::EndAcknowledged)),
-            Body::Release { cause, .. } if cause::ends_a_set_up(cause) => {
+            Body::TestResult { .. } => Some((None, Evidence::TestPassed { test: message.session })),
+            Body::Acknowledged => Some((Some(message.session), Evidence::EndAcknowledged)),
+            Body::Release { cause, .. } if cause::ends_set_up(cause) => {
                 Some((Some(message.session), Evidence::SetUpRefused))
             }
             Body::Release { .. } => Some((Some(message.session), Evidence::Released)),
@@ -251,17 +251,17 @@
         match message.body {
             Body::Answer { description, load } if waits => self.plays(now, id, description, load),
             // It may be about an earlier attempt, whose answer was lost: the end of this one is still awaited.
-            Body::Release { cause, .. } if waits && !is_first && !cause::ends_a_set_up(cause) => {}
+            Body::Release { cause, .. } if waits && !is_first && !cause::ends_set_up(cause) => {}
             Body::Release { cause, load, .. } if waits => {
                 let ending = match cause {
                     cause::FULL => AttemptOutcome::Refused,
                     cause::ERROR => AttemptOutcome::Errored,
-                    cause::MOOT => AttemptOutcome::NotSent,
-                    cause::BROKEN => AttemptOutcome::ConnectionLost,
+                    cause::NOT_SENT => AttemptOutcome::NotSent,
+                    cause::FAILED => AttemptOutcome::ConnectionLost,
                     // It may have run, and the process that says so is well: nothing is told of its health.
                     _ => AttemptOutcome::Unknown,
                 };
-                let is_refusal = cause::ends_a_set_up(cause);
+                let is_refusal = cause::ends_set_up(cause);
                 let proof = if is_refusal { Proof::SetUpRefused } else { Proof::Released };
                 self.attempt_over(now, id, ending, load, proof);
             }
@@ -277,11 +277,17 @@
                 }
                 self.stream_over(now, id, ending, load);
             }
-            Body::Note(note) if plays => match note {
-                Note::Share(share) => handle.shortfall_reported(&mut self.module, now, share.clamp(0.0, 1.0)),
-                Note::Rung(rung) => handle.rung_reported(&mut self.module, now, rung),
-                Note::Link(full) => handle.load_reported(&mut self.module, now, Load::of_link(full)),
-                Note::Rack(full) => handle.load_reported(&mut self.module, now, Load::of_uplink(full)),
+            Body::SessionReport(note) if plays => match note {
+                SessionReport::RateShare(share) => {
+                    handle.shortfall_reported(&mut self.module, now, share.clamp(0.0, 1.0))
+                }
+                SessionReport::Rung(rung) => handle.rung_reported(&mut self.module, now, rung),
+                SessionReport::LinkUtilization(full) => {
+                    handle.load_reported(&mut self.module, now, Load::of_link(full))
+                }
+                SessionReport::UplinkUtilization(full) => {
+                    handle.load_reported(&mut self.module, now, Load::of_uplink(full))
+                }
             },
             _ => {}
         }
--- a/crates/lemontide-platform/src/dispatcher/unanswered.rs
+++ b/crates/lemontide-platform/src/dispatcher/unanswered.rs
@@ -74,7 +74,7 @@
         }
         self.carry_out(now);
         if self.held.get(&id).is_some_and(|held| held.reply.is_some()) {
-            self.finish(now, id, Body::release(cause::BROKEN), Outcome::Failed);
+            self.finish(now, id, Body::release(cause::FAILED), Outcome::Failed);
         }
     }
 
@@ -82,7 +82,7 @@
     pub(super) fn answer_overdue(&mut self, now: Point) {
         for reply in self.replies.recover() {
             if self.conns.contains_key(&reply.conn()) {
-                self.answer(reply, Body::release(cause::BROKEN), None);
+                self.answer(reply, Body::release(cause::FAILED), None);
             } else {
                 reply.client_gone(Departure::Closed);
             }
--- a/crates/lemontide-platform/src/dispatcher/viewers.rs
+++ b/crates/lemontide-platform/src/dispatcher/viewers.rs
@@ -100,8 +100,8 @@
         from.retiring = false;
         let session = message.session;
         match message.body {
-            Body::Test => self.say(conn, session, Body::Tested { passed: true }),
-            body @ (Body::SetUp(_) | Body::Unusable(_)) => {
+            Body::Test => self.say(conn, session, Body::TestResult { passed: true }),
+            body @ (Body::SetUp(_) | Body::Invalid(_)) => {
                 if matches!(&body, Body::SetUp(set_up) if set_up.plays_at().is_none()) {
                     tracing::trace!(target: "request", session = format!("{session:016x}"), conn, "read");
                 }
@@ -132,9 +132,13 @@
                     None => self.remember(session, Over::ByViewer),
                 }
             }
-            Body::Heard | Body::Progress | Body::Tested { .. } => {}
+            Body::Acknowledged | Body::Progress | Body::TestResult { .. } => {}
             // Only streamers and controllers say these.
-            Body::Answer { .. } | Body::Note(_) | Body::OtherNote | Body::Move | Body::Rung(_) => {
+            Body::Answer { .. }
+            | Body::SessionReport(_)
+            | Body::UnknownReport
+            | Body::Move
+            | Body::Rung(_) => {
                 self.close_when_answered(now, conn);
             }
         }
@@ -152,7 +156,7 @@
         match (body, reply) {
             (Body::SetUp(set_up), Some(reply)) => self.set_up(now, reply, set_up, (read, late)),
             (Body::SetUp(set_up), None) => self.hand_over(now, (conn, session), set_up, (read, late)),
-            (Body::Unusable(why), Some(reply)) => {
+            (Body::Invalid(why), Some(reply)) => {
                 tracing::info!(target: "viewers", why, "a set-up that can't be used");
                 self.refuse(now, reply);
             }
@@ -210,7 +214,7 @@
             reply.client_gone(Departure::NumberReused);
             return self.close_when_answered(now, conn);
         }
-        self.answer(reply, Body::release(cause::UNUSABLE), None);
+        self.answer(reply, Body::release(cause::INVALID), None);
     }
 
     /// Remembers a number that was turned away on a connection.
@@ -224,16 +228,16 @@
 
     /// What is wrong with a set-up, as far as the settings tell.
     pub(super) fn wrong(&self, set_up: &SetUp) -> Option<&'static str> {
-        let Some(figures) = &set_up.figures else { return Some("no figures") };
+        let Some(figures) = &set_up.details else { return Some("no figures") };
         let terms = &self.terms;
-        let of_lane = terms.lanes.iter().any(|(name, _)| *name == set_up.lane);
+        let of_lane = terms.lanes.iter().any(|(name, _)| *name == set_up.class);
         let of_tenant = terms.tenants.is_empty() || terms.tenants.contains(&set_up.tenant);
-        let held = (1..=terms.cells).contains(&figures.copies) && figures.home < terms.cells;
+        let held = (1..=terms.cells).contains(&figures.replicas) && figures.first_cell < terms.cells;
         match () {
             () if !of_lane => Some("no such lane"),
             () if !of_tenant => Some("no such tenant"),
             () if !held => Some("no such cells"),
-            () if figures.top >= terms.rungs => Some("no such rung"),
+            () if figures.max_rung >= terms.rungs => Some("no such rung"),
             () if set_up.title.is_empty() => Some("no title"),
             () if set_up.wait_ms == 0 => Some("no time to answer"),
             () => None,
@@ -243,20 +247,20 @@
     /// What the module is asked for with a set-up. `read` is when it was read, with how long it may have waited unread:
     /// its time runs from then.
     fn wish<'a>(&self, id: u32, set_up: &'a SetUp, read: (Point, Span)) -> Request<'a> {
-        let figures = set_up.figures.clone().unwrap_or_default();
-        let lane = self.terms.lanes.iter().find(|(name, _)| *name == set_up.lane);
+        let figures = set_up.details.clone().unwrap_or_default();
+        let lane = self.terms.lanes.iter().find(|(name, _)| *name == set_up.class);
         // The viewer's word counts up to the lane's cut-off: a time far ahead would be kept for ever.
         let wait = Span::of((set_up.wait_ms as f64 / 1e3).min(lane.map_or(0.0, |lane| lane.1.seconds())));
         Request {
             id,
-            class: &set_up.lane,
+            class: &set_up.class,
             tenant: &set_up.tenant,
             title: &set_up.title,
             deadline: (read.0 + wait) - ANSWER_MARGIN - read.1,
-            first_cell: figures.home,
-            replicas: figures.copies,
-            max_rung: figures.top,
-            is_retry: figures.again,
+            first_cell: figures.first_cell,
+            replicas: figures.replicas,
+            max_rung: figures.max_rung,
+            is_retry: figures.is_retry,
             expected_duration: None,
         }
     }
@@ -289,14 +293,14 @@
         match over {
             Some(Over::AtStreamer(cause::CANCELLED)) => return,
             Some(Over::AtStreamer(why)) => {
-                let why = if why == cause::NORMAL { why } else { cause::BROKEN };
+                let why = if why == cause::NORMAL { why } else { cause::FAILED };
                 return self.release(now, conn, session, why);
             }
             Some(Over::ByViewer) => return self.end_at(now, &at.as_str().into(), session),
             None => {}
         }
         let Some((at, _)) = self.known.get_key_value(&*at) else {
-            return self.release(now, conn, session, cause::BROKEN);
+            return self.release(now, conn, session, cause::FAILED);
         };
         let at = at.clone();
         let id = self.next_id();
@@ -391,6 +395,6 @@
 
 /// The answer to a wish that is turned back, with the time to come again where there is one.
 pub(super) fn turned_back(after: Option<Span>) -> Body {
-    let stay_away_ms = after.map(|after| (after.seconds() * 1e3).round() as u64);
-    Body::Release { cause: cause::TURNED_BACK, stay_away_ms, load: Load::default() }
+    let retry_after_ms = after.map(|after| (after.seconds() * 1e3).round() as u64);
+    Body::Release { cause: cause::REJECTED, retry_after_ms, load: Load::default() }
 }
--- a/crates/lemontide-platform/src/replies.rs
+++ b/crates/lemontide-platform/src/replies.rs
@@ -81,7 +81,7 @@
 fn is_request(body: &Body) -> bool {
     match body {
         Body::SetUp(set_up) => set_up.plays_at().is_none(),
-        Body::Unusable(_) => true,
+        Body::Invalid(_) => true,
         _ => false,
     }
 }
--- a/crates/lemontide-platform/tests/common/mod.rs
+++ b/crates/lemontide-platform/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use lemontide::clock::{Point, Span};
 use lemontide::interface::Load;
 use lemontide_front::core::{Connection, Queued};
-use lemontide_platform::codec::{cause, Body, Figures, Message, SetUp};
+use lemontide_platform::codec::{cause, Body, Message, RequestDetails, SetUp};
 use lemontide_platform::config::{Entry, Hosts};
 use lemontide_platform::dispatcher::{Dispatcher, Effect, Loss, Order};
 use lemontide_platform::permit::Permit;
@@ -49,13 +49,14 @@
 }
 
 pub fn wish(lane: &str) -> SetUp {
-    let figures = Figures { home: 0, copies: STREAMERS, top: 2, again: false, at: None };
+    let figures =
+        RequestDetails { first_cell: 0, replicas: STREAMERS, max_rung: 2, is_retry: false, playing_at: None };
     SetUp {
-        lane: lane.into(),
+        class: lane.into(),
         tenant: "acme".into(),
         title: "t".into(),
         wait_ms: 3000,
-        figures: Some(figures),
+        details: Some(figures),
         description: Bytes::from_static(b"asked"),
         ..SetUp::default()
     }
@@ -233,7 +234,7 @@
     }
 
     fn passes(&mut self, on: Connection, test: u64) {
-        let passed = Message { session: test, body: Body::Tested { passed: true } };
+        let passed = Message { session: test, body: Body::TestResult { passed: true } };
         self.dispatcher.told(self.now, on, passed);
     }
 
@@ -358,6 +359,6 @@
     }
 
     pub fn is_refusal(why: u8) -> bool {
-        [cause::FULL, cause::TURNED_BACK, cause::MOOT].contains(&why)
+        [cause::FULL, cause::REJECTED, cause::NOT_SENT].contains(&why)
     }
 }
--- a/crates/lemontide-platform/tests/crossings.rs
+++ b/crates/lemontide-platform/tests/crossings.rs
@@ -4,7 +4,7 @@
 
 use common::{entry, wish, World, STREAMERS, VIEWERS};
 use lemontide_front::core::Connection;
-use lemontide_platform::codec::{cause, Body, Message, Note, SetUp};
+use lemontide_platform::codec::{cause, Body, Message, SessionReport, SetUp};
 use lemontide_platform::config::Hosts;
 use lemontide_platform::dispatcher::Loss;
 use lemontide_platform::replies::Departure;
@@ -57,7 +57,7 @@
     let session = world.ask("paid");
     let servers = (0..STREAMERS).map(|at| entry(at, "terminating")).collect();
     world.learn(&Hosts { full: false, servers });
-    assert_eq!(world.answered(session), Some(cause::TURNED_BACK), "it provably never ran");
+    assert_eq!(world.answered(session), Some(cause::REJECTED), "it provably never ran");
     world.catch_up();
     assert!(order_of(&world, session).is_empty());
 }
@@ -79,7 +79,7 @@
         world.batches.clear();
         world.slow.clear();
         world.loses(link, Loss::Broke);
-        let failed = written.then_some(cause::BROKEN);
+        let failed = written.then_some(cause::FAILED);
         assert_eq!((world.answered(session), world.shots(session)), (failed, 1), "written: {written}");
     }
 }
@@ -164,7 +164,7 @@
 /// A streamer acknowledges the end, or says how the attempt ended: no test is needed.
 #[test]
 fn the_next_attempt_leaves_when_the_streamer_says_that_the_last_is_over() {
-    for word in [Body::Heard, Body::release(cause::BROKEN)] {
+    for word in [Body::Acknowledged, Body::release(cause::FAILED)] {
         let mut world = World::new();
         let session = world.ask("free");
         let (link, _) = world.shot(session).expect("it was sent");
@@ -185,11 +185,11 @@
     let (link, _) = world.shot(session).expect("it was sent");
     world.away.insert(world.address[&link].clone(), Loss::Dark);
     world.pass(3.0);
-    assert_eq!((world.shots(session), world.answered(session)), (1, Some(cause::TURNED_BACK)));
+    assert_eq!((world.shots(session), world.answered(session)), (1, Some(cause::REJECTED)));
     world.dispatcher.viewer_up(world.now, 2);
     world.say(2, session, Body::SetUp(wish("free")));
     assert_eq!(world.shots(session), 1, "its attempt may still be out");
-    assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::UNUSABLE, .. }]));
+    assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::INVALID, .. }]));
 }
 
 /// Rungs of a subscription go over one connection while it is up, in order, whatever connection carries least.
@@ -202,7 +202,11 @@
         if second % 2 == 0 {
             world.ask("paid");
         }
-        world.tell_on(link, session, Body::Note(Note::Link(if second % 20 < 10 { 0.1 } else { 3.0 })));
+        world.tell_on(
+            link,
+            session,
+            Body::SessionReport(SessionReport::LinkUtilization(if second % 20 < 10 { 0.1 } else { 3.0 })),
+        );
         world.pass(1.0);
     }
     let rungs = world.written.iter().filter(|(_, m)| m.session == session && matches!(m.body, Body::Rung(_)));
@@ -250,7 +254,7 @@
         world.pass(1.5);
         assert_eq!(order_of(&world, session), [true, false], "written");
         if read {
-            world.tell_on(link, session, Body::Heard);
+            world.tell_on(link, session, Body::Acknowledged);
         }
         world.loses(link, Loss::Broke);
         world.unread.clear();
@@ -270,8 +274,8 @@
     world.dispatcher.viewer_up(world.now, 2);
     world.say(2, session, Body::SetUp(wish("free")));
     assert_eq!(order_of(&world, session), [true, false], "its stream may still stand");
-    assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::UNUSABLE, .. }]));
-    world.tell_on(link, session, Body::Heard);
+    assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::INVALID, .. }]));
+    world.tell_on(link, session, Body::Acknowledged);
     world.unread.clear();
     for (conn, wait, is_taken) in [(3, 0.0, false), (4, 7.9, false), (5, 0.2, true)] {
         world.pass(wait);
@@ -382,7 +386,7 @@
 /// connection of the second.
 #[test]
 fn a_release_of_the_first_attempt_is_not_taken_for_the_end_of_the_second() {
-    for why in [cause::NORMAL, cause::CANCELLED, cause::BROKEN, 99] {
+    for why in [cause::NORMAL, cause::CANCELLED, cause::FAILED, 99] {
         let (mut world, session, link) = with_a_second_attempt_at_the_same_streamer("free");
         world.tell_on(link, session, Body::release(why));
         world.pass(0.02);
@@ -390,7 +394,7 @@
         world.answer(session);
         assert_eq!(world.answered(session), Some(0), "cause {why}");
     }
-    for why in [cause::FULL, cause::ERROR, cause::MOOT] {
+    for why in [cause::FULL, cause::ERROR, cause::NOT_SENT] {
         let (mut world, session, _) = with_a_second_attempt_at_the_same_streamer("free");
         world.ends(session, why);
         assert!(world.shots(session) > 2 || world.answered(session).is_some(), "cause {why} ends a set-up");
@@ -399,7 +403,7 @@
 
 #[test]
 fn a_word_on_the_first_attempt_does_not_prove_the_second_over_that_was_given_up() {
-    for word in [Body::release(cause::NORMAL), Body::release(cause::BROKEN), Body::Heard] {
+    for word in [Body::release(cause::NORMAL), Body::release(cause::FAILED), Body::Acknowledged] {
         let (mut world, session, link) = with_a_second_attempt_at_the_same_streamer("free");
         world.unread = [link].into();
         world.pass(0.5);
--- a/crates/lemontide-platform/tests/dispatcher.rs
+++ b/crates/lemontide-platform/tests/dispatcher.rs
@@ -16,9 +16,9 @@
     let mut world = World::new();
     let session = world.ask("paid");
     let (_, sent) = world.shot(session).expect("it was sent");
-    assert_eq!((&sent.lane[..], &sent.title[..], &sent.description[..]), ("paid", "t", &b"asked"[..]));
+    assert_eq!((&sent.class[..], &sent.title[..], &sent.description[..]), ("paid", "t", &b"asked"[..]));
     assert!(
-        sent.rung.is_some() && sent.tenant.is_empty() && sent.figures.is_none(),
+        sent.rung.is_some() && sent.tenant.is_empty() && sent.details.is_none(),
         "no more than the form has"
     );
     world.answer(session);
@@ -31,14 +31,14 @@
 /// A set-up may be shot again, or refused, only where no shot of a paid lane may have run.
 #[test]
 fn how_a_shot_ends_decides_what_may_follow() {
-    let never_ran = [cause::FULL, cause::MOOT];
-    for why in [cause::FULL, cause::MOOT, cause::ERROR, cause::BROKEN, cause::NORMAL, 99] {
+    let never_ran = [cause::FULL, cause::NOT_SENT];
+    for why in [cause::FULL, cause::NOT_SENT, cause::ERROR, cause::FAILED, cause::NORMAL, 99] {
         let mut world = World::new();
         let (paid, free) = (world.ask("paid"), world.ask("free"));
         world.ends(paid, why);
         world.ends(free, why);
         assert_eq!(world.shots(paid) > 1, never_ran.contains(&why), "cause {why}");
-        assert_eq!(world.answered(paid), (!never_ran.contains(&why)).then_some(cause::BROKEN), "cause {why}");
+        assert_eq!(world.answered(paid), (!never_ran.contains(&why)).then_some(cause::FAILED), "cause {why}");
         assert!(world.shots(free) > 1, "cause {why}");
     }
 }
@@ -50,7 +50,7 @@
     world.pass(1.0);
     assert!(world.shots(free) > 1 && world.released(free) >= 1, "given up first, then sent again");
     world.pass(1.97);
-    assert_eq!(world.answered(paid), Some(cause::BROKEN));
+    assert_eq!(world.answered(paid), Some(cause::FAILED));
     assert_eq!((world.shots(paid), world.released(paid)), (1, 1));
     assert!(world.answered(free).is_some_and(World::is_refusal));
     let (said, shots) = (world.said.len(), world.shots(paid));
@@ -158,7 +158,7 @@
     let mut world = World::new();
     let (session, link) = world.playing("free");
     world.dispatcher.viewer_gone(world.now, VIEWERS, Departure::Closed);
-    world.tell_on(link, session, Body::release(cause::BROKEN));
+    world.tell_on(link, session, Body::release(cause::FAILED));
     assert_eq!(world.heard(session).len(), 1);
     world.pass(1.0);
     world.dispatcher.viewer_up(world.now, 2);
@@ -185,7 +185,7 @@
         }
         world.pass(within);
         assert!(
-            matches!(world.heard(session)[..], [_, Body::Release { cause: cause::BROKEN, .. }]),
+            matches!(world.heard(session)[..], [_, Body::Release { cause: cause::FAILED, .. }]),
             "{loss:?}"
         );
     }
@@ -198,7 +198,7 @@
     let (session, link) = world.playing("free");
     world.away.insert(world.address[&link].clone(), Loss::Dark);
     world.pass(7.5);
-    assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::BROKEN, .. }]));
+    assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::FAILED, .. }]));
 }
 
 #[test]
@@ -245,7 +245,7 @@
     for at in 0..STREAMERS {
         world.news(entry(at, "terminating"));
     }
-    assert_eq!(world.answered(session), Some(cause::TURNED_BACK), "it provably never ran");
+    assert_eq!(world.answered(session), Some(cause::REJECTED), "it provably never ran");
 }
 
 #[test]
@@ -286,22 +286,22 @@
         set_up
     };
     let odd = [
-        with(|s| s.lane = "none".into()),
+        with(|s| s.class = "none".into()),
         with(|s| s.tenant = "nobody".into()),
         with(|s| s.title.clear()),
         with(|s| s.wait_ms = 0),
-        with(|s| s.figures = None),
-        with(|s| s.figures.as_mut().expect("some").home = 99),
-        with(|s| s.figures.as_mut().expect("some").copies = 0),
-        with(|s| s.figures.as_mut().expect("some").top = 99),
+        with(|s| s.details = None),
+        with(|s| s.details.as_mut().expect("some").first_cell = 99),
+        with(|s| s.details.as_mut().expect("some").replicas = 0),
+        with(|s| s.details.as_mut().expect("some").max_rung = 99),
     ];
     let mut world = World::new();
     for set_up in odd {
         let session = world.ask_on(VIEWERS, set_up.clone());
-        assert_eq!((world.answered(session), world.shots(session)), (Some(cause::UNUSABLE), 0), "{set_up:?}");
+        assert_eq!((world.answered(session), world.shots(session)), (Some(cause::INVALID), 0), "{set_up:?}");
     }
     world.say(VIEWERS, 0, Body::SetUp(wish("free")));
-    assert_eq!(world.answered(0), Some(cause::UNUSABLE), "no id");
+    assert_eq!(world.answered(0), Some(cause::INVALID), "no id");
 }
 
 /// Under the number of an open one no answer could be told from the other's.
@@ -324,10 +324,10 @@
         world.news(entry(at, "terminating"));
     }
     let session = world.ask("free");
-    assert_eq!(world.answered(session), Some(cause::TURNED_BACK));
+    assert_eq!(world.answered(session), Some(cause::REJECTED));
     world.say(VIEWERS, session, Body::SetUp(wish("free")));
     assert_eq!(world.heard(session).len(), 2);
-    assert!(matches!(world.heard(session)[1], Body::Release { cause: cause::UNUSABLE, .. }));
+    assert!(matches!(world.heard(session)[1], Body::Release { cause: cause::INVALID, .. }));
     assert_eq!(world.parted, [VIEWERS]);
 }
 
@@ -348,7 +348,7 @@
 fn what_plays_at_the_start_is_taken_over_once_and_released_when_it_ends() {
     let mut world = World::new();
     let mut handed = wish("free");
-    handed.figures.as_mut().expect("some").at = Some("s1".into());
+    handed.details.as_mut().expect("some").playing_at = Some("s1".into());
     world.say(VIEWERS, 7, Body::SetUp(handed.clone()));
     world.say(VIEWERS, 7, Body::SetUp(handed.clone()));
     assert_eq!((world.dispatcher.in_hand(), world.heard(7).len()), (1, 0));
@@ -356,7 +356,7 @@
     let link = *world.address.iter().find(|(_, a)| *a == "127.0.0.1:9001").expect("it is linked").0;
     world.tell_on(link, 7, Body::release(cause::NORMAL));
     assert_eq!((world.dispatcher.in_hand(), world.heard(7).len()), (0, 1));
-    handed.figures.as_mut().expect("some").at = Some("nowhere".into());
+    handed.details.as_mut().expect("some").playing_at = Some("nowhere".into());
     world.say(VIEWERS, 8, Body::SetUp(handed));
     assert_eq!(world.heard(8).len(), 1, "nobody will ever tell of it");
 }
@@ -421,7 +421,7 @@
     assert_eq!(world.shots(early), 1);
     world.pass(0.7);
     let late = world.ask("paid");
-    assert_eq!((world.answered(late), world.shots(late)), (Some(cause::TURNED_BACK), 0));
+    assert_eq!((world.answered(late), world.shots(late)), (Some(cause::REJECTED), 0));
 }
 
 #[derive(Clone, Debug)]
@@ -471,7 +471,7 @@
                     asked.push((session, paid));
                 }
                 Step::Tell { pick, cause } => if let Some(session) = session(pick).filter(|s| world.shot(*s).is_some()) {
-                    let settles = [cause::FULL, cause::MOOT].contains(&cause) && world.heard(session).is_empty();
+                    let settles = [cause::FULL, cause::NOT_SENT].contains(&cause) && world.heard(session).is_empty();
                     let settled = settled.entry(session).or_default();
                     *settled += usize::from(settles && world.shots(session) > *settled);
                     world.ends(session, cause);
@@ -537,7 +537,7 @@
         let seats = ("/family_info/class_seats", json!([1, 0]));
         let mut world = with(&[seats, ("/policy_limits/retry_after", json!(allowed))]);
         let stay_away = |world: &World, session| match world.heard(session)[..] {
-            [Body::Release { cause: cause::TURNED_BACK, stay_away_ms, .. }] => *stay_away_ms,
+            [Body::Release { cause: cause::REJECTED, retry_after_ms, .. }] => *retry_after_ms,
             ref other => panic!("one turn-back at once, not {other:?}"),
         };
         let due = allowed.then_some(500);
--- a/crates/lemontide-platform/tests/replies.rs
+++ b/crates/lemontide-platform/tests/replies.rs
@@ -46,7 +46,7 @@
 fn a_message_that_asks_for_nothing_is_owed_no_answer() {
     let replies = Replies::default();
     let now = World::new().now;
-    for body in [Body::Test, Body::Heard, Body::release(cause::NORMAL)] {
+    for body in [Body::Test, Body::Acknowledged, Body::release(cause::NORMAL)] {
         assert!(replies.take(1, Message { session: 1, body }, now).reply.is_none());
     }
     assert_eq!(replies.open(), 0);
@@ -67,7 +67,7 @@
     world.perform();
     assert_eq!((world.heard(session).len(), world.dispatcher.replies().open()), (0, 1));
     world.pass(0.2);
-    assert_eq!(world.answered(session), Some(cause::BROKEN));
+    assert_eq!(world.answered(session), Some(cause::FAILED));
     assert_eq!(world.dispatcher.replies().open(), 0);
 }
 
@@ -80,7 +80,7 @@
         world.perform();
         match why {
             // The client may still wait for the attempt that is out.
-            InputEnd::HalfClosed => world.ends(session, cause::MOOT),
+            InputEnd::HalfClosed => world.ends(session, cause::NOT_SENT),
             InputEnd::Unusable => assert_eq!(world.released(session), 1, "it is given up"),
         }
         world.pass(4.0);
@@ -105,7 +105,7 @@
     let session = world.ask("paid");
     world.dispatcher.input_over(world.now, VIEWERS, InputEnd::Unusable);
     world.perform();
-    assert_eq!(world.answered(session), Some(cause::BROKEN));
+    assert_eq!(world.answered(session), Some(cause::FAILED));
 }
 
 #[test]
@@ -119,8 +119,8 @@
     let late = 0xabd;
     world.say(VIEWERS, late, Body::SetUp(wish("paid")));
     world.perform();
-    assert_eq!((world.answered(session), world.shots(session)), (Some(cause::TURNED_BACK), 0));
-    assert_eq!((world.answered(late), world.shots(late)), (Some(cause::TURNED_BACK), 0));
+    assert_eq!((world.answered(session), world.shots(session)), (Some(cause::REJECTED), 0));
+    assert_eq!((world.answered(late), world.shots(late)), (Some(cause::REJECTED), 0));
 }
 
 /// A hand-over asks for no answer, so the end of its connection takes nothing from it.
@@ -129,8 +129,8 @@
     for closes in [true, false] {
         let mut world = World::new();
         let mut stands = wish("free");
-        let figures = stands.figures.as_mut().expect("there are some");
-        figures.at = Some("s1".to_owned());
+        let figures = stands.details.as_mut().expect("there are some");
+        figures.playing_at = Some("s1".to_owned());
         world.hears(VIEWERS, Message { session: 7, body: Body::SetUp(stands) }, world.now);
         match closes {
             true => world.dispatcher.viewer_gone(world.now, VIEWERS, Departure::Closed),
--- a/crates/lemontide-standin/src/platform.rs
+++ b/crates/lemontide-standin/src/platform.rs
@@ -106,7 +106,7 @@
                 tokio::select! {
                     came = self.0.next() => match came {
                         Some(Ok(Message { session, body: Body::Test })) => {
-                            if self.say(session, Body::Tested { passed: true }).await.is_err() {
+                            if self.say(session, Body::TestResult { passed: true }).await.is_err() {
                                 return;
                             }
                         }
--- a/crates/lemontide-standin/src/soak/client.rs
+++ b/crates/lemontide-standin/src/soak/client.rs
@@ -10,7 +10,7 @@
 use super::plan::{seeded_fraction, Plan};
 use crate::platform::bytes_of;
 use bytes::{Bytes, BytesMut};
-use lemontide_platform::codec::{cause, Body, Codec, Figures, Message, SetUp};
+use lemontide_platform::codec::{cause, Body, Codec, Message, RequestDetails, SetUp};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
@@ -78,11 +78,17 @@
 /// The set-up of a request.
 fn set_up(plan: &Plan, class: &str, wait_ms: u64, id: u64) -> SetUp {
     SetUp {
-        lane: class.into(),
+        class: class.into(),
         tenant: plan.tenant(id),
         title: format!("t{}", id % TITLE_COUNT),
         wait_ms,
-        figures: Some(Figures { home: 0, copies: plan.server_count, top: 1, again: false, at: None }),
+        details: Some(RequestDetails {
+            first_cell: 0,
+            replicas: plan.server_count,
+            max_rung: 1,
+            is_retry: false,
+            playing_at: None,
+        }),
         description: Bytes::from_static(b"asked"),
         ..SetUp::default()
     }
@@ -92,8 +98,8 @@
 pub fn hand_over(plan: &Plan, request: &Request, at: &str) -> Message {
     let wait = (request.class.deadline_s * 1e3) as u64;
     let mut set_up = set_up(plan, request.class.name, wait, request.id);
-    if let Some(figures) = &mut set_up.figures {
-        figures.at = Some(at.to_owned());
+    if let Some(figures) = &mut set_up.details {
+        figures.playing_at = Some(at.to_owned());
     }
     Message { session: request.id, body: Body::SetUp(set_up) }
 }
@@ -444,7 +450,7 @@
                 request.ended_at.get_or_insert(now);
             }
             Body::Release { cause, .. } => {
-                let is_rejection = [cause::FULL, cause::TURNED_BACK, cause::MOOT].contains(&cause);
+                let is_rejection = [cause::FULL, cause::REJECTED, cause::NOT_SENT].contains(&cause);
                 request.answers.push((now, if is_rejection { Answer::Refused } else { Answer::Failed }));
                 self.unanswered.remove(&id);
             }
--- a/crates/lemontide-standin/src/soak/stub_server.rs
+++ b/crates/lemontide-standin/src/soak/stub_server.rs
@@ -240,7 +240,7 @@
         let Message { session, body } = message;
         match body {
             Body::Test => {
-                let passed = Message { session, body: Body::Tested { passed: true } };
+                let passed = Message { session, body: Body::TestResult { passed: true } };
                 let state = self.state();
                 if state.node_connections.iter().any(|node_connection| node_connection.id == connection) {
                     self.send(&state, node, connection, passed, LogEntry::Nothing);
@@ -290,7 +290,7 @@
                 &state,
                 node,
                 connection,
-                Message { session: id, body: Body::Heard },
+                Message { session: id, body: Body::Acknowledged },
                 LogEntry::Nothing,
             );
         }
@@ -351,7 +351,7 @@
         let mut rest = seeded_fraction(self.plan.seed, id, earlier_attempts);
         let cumulative = [
             (probabilities.refused_full, Response::Release(cause::FULL)),
-            (probabilities.refused_moot, Response::Release(cause::MOOT)),
+            (probabilities.refused_moot, Response::Release(cause::NOT_SENT)),
             (probabilities.failed, Response::Release(cause::ERROR)),
             (probabilities.answer_lost, Response::LoseAnswer),
             (probabilities.never_answered, Response::NeverAnswer),
@@ -402,7 +402,7 @@
             if !server.has_session(attempt) {
                 return;
             }
-            let ran = ![cause::FULL, cause::MOOT].contains(&cause);
+            let ran = ![cause::FULL, cause::NOT_SENT].contains(&cause);
             let log_entry = LogEntry::Ended(attempt, AttemptEnd::Answered { ran });
             let refusal = Message { session: id, body: Body::release(cause) };
             server.send(&server.state(), node, connection, refusal, log_entry);
--- a/crates/lemontide-standin/src/soak/stub_server/connection.rs
+++ b/crates/lemontide-standin/src/soak/stub_server/connection.rs
@@ -162,7 +162,7 @@
         id: message.session,
         server: server.index,
         node,
-        class: set_up.lane.clone(),
+        class: set_up.class.clone(),
         first_byte_at,
         last_byte_at,
         arrived_at: None,
--- a/crates/lemontide-standin/tests/crossings.rs
+++ b/crates/lemontide-standin/tests/crossings.rs
@@ -43,7 +43,7 @@
 
 fn set_up(session: u64, permit: &Permit) -> Queued<Order> {
     let body = Body::SetUp(SetUp {
-        lane: "paid".into(),
+        class: "paid".into(),
         title: "t".into(),
         description: Bytes::from(vec![7; 15_000]),
         ..SetUp::default()
--- a/crates/lemontide-standin/tests/platform.rs
+++ b/crates/lemontide-standin/tests/platform.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use lemontide::interface::Load;
-use lemontide_platform::codec::{cause, Body, Figures, SetUp};
+use lemontide_platform::codec::{cause, Body, RequestDetails, SetUp};
 use lemontide_platform::config::Config;
 use lemontide_platform::serve::serve;
 use lemontide_standin::platform::{settings, Attended, End, Journal, SOON};
@@ -51,8 +51,14 @@
     });
     // What plays already keeps a connection to its streamer; at the lowest rung nothing more is said of it.
     let mut handed = End::viewer(at).await.expect("it listens");
-    let figures = Figures { home: 0, copies: 1, top: 0, again: false, at: Some("s0".into()) };
-    let plays = SetUp { figures: Some(figures), ..asked("free") };
+    let figures = RequestDetails {
+        first_cell: 0,
+        replicas: 1,
+        max_rung: 0,
+        is_retry: false,
+        playing_at: Some("s0".into()),
+    };
+    let plays = SetUp { details: Some(figures), ..asked("free") };
     handed.say(u64::MAX, Body::SetUp(plays)).await.expect("sent");
     let link = End::streamer(&streamer).await.expect("it dials where something plays").attend();
     let (reader, last) = journal.reader().await.expect("it asks");
@@ -62,11 +68,17 @@
 
 fn asked(lane: &str) -> SetUp {
     SetUp {
-        lane: lane.into(),
+        class: lane.into(),
         tenant: "acme".into(),
         title: "t".into(),
         wait_ms: 60_000,
-        figures: Some(Figures { home: 0, copies: 1, top: 1, again: false, at: None }),
+        details: Some(RequestDetails {
+            first_cell: 0,
+            replicas: 1,
+            max_rung: 1,
+            is_retry: false,
+            playing_at: None,
+        }),
         description: Bytes::from_static(b"asked"),
         ..SetUp::default()
     }
@@ -85,7 +97,7 @@
     let mut world = start().await;
     let mut viewer = End::viewer(world.at).await.expect("it listens");
     viewer.say(9, Body::Test).await.expect("sent");
-    assert_eq!(viewer.hear().await.expect("told").body, Body::Tested { passed: true });
+    assert_eq!(viewer.hear().await.expect("told").body, Body::TestResult { passed: true });
     viewer.say(7, set_up("paid")).await.expect("sent");
     let came = world.link.news().await.expect("shot");
     assert!(matches!(&came.body, Body::SetUp(s) if s.rung.is_some() && s.description == "asked"), "{came:?}");
@@ -120,7 +132,7 @@
     world.link.news().await.expect("shot");
     world.link.write(b"\x00\x1f\x09stops short").await.expect("sent");
     let said = viewer.hear().await.expect("told");
-    assert_eq!(said.body, Body::release(cause::BROKEN), "scrapped, as it may have run");
+    assert_eq!(said.body, Body::release(cause::FAILED), "scrapped, as it may have run");
     assert!(End::streamer(&world.streamer).await.is_ok(), "the streamer is dialled again");
 }
 
@@ -135,7 +147,7 @@
     for _ in 0..60 {
         let mut viewer = End::viewer(world.at).await.expect("it listens");
         viewer.say(9, Body::Test).await.expect("sent");
-        assert_eq!(viewer.hear().await.expect("told").body, Body::Tested { passed: true });
+        assert_eq!(viewer.hear().await.expect("told").body, Body::TestResult { passed: true });
         idle.push(viewer);
     }
     assert!(idle[0].closes().await, "idle for longest");
@@ -170,5 +182,5 @@
         }
         0
     };
-    assert_eq!(timeout(SOON, turned_back).await.expect("within the bound"), cause::TURNED_BACK);
+    assert_eq!(timeout(SOON, turned_back).await.expect("within the bound"), cause::REJECTED);
 }
