--- a/crates/lemontide-platform/src/config.rs
+++ b/crates/lemontide-platform/src/config.rs
@@ -1,4 +1,5 @@
-//! What the platform tells a controller: the environment, the configuration file, and the list's events in it.
+//! What the platform passes to a controller: the environment, the configuration file, and the events of the list of
+//! streamers that it contains.
 
 use lemontide::clock::Point;
 use lemontide::interface::{StreamerEntry, StreamerState};
@@ -7,12 +8,12 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// One line of the list of streamers.
+/// One entry of the list of streamers.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-pub struct Entry {
+pub struct ListEntry {
     pub id: String,
-    #[serde(default)]
-    pub addr: String,
+    #[serde(rename = "addr", default)]
+    pub address: String,
     #[serde(default)]
     pub zone: String,
     #[serde(default)]
@@ -23,13 +24,14 @@
     pub state: String,
     #[serde(default)]
     pub weight: Option<f64>,
-    /// Unix milliseconds of a late start, or 0.
+    /// When the streamer was started, in Unix milliseconds, if it was started late; else 0.
     #[serde(default)]
     pub started_ms: f64,
 }
 
-impl Entry {
-    pub fn stage(&self) -> StreamerState {
+impl ListEntry {
+    /// The state, where every unknown one counts as gone.
+    pub fn streamer_state(&self) -> StreamerState {
         match self.state.as_str() {
             "in_service" => StreamerState::Ready,
             "terminating" => StreamerState::Draining,
@@ -37,104 +39,117 @@
         }
     }
 
-    pub fn started(&self) -> Option<Point> {
-        let late = self.started_ms.is_finite() && self.started_ms > 0.0;
-        late.then(|| Point::at(self.started_ms / 1e3))
+    /// When the streamer was started, if it was started late.
+    pub fn started_at(&self) -> Option<Point> {
+        let is_late = self.started_ms.is_finite() && self.started_ms > 0.0;
+        is_late.then(|| Point::at(self.started_ms / 1e3))
     }
 
-    pub fn line(&self) -> StreamerEntry {
+    /// The entry as the controller takes it.
+    pub fn to_streamer_entry(&self) -> StreamerEntry {
         StreamerEntry {
             streamer: self.id.clone(),
             zone: self.zone.clone(),
             kind: self.kind.clone(),
             cell: self.cell,
-            state: self.stage(),
+            state: self.streamer_state(),
             weight: self.weight.filter(|w| w.is_finite()).unwrap_or(1.0),
-            started_at: self.started(),
+            started_at: self.started_at(),
         }
     }
 }
 
-/// What an event of the list brings: changed lines, or with `full` all of them.
+/// The content of a list event: changed entries, or with `full` all entries.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
-pub struct Hosts {
+pub struct ListUpdate {
     #[serde(default)]
     pub full: bool,
-    #[serde(default)]
-    pub servers: Vec<Entry>,
+    #[serde(rename = "servers", default)]
+    pub streamers: Vec<ListEntry>,
 }
 
 /// A numbered change of the list.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-pub struct Event {
-    pub pos: u64,
-    pub hosts: Hosts,
+pub struct ListEvent {
+    #[serde(rename = "pos")]
+    pub position: u64,
+    #[serde(rename = "hosts")]
+    pub update: ListUpdate,
 }
 
+/// The list as the configuration file has it, and the position of its last event.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Known {
-    #[serde(default)]
-    pub pos: u64,
-    #[serde(default)]
-    pub entries: Vec<Event>,
+pub struct KnownList {
+    #[serde(rename = "pos", default)]
+    pub position: u64,
+    #[serde(rename = "entries", default)]
+    pub events: Vec<ListEvent>,
 }
 
+/// Resource limits that the platform sets.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Limits {
-    #[serde(default = "sockets")]
+    /// How many descriptors the process can open.
+    #[serde(default = "min_sockets")]
     pub sockets: usize,
 }
 
-/// The fewest descriptors that the platform hands out.
-fn sockets() -> usize {
+/// The smallest number of descriptors that the platform grants.
+fn min_sockets() -> usize {
     256
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { sockets: sockets() }
+        Limits { sockets: min_sockets() }
     }
 }
 
+/// The configuration file of a controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Config {
+    /// Address for viewers' connections.
     pub listen: SocketAddr,
     #[serde(default)]
     pub seed: String,
     #[serde(default)]
     pub limits: Limits,
+    /// Address of the journal service.
     pub journal: String,
     #[serde(default)]
-    pub known: Known,
+    pub known: KnownList,
     pub settings: Json,
 }
 
 impl Config {
-    /// Reads the file; an error names the file, the place in it and the remedy.
+    /// Reads the file. An error names the file, the place in it and the remedy.
     pub fn read(path: &Path) -> Result<Config, String> {
-        let place = path.display();
+        let file = path.display();
         let text = std::fs::read(path)
-            .map_err(|e| format!("{place}: {e}; RELAY_CONFIG must name a readable file"))?;
+            .map_err(|e| format!("{file}: {e}; RELAY_CONFIG must name a readable file"))?;
         let mut json = serde_json::Deserializer::from_slice(&text);
         serde_path_to_error::deserialize(&mut json)
-            .map_err(|e| format!("{place}: at {}: {}; correct it there", e.path(), e.inner()))
+            .map_err(|e| format!("{file}: at {}: {}; correct it there", e.path(), e.inner()))
     }
 
-    /// The seed is hex digits; anything else still gives one of its own.
+    /// The seed, given in hex digits; a random one where it is anything else.
     pub fn seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| rand::random())
     }
 }
 
-/// Where the environment says that the configuration is, and where to listen if not as in the file.
+/// The environment variables of a controller.
 pub struct Environment {
-    pub config: PathBuf,
+    /// Path of the configuration file (`RELAY_CONFIG`).
+    pub config_path: PathBuf,
+    /// Address to listen on instead of the one in the file (`RELAY_LISTEN`).
     pub listen: Option<SocketAddr>,
 }
 
 impl Environment {
+    /// Reads the environment of this process.
     pub fn read() -> Result<Environment, String> {
-        let config = std::env::var_os("RELAY_CONFIG")
+        let config_path = std::env::var_os("RELAY_CONFIG")
             .ok_or("RELAY_CONFIG is not set; it names the configuration file of this controller")?;
         let listen = match std::env::var("RELAY_LISTEN") {
             Ok(text) => Some(
@@ -142,6 +157,6 @@
             ),
             Err(_) => None,
         };
-        Ok(Environment { config: config.into(), listen })
+        Ok(Environment { config_path: config_path.into(), listen })
     }
 }
--- a/crates/lemontide-platform/src/dispatcher.rs
+++ b/crates/lemontide-platform/src/dispatcher.rs
@@ -13,7 +13,7 @@
 pub use unanswered::InputEnd;
 
 use crate::codec::{cause, Body, Message, SessionReport, SetUp};
-use crate::config::{Entry, Hosts};
+use crate::config::{ListEntry, ListUpdate};
 use crate::permit::Permit;
 use crate::replies::{Departure, Heard, PendingReply, Replies};
 use crate::steps::{Outcome, Steps};
@@ -237,7 +237,7 @@
 }
 
 struct Known {
-    entry: Entry,
+    entry: ListEntry,
     links: Vec<u64>,
     /// Since when no connection to it comes up.
     dark: Option<Point>,
--- a/crates/lemontide-platform/src/dispatcher/attempts.rs
+++ b/crates/lemontide-platform/src/dispatcher/attempts.rs
@@ -236,7 +236,7 @@
         };
         let waiting: Vec<_> = self.held.iter().filter_map(|(id, held)| Some((*id, waits(held)?))).collect();
         for (id, (session, at)) in waiting {
-            let stage = self.known.get(&at).map(|known| known.entry.stage());
+            let stage = self.known.get(&at).map(|known| known.entry.streamer_state());
             if stage.is_none_or(|stage| stage == StreamerState::Gone) {
                 // It closed its connections, and the list says that it is no more.
                 let attempt = self.held.get(&id).and_then(|held| held.attempt.as_ref());
@@ -406,7 +406,7 @@
             // Guards against a request that waits for ever for an attempt at somebody who is not there.
             return self.tell_ended(now, id, AttemptOutcome::NotSent, Load::default());
         };
-        let (at, ready) = (at.clone(), known.entry.stage() == StreamerState::Ready);
+        let (at, ready) = (at.clone(), known.entry.streamer_state() == StreamerState::Ready);
         let link = self.best_link(&at);
         let Some(held) = self.held.get_mut(&id) else { return };
         let deadline = now + shot.timeout;
--- a/crates/lemontide-platform/src/dispatcher/connections.rs
+++ b/crates/lemontide-platform/src/dispatcher/connections.rs
@@ -159,7 +159,7 @@
         }
         let kept = known.links.contains(&link);
         let dark = alone.then(|| *known.dark.get_or_insert(now));
-        let gone = known.entry.stage() == StreamerState::Gone;
+        let gone = known.entry.streamer_state() == StreamerState::Gone;
         let at_once = |wire: &Wire| wire.link.idle.is_none() && wire.link.may_dial(now);
         for id in begun {
             self.in_doubt(now, id);
@@ -359,7 +359,7 @@
         let Some(known) = self.known.get(&wire.at) else { return };
         let dial = wire.link.start_dial(now, self.terms.dial_timeout);
         let on = Connection { link, dial };
-        self.effects.push(Effect::Dial { on, address: known.entry.addr.clone() });
+        self.effects.push(Effect::Dial { on, address: known.entry.address.clone() });
     }
 
     /// Whether one more connection stays within the descriptors that are set apart for streamers. Guards against
--- a/crates/lemontide-platform/src/dispatcher/list.rs
+++ b/crates/lemontide-platform/src/dispatcher/list.rs
@@ -4,19 +4,21 @@
 
 impl Dispatcher {
     /// Takes news of the list. What waits for a streamer that drains or is gone is taken back at once.
-    pub fn learn(&mut self, now: Point, hosts: &Hosts) {
-        let mut lines: Vec<StreamerEntry> = hosts.servers.iter().map(Entry::line).collect();
-        for entry in &hosts.servers {
+    pub fn learn(&mut self, now: Point, hosts: &ListUpdate) {
+        let mut lines: Vec<StreamerEntry> =
+            hosts.streamers.iter().map(ListEntry::to_streamer_entry).collect();
+        for entry in &hosts.streamers {
             self.learn_of(now, entry);
         }
         if hosts.full {
-            let named = |known: &Known| hosts.servers.iter().any(|entry| entry.id == known.entry.id);
+            let named = |known: &Known| hosts.streamers.iter().any(|entry| entry.id == known.entry.id);
             let gone = self.known.values().filter(|known| !named(known));
-            let gone: Vec<Entry> = gone.map(|k| Entry { state: String::new(), ..k.entry.clone() }).collect();
+            let gone: Vec<ListEntry> =
+                gone.map(|k| ListEntry { state: String::new(), ..k.entry.clone() }).collect();
             for entry in &gone {
                 self.learn_of(now, entry);
             }
-            lines.extend(gone.iter().map(Entry::line));
+            lines.extend(gone.iter().map(ListEntry::to_streamer_entry));
         }
         self.module.update_list(now, &lines, hosts.full);
         self.carry_out(now);
@@ -29,22 +31,22 @@
         self.carry_out(now);
     }
 
-    pub(super) fn learn_of(&mut self, now: Point, entry: &Entry) {
+    pub(super) fn learn_of(&mut self, now: Point, entry: &ListEntry) {
         let Some(known) = self.known.get_mut(&*entry.id) else {
-            if entry.stage() != StreamerState::Gone {
+            if entry.streamer_state() != StreamerState::Gone {
                 let known = Known { entry: entry.clone(), links: Vec::new(), dark: None };
                 self.known.insert(entry.id.as_str().into(), known);
             }
             return;
         };
         let before = std::mem::replace(&mut known.entry, entry.clone());
-        if before.addr != entry.addr {
+        if before.address != entry.address {
             // The process at the old address is not the one that the list means.
             for link in known.links.clone() {
                 self.hang(now, link, Loss::Refused, CloseReason::AddressChanged);
             }
         }
-        if let Some(started) = entry.started().filter(|_| before.started() != entry.started()) {
+        if let Some(started) = entry.started_at().filter(|_| before.started_at() != entry.started_at()) {
             // A new process: what stood in the old one is over.
             self.cut(now, &entry.id, |since| since < started);
         }
@@ -53,7 +55,7 @@
     /// Takes back what waits for a streamer that gets nothing new any more.
     pub(super) fn take_back(&mut self, now: Point, at: &str) {
         let Some(known) = self.known.get(at) else { return };
-        let stage = known.entry.stage();
+        let stage = known.entry.streamer_state();
         for link in known.links.clone() {
             let Some(wire) = self.wires.get_mut(&link) else { continue };
             wire.link.wanted = stage != StreamerState::Gone;
@@ -66,7 +68,8 @@
 
     /// Lets go of a streamer that is gone, once nothing is left of it.
     pub(super) fn forget(&mut self, now: Point, at: &str) {
-        let Some(known) = self.known.get(at).filter(|known| known.entry.stage() == StreamerState::Gone)
+        let Some(known) =
+            self.known.get(at).filter(|known| known.entry.streamer_state() == StreamerState::Gone)
         else {
             return;
         };
--- a/crates/lemontide-platform/src/dispatcher/viewers.rs
+++ b/crates/lemontide-platform/src/dispatcher/viewers.rs
@@ -62,7 +62,7 @@
     /// What was to be said on a connection that is over. What stood is told of elsewhere; what a viewer never heard
     /// is set up is ended.
     pub fn unsaid(&mut self, now: Point, all: Vec<Outgoing>) {
-        for Outgoing { message, stood, reply, .. } in all {
+        for Outgoing { message, ends_session: stood, reply, .. } in all {
             reply.into_iter().for_each(|reply| reply.client_gone(Departure::Closed));
             match message.body {
                 Body::Release { cause, .. } if stood => self.release(now, 0, message.session, cause),
--- a/crates/lemontide-platform/src/journal.rs
+++ b/crates/lemontide-platform/src/journal.rs
@@ -1,7 +1,7 @@
-//! Follows the list of streamers at the journal service: asks for what comes after the last event, takes lines, and
-//! asks again whenever the service breaks off, falls silent or leaves something out.
+//! Follows the list of streamers at the journal service: requests the events after the last known one, reads them line
+//! by line, and reconnects whenever the connection ends, the service is silent or an event is missing.
 
-use crate::config::{Event, Hosts};
+use crate::config::{ListEvent, ListUpdate};
 use futures::StreamExt;
 use serde_json::Value as Json;
 use std::time::Duration;
@@ -11,72 +11,80 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::{Framed, LinesCodec};
 
-/// A whole list of some hundred streamers is far shorter; a line beyond it never ends.
-const LINE_MOST: usize = 1 << 20;
-/// The service says something every second; two of them missing and a little late is silence.
-const SILENCE: Duration = Duration::from_millis(2200);
-/// On a new connection the first word is missed sooner. Guards against a service that falls silent and is silent on
-/// the next connection, too: what it would have told counts as told 4 s after it fell silent.
-const FIRST_SILENCE: Duration = Duration::from_millis(1300);
-/// So much of a line that makes no sense goes into the log.
-const LOGGED: usize = 200;
+/// A full list of some hundred streamers is far shorter; a longer line counts as one that never ends.
+const MAX_LINE_BYTES: usize = 1 << 20;
+/// The service sends a line every second; when two of them are missing and the next one is a little late, it is silent.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2200);
+/// Timeout for the first line of a new connection. It is shorter because of a service that falls silent and stays
+/// silent on the next connection: its events count as received 4 s after it fell silent.
+const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(1300);
+/// How much of an unusable line is logged.
+const MAX_LOGGED_CHARS: usize = 200;
+/// Timeout for connecting, and for sending the request.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Between two dials, so that a service that refuses is not hammered.
-const REST: Duration = Duration::from_millis(100);
-/// The platform's time after which what a silent service would have told counts as told.
-const COUNTS_AS_TOLD: Duration = Duration::from_millis(4000);
+/// Pause between two connections, so that a service that refuses them is not flooded.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
+/// Time after which the platform counts the events of a silent service as received.
+const COUNTS_AS_RECEIVED_AFTER: Duration = Duration::from_millis(4000);
 const _: () = assert!(
-    SILENCE.as_millis() + FIRST_SILENCE.as_millis() + 2 * REST.as_millis() < COUNTS_AS_TOLD.as_millis()
+    SILENCE_TIMEOUT.as_millis() + FIRST_LINE_TIMEOUT.as_millis() + 2 * RECONNECT_PAUSE.as_millis()
+        < COUNTS_AS_RECEIVED_AFTER.as_millis()
 );
 
-/// What a line of the service means to a reader who has all up to `last`.
+/// What a line of the service means to a reader that has all events up to a position.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
-    Next(Event),
-    /// Nothing new: the last event's number again, or an event written twice.
-    Nothing,
-    /// Something was left out, or the line can't be read: ask again.
+pub enum ParsedLine {
+    /// The next event.
+    Next(ListEvent),
+    /// Nothing new: the position of the last event again, or an event that was sent twice.
+    Unchanged,
+    /// An event is missing, or the line can't be read: the events must be requested again.
     Missed,
-    /// An event past the next one, of this number: ask again, once.
+    /// An event at this position, which is past the next one: the events must be requested again, once.
     Gap(u64),
 }
 
-/// Reads one line. On a connection that has told nothing yet (`first`), the number of the last event may be ahead of
-/// events that are still on their way.
-pub fn read(line: &str, last: u64, first: bool) -> Heard {
-    let Ok(json) = serde_json::from_str::<Json>(line.trim()) else { return Heard::Missed };
+/// Parses one line. As long as it is the first of a connection (`is_first`), the position of the last event can be
+/// ahead of events that are still to be received.
+pub fn parse_line(line: &str, last_position: u64, is_first: bool) -> ParsedLine {
+    let Ok(json) = serde_json::from_str::<Json>(line.trim()) else { return ParsedLine::Missed };
     if json.get("hosts").is_none() {
-        // The number of the last event alone, in an object or bare.
+        // The position of the last event alone, in an object or bare.
         return match json.get("pos").unwrap_or(&json).as_u64() {
-            Some(pos) if pos <= last || first => Heard::Nothing,
-            _ => Heard::Missed,
+            Some(position) if position <= last_position || is_first => ParsedLine::Unchanged,
+            _ => ParsedLine::Missed,
         };
     }
-    match serde_json::from_value::<Event>(json) {
-        Ok(event) if event.pos <= last => Heard::Nothing,
-        Ok(event) if event.pos == last + 1 => Heard::Next(event),
-        // A whole list leaves nothing out, whatever was before it.
-        Ok(event) if event.hosts.full => Heard::Next(event),
-        Ok(event) => Heard::Gap(event.pos),
-        Err(_) => Heard::Missed,
+    match serde_json::from_value::<ListEvent>(json) {
+        Ok(event) if event.position <= last_position => ParsedLine::Unchanged,
+        Ok(event) if event.position == last_position + 1 => ParsedLine::Next(event),
+        // After a full list nothing is missing, whatever preceded it.
+        Ok(event) if event.update.full => ParsedLine::Next(event),
+        Ok(event) => ParsedLine::Gap(event.position),
+        Err(_) => ParsedLine::Missed,
     }
 }
 
-/// What is known of the service, over all its connections.
-struct Reader {
-    last: u64,
-    /// The gap at which the last connection ended.
+/// What is known about the service, over all its connections.
+struct Follower {
+    last_position: u64,
+    /// The gap at which the last connection ended: the last position before it, and the first one after it.
     gap: Option<(u64, u64)>,
-    news: mpsc::Sender<Hosts>,
+    updates: mpsc::Sender<ListUpdate>,
 }
 
-/// Follows until nobody listens any more. `address` changes when the operators move the service.
-pub async fn follow(mut address: watch::Receiver<String>, last: u64, news: mpsc::Sender<Hosts>) {
-    let mut reader = Reader { last, gap: None, news };
+/// Follows the list until the receiver of the updates is dropped. `address` changes when the operators move the
+/// service.
+pub async fn follow(
+    mut address: watch::Receiver<String>,
+    last_position: u64,
+    updates: mpsc::Sender<ListUpdate>,
+) {
+    let mut follower = Follower { last_position, gap: None, updates };
     loop {
-        let at = address.borrow_and_update().clone();
+        let current_address = address.borrow_and_update().clone();
         tokio::select! {
-            () = reader.session(&at) => {}
+            () = follower.read_connection(&current_address) => {}
             changed = address.changed() => {
                 if changed.is_err() {
                     return;
@@ -84,62 +92,73 @@
                 continue;
             }
         }
-        if reader.news.is_closed() {
+        if follower.updates.is_closed() {
             return;
         }
-        sleep(REST).await;
+        sleep(RECONNECT_PAUSE).await;
     }
 }
 
-impl Reader {
-    /// One connection, until it is of no more use. It may be dropped at any await: an event counts as taken in the
-    /// moment in which it is handed over. Guards against a service that moves while the loop has no room for an event.
-    async fn session(&mut self, at: &str) {
-        let Ok(Ok(mut socket)) = timeout(DIAL_TIMEOUT, TcpStream::connect(at)).await else {
-            tracing::info!(target: "journal", at, "not reached");
+impl Follower {
+    /// Reads one connection until it is of no more use. Safe to cancel at any await: an event counts as received only
+    /// when it is passed on. Guards against losing an event that waits for room in the channel when the service moves.
+    async fn read_connection(&mut self, address: &str) {
+        let Ok(Ok(mut socket)) = timeout(DIAL_TIMEOUT, TcpStream::connect(address)).await else {
+            tracing::info!(target: "journal", at = address, "journal service not reachable");
             return;
         };
-        let ask = format!("tail {}\n", self.last);
-        if !matches!(timeout(DIAL_TIMEOUT, socket.write_all(ask.as_bytes())).await, Ok(Ok(()))) {
+        let request = format!("tail {}\n", self.last_position);
+        if !matches!(timeout(DIAL_TIMEOUT, socket.write_all(request.as_bytes())).await, Ok(Ok(()))) {
             return;
         }
-        let mut lines = Framed::new(socket, LinesCodec::new_with_max_length(LINE_MOST));
-        let mut first = true;
+        let mut lines = Framed::new(socket, LinesCodec::new_with_max_length(MAX_LINE_BYTES));
+        let mut is_first = true;
         loop {
-            // A line without its end, a broken connection and silence all mean the same: ask again.
-            let silence = if first { FIRST_SILENCE } else { SILENCE };
-            let Ok(Some(Ok(line))) = timeout(silence, lines.next()).await else {
-                tracing::info!(target: "journal", at, last = self.last, "broke off or fell silent");
+            // A line without its end, a broken connection and silence have the same remedy: another connection.
+            let line_timeout = if is_first { FIRST_LINE_TIMEOUT } else { SILENCE_TIMEOUT };
+            let Ok(Some(Ok(line))) = timeout(line_timeout, lines.next()).await else {
+                tracing::info!(
+                    target: "journal",
+                    at = address,
+                    last = self.last_position,
+                    "connection ended or silent"
+                );
                 return;
             };
-            let heard = match read(&line, self.last, first) {
-                Heard::Gap(pos) => self.believe(&line, pos),
-                heard => heard,
+            let parsed = match parse_line(&line, self.last_position, is_first) {
+                ParsedLine::Gap(position) => self.accept_repeated_gap(&line, position),
+                parsed => parsed,
             };
-            match heard {
-                Heard::Next(event) => {
-                    let Ok(place) = self.news.reserve().await else { return };
-                    self.last = event.pos;
-                    place.send(event.hosts);
+            match parsed {
+                ParsedLine::Next(event) => {
+                    let Ok(permit) = self.updates.reserve().await else { return };
+                    self.last_position = event.position;
+                    permit.send(event.update);
                 }
-                Heard::Nothing => {}
-                Heard::Missed | Heard::Gap(_) => {
-                    let line: String = line.chars().take(LOGGED).collect();
-                    tracing::info!(target: "journal", at, last = self.last, line, "left something out");
+                ParsedLine::Unchanged => {}
+                ParsedLine::Missed | ParsedLine::Gap(_) => {
+                    let line: String = line.chars().take(MAX_LOGGED_CHARS).collect();
+                    tracing::info!(
+                        target: "journal",
+                        at = address,
+                        last = self.last_position,
+                        line,
+                        "an event is missing"
+                    );
                     return;
                 }
             }
-            first = false;
+            is_first = false;
         }
     }
 
-    /// A gap is believed where the service tells it twice. Guards against one spoilt connection after which what was
-    /// left out would never be asked for, and against asking for ever for what the service no longer has.
-    fn believe(&mut self, line: &str, pos: u64) -> Heard {
-        let told = Some((self.last, pos));
-        if std::mem::replace(&mut self.gap, told) != told {
-            return Heard::Gap(pos);
+    /// Accepts a gap that the service repeats on two connections. Guards against one faulty connection, after which the
+    /// missing events would never be requested, and against endless requests for events that the service no longer has.
+    fn accept_repeated_gap(&mut self, line: &str, position: u64) -> ParsedLine {
+        let gap = Some((self.last_position, position));
+        if std::mem::replace(&mut self.gap, gap) != gap {
+            return ParsedLine::Gap(position);
         }
-        serde_json::from_str(line.trim()).map_or(Heard::Missed, Heard::Next)
+        serde_json::from_str(line.trim()).map_or(ParsedLine::Missed, ParsedLine::Next)
     }
 }
--- a/crates/lemontide-platform/src/lib.rs
+++ b/crates/lemontide-platform/src/lib.rs
@@ -1,7 +1,9 @@
-//! The operators' platform: another way into the controller and out of it, around the same decision module.
-//! `dispatcher` is the core: it does no I/O. Around it `codec` reads and writes the messages, `viewers` and `streamers`
-//! carry them over sockets, `outbox` keeps what a client may not have read, `replies` holds the answers that clients are
-//! owed, `permit` says whether an attempt may still begin, `journal` follows the list of streamers, `config` reads what the operators state, `steps` tells when a request came how far, and `serve` ties them together.
+//! Runs lemontide's controller on the operators' platform, with the platform's protocol instead of the project's own,
+//! and with the same decision module. `dispatcher` is the core; it does no I/O. Around it, `codec` encodes and
+//! decodes the messages, `viewers` and `streamers` carry them over sockets, and `outbox` keeps messages that a client
+//! may not have read. `replies` tracks the answers that are owed to clients, `permit` decides whether an attempt can
+//! still begin, `journal` follows the list of streamers, `config` reads the configuration, `steps` records the steps
+//! of a request, and `serve` connects them in one loop.
 
 pub mod codec;
 pub mod config;
--- a/crates/lemontide-platform/src/reader.rs
+++ b/crates/lemontide-platform/src/reader.rs
@@ -1,4 +1,5 @@
-//! Reads messages off a socket and gives up on one that never ends. Shared by both kinds of connections.
+//! Reads messages from a socket, with a timeout for messages that are never completed. Used for viewers' and streamers'
+//! connections.
 
 use crate::codec::{Codec, Message};
 use bytes::BytesMut;
@@ -9,51 +10,60 @@
 use tokio::time::{timeout_at, Instant};
 use tokio_util::codec::Decoder;
 
-/// Room for what is read at a time: some messages of the usual size. One that is longer makes its own room.
-const READ_LEAST: usize = 2048;
+/// Buffer space for one read, enough for some messages of the usual size; the buffer grows for a longer message.
+const MIN_READ_BUFFER_BYTES: usize = 2048;
 
-pub struct Reader {
+/// Reads the messages of one connection.
+pub struct MessageReader {
     socket: OwnedReadHalf,
-    /// What was read and is no whole message yet.
+    /// Bytes that were read and are not a complete message yet.
     bytes: BytesMut,
-    /// The other end closed or reset it.
-    over: bool,
-    /// A message must be whole so long after its first bytes were seen.
-    whole_within: Duration,
-    /// Since when `bytes` has held the beginning of a message.
-    unfinished: Option<Instant>,
+    /// The other end has closed or reset the connection.
+    is_closed_by_peer: bool,
+    /// How soon after its first bytes a message must be complete.
+    message_timeout: Duration,
+    /// Since when `bytes` has held an incomplete message.
+    incomplete_since: Option<Instant>,
 }
 
-impl Reader {
-    pub fn new(socket: OwnedReadHalf, whole_within: Duration) -> Reader {
-        Reader { socket, bytes: BytesMut::new(), over: false, whole_within, unfinished: None }
+impl MessageReader {
+    /// A reader of this half of a socket.
+    pub fn new(socket: OwnedReadHalf, message_timeout: Duration) -> MessageReader {
+        MessageReader {
+            socket,
+            bytes: BytesMut::new(),
+            is_closed_by_peer: false,
+            message_timeout,
+            incomplete_since: None,
+        }
     }
 
-    /// The next message; an error when the connection is over, can't be read, keeps a message unfinished, or is
-    /// silent past `due`. A connection on which nothing is awaited wakes nobody: with hundreds of them the wakes
-    /// would take more of a small part of a core than the messages. It may be dropped at any await.
-    pub async fn next(&mut self, due: Option<Instant>) -> io::Result<Message> {
+    /// The next message. An error if the connection has ended, its bytes can't be decoded, a message stays
+    /// incomplete, or nothing is received by the deadline. A connection without a deadline sets no timer: with
+    /// hundreds of connections, the timers' wake-ups would need more of a small share of a core than the messages.
+    /// Safe to cancel at any await.
+    pub async fn next(&mut self, deadline: Option<Instant>) -> io::Result<Message> {
         loop {
             match Codec.decode(&mut self.bytes) {
                 Ok(Some(message)) => {
-                    self.unfinished = None;
+                    self.incomplete_since = None;
                     return Ok(message);
                 }
                 Ok(None) => {}
                 Err(e) => {
-                    // What can't be read is this end's word; anything else is the other's.
-                    self.over = e.kind() != io::ErrorKind::InvalidData;
+                    // Invalid data is found by this end; any other error comes from the other one.
+                    self.is_closed_by_peer = e.kind() != io::ErrorKind::InvalidData;
                     return Err(e);
                 }
             }
-            let whole = if self.is_unfinished() {
-                Some(*self.unfinished.get_or_insert_with(Instant::now) + self.whole_within)
+            let message_deadline = if self.has_incomplete_message() {
+                Some(*self.incomplete_since.get_or_insert_with(Instant::now) + self.message_timeout)
             } else {
                 None
             };
-            let until = whole.into_iter().chain(due).min();
+            let until = message_deadline.into_iter().chain(deadline).min();
             if self.bytes.capacity() == self.bytes.len() {
-                self.bytes.reserve(READ_LEAST);
+                self.bytes.reserve(MIN_READ_BUFFER_BYTES);
             }
             let read = self.socket.read_buf(&mut self.bytes);
             let read = match until {
@@ -61,39 +71,41 @@
                 Some(until) => match timeout_at(until, read).await {
                     Ok(read) => read,
                     Err(_) => {
-                        let why =
-                            if whole.is_some() { "a message was never finished" } else { "nothing was said" };
-                        return Err(io::Error::new(io::ErrorKind::TimedOut, why));
+                        let reason = if message_deadline.is_some() {
+                            "a message was not completed in time"
+                        } else {
+                            "no message was received in time"
+                        };
+                        return Err(io::Error::new(io::ErrorKind::TimedOut, reason));
                     }
                 },
             };
             match read {
                 Ok(0) => {
-                    self.over = true;
+                    self.is_closed_by_peer = true;
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
                 Ok(_) => {}
                 Err(e) => {
-                    self.over = true;
+                    self.is_closed_by_peer = true;
                     return Err(e);
                 }
             }
         }
     }
 
-    /// Whether a message has begun and is not whole.
-    pub fn is_unfinished(&self) -> bool {
+    /// Whether a message has begun and is not complete.
+    pub fn has_incomplete_message(&self) -> bool {
         !self.bytes.is_empty()
     }
 
-    /// Whether the other end ended it.
-    pub fn is_over(&self) -> bool {
-        self.over
+    /// Whether the other end closed or reset the connection.
+    pub fn is_closed_by_peer(&self) -> bool {
+        self.is_closed_by_peer
     }
 
-    /// Reads on until the other end closes; nothing of it is of use any more. An error where it says more than `most`
-    /// bytes.
-    pub async fn discard(&mut self, most: usize) -> io::Result<()> {
+    /// Reads and discards bytes until the other end closes the connection. An error after more than `max_bytes` bytes.
+    pub async fn discard(&mut self, max_bytes: usize) -> io::Result<()> {
         let mut bytes = [0; 2048];
         let mut discarded = 0;
         loop {
@@ -101,10 +113,10 @@
                 0 => return Ok(()),
                 read => discarded += read,
             }
-            if discarded > most {
+            if discarded > max_bytes {
                 return Err(io::Error::new(
                     io::ErrorKind::InvalidData,
-                    "it says too much to be read to its end",
+                    "too many bytes before the other end closed",
                 ));
             }
         }
--- a/crates/lemontide-platform/src/serve.rs
+++ b/crates/lemontide-platform/src/serve.rs
@@ -1,7 +1,8 @@
-//! Ties the controller together on the platform: sockets, signals and the list come to one loop that owns the dispatcher,
-//! on one thread; what the dispatcher wants done goes out to the tasks that own the sockets.
+//! The controller's main loop on the platform. Sockets, signals and the list are served by tasks that report to one
+//! loop, on one thread, which owns the dispatcher; the loop passes the dispatcher's effects on to the tasks that own
+//! the sockets.
 
-use crate::config::{Config, Environment, Hosts};
+use crate::config::{Config, Environment, ListUpdate};
 use crate::dispatcher::{Dispatcher, Effect, Order, Terms};
 use crate::replies::Departure;
 use crate::streamers::Close;
@@ -22,136 +23,149 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
-/// Reports that wait for the loop; a connection whose report finds no room is not read on until it does.
-const REPORTS_MOST: usize = 256;
-/// Reports taken between two looks at the timers.
-const ROUND: usize = 128;
-/// Messages that wait for a viewers' connection before it is cut off, and batches for a streamer's.
-const SAY_MOST: usize = 1024;
-const ORDERS_MOST: usize = 4;
-/// Descriptors that are neither viewers' nor streamers': the runtime's, the listener, the journal service, logs.
-const OWN_SOCKETS: usize = 24;
-/// Viewers' connections that are closed and still read for a moment: so many of the descriptors above, or this part of
-/// all where that is more. Symptom: a crowd that says nothing is let go a few at a time, and who asks waits behind it.
-const CLOSING_LEAST: usize = 8;
-const CLOSING_PART: usize = 16;
-/// Subscriptions and wishes in hand at most. Guards against memory filled by those who only ask.
-const HELD_MOST: usize = 4096;
-/// Seconds after which streamers close an idle connection, where the settings don't say, and the part of that after
-/// which this end does.
-const IDLE: f64 = 15.0;
-const IDLE_PART: f64 = 0.8;
-/// With nothing left in hand, a stopping process goes no sooner than this: new set-ups come for as long.
-const STOP_LEAST: Span = Span::of_millis(1200);
-/// What was said last gets so long to leave. Symptom: the last answer of a stopping process is lost, as the task that
+/// Capacity of the channels that carry reports to the loop; a connection whose report finds no room is not read until
+/// there is room again.
+const REPORT_QUEUE_CAPACITY: usize = 256;
+/// Reports handled from one source per turn of the loop, and requests that wait for a decision.
+const MAX_REPORTS_PER_TURN: usize = 128;
+/// Messages that can wait for a viewers' connection; one that would exceed this is dropped, as its client does not
+/// read.
+const VIEWER_QUEUE_CAPACITY: usize = 1024;
+/// Batches that can wait for a streamer's connection.
+const BATCH_QUEUE_CAPACITY: usize = 4;
+/// Descriptors that belong to neither viewers nor streamers: those of the runtime, the listener, the journal service
+/// and the logs.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// How many viewers' connections can be closed and still read for a moment: this number, which is part of the
+/// reserved descriptors, or the part of all descriptors below where that is more. With too few, a crowd of silent
+/// clients is closed only a few at a time, and clients with requests wait behind it.
+const MIN_CLOSING_CONNECTIONS: usize = 8;
+/// One in so many of all descriptors.
+const CLOSING_DESCRIPTORS_DIVISOR: usize = 16;
+/// Maximum number of sessions and open requests. Guards against memory filled by clients that only send requests.
+const MAX_SESSIONS: usize = 4096;
+/// Seconds after which streamers close an idle connection, if the settings don't say.
+const DEFAULT_IDLE_TIMEOUT_S: f64 = 15.0;
+/// The part of that time after which this end closes an idle connection.
+const OWN_IDLE_TIMEOUT_PART: f64 = 0.8;
+/// A stopping process without requests or sessions ends no sooner than this: new set-ups can be received for as long.
+const MIN_STOP_TIME: Span = Span::of_millis(1200);
+/// Time for the last messages to be sent. Without it the last answer of a stopping process is lost, as the task that
 /// writes it ends with the process.
-const LAST_WORDS: Span = Span::of_millis(300);
-/// A timer that fires so late says that this process stood still, and hears first what its sockets hold. The timer
-/// fires ten times a second, so a stop that matters to anybody is seen.
-const STOOD_STILL: Span = Span::of_millis(5);
-/// After an accept that found no descriptor.
-const ACCEPT_REST: Duration = Duration::from_millis(5);
-/// A configuration that can't be read is read again after so long, so many times. Guards against one that is being
-/// written when SIGHUP comes: nobody would tell of the new list otherwise.
-const READ_AGAIN: Duration = Duration::from_millis(100);
-const READ_AGAIN_MOST: u32 = 10;
+const LAST_MESSAGES_TIME: Span = Span::of_millis(300);
+/// A timer that fires this late shows that the process was stalled; it first reads what its sockets hold. The timer
+/// fires ten times a second, so that every stall that matters is noticed.
+const STALL_THRESHOLD: Span = Span::of_millis(5);
+/// Pause after an accept that found no free descriptor.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
+/// A configuration that can't be read is read again after this time. Guards against a file that is being written when
+/// SIGHUP is received: no other signal would follow, and the new list would be missed.
+const CONFIG_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// How often such a configuration is read again.
+const MAX_CONFIG_RETRIES: u32 = 10;
 
-/// What the dispatcher itself needs to know of the settings; an error names the one that can't be used.
-pub fn terms(
-    sheet: &ControllerSettings,
+/// The settings that the dispatcher itself needs. An error names the setting that is not valid.
+pub fn dispatcher_settings(
+    controller_settings: &ControllerSettings,
     settings: &serde_json::Value,
     sockets: usize,
 ) -> Result<Terms, String> {
-    let named = |list: &'static str| {
-        (0..).map_while(move |i| Some((i, get_text(sheet, &format!("{list}.{i}.name"))?.to_owned())))
+    let names = |list: &'static str| {
+        (0..).map_while(move |i| {
+            Some((i, get_text(controller_settings, &format!("{list}.{i}.name"))?.to_owned()))
+        })
     };
-    let cut_off = |i| Span::of(get_number(sheet, &format!("lanes.{i}.cut_off")).unwrap_or_default());
+    let deadline =
+        |i| Span::of(get_number(controller_settings, &format!("lanes.{i}.cut_off")).unwrap_or_default());
     let limit = |name: &str| {
         let value = settings.pointer(&format!("/policy_limits/{name}")).and_then(|v| v.as_f64());
-        let above = value.filter(|value| *value > 0.0);
-        above.ok_or_else(|| format!("policy_limits.{name}: missing or not usable; give a number above 0"))
+        let positive = value.filter(|value| *value > 0.0);
+        positive.ok_or_else(|| format!("policy_limits.{name}: missing or not valid; give a number above 0"))
     };
     Ok(Terms {
-        lanes: named("lanes").map(|(i, name)| (name, cut_off(i))).collect(),
-        tenants: named("tenants").map(|(_, name)| name).collect(),
-        cells: get_number(sheet, "cells").unwrap_or(1.0).max(1.0) as usize,
-        rungs: lemontide::interface::get_numbers(sheet, "ladder.kb").len().max(1),
+        lanes: names("lanes").map(|(i, name)| (name, deadline(i))).collect(),
+        tenants: names("tenants").map(|(_, name)| name).collect(),
+        cells: get_number(controller_settings, "cells").unwrap_or(1.0).max(1.0) as usize,
+        rungs: lemontide::interface::get_numbers(controller_settings, "ladder.kb").len().max(1),
         dial_timeout: Span::of(limit("dial_timeout")?),
         set_ups_a_link: limit("streams_per_conn")?.max(1.0) as usize,
-        // Viewers hold a third of the descriptors at most; as many again are for the streamers.
+        // A third of the descriptors is for connections to streamers.
         links_most: sockets / 3,
-        idle_most: Span::of(limit("conn_idle").unwrap_or(IDLE) * IDLE_PART),
-        held_most: HELD_MOST,
+        idle_most: Span::of(limit("conn_idle").unwrap_or(DEFAULT_IDLE_TIMEOUT_S) * OWN_IDLE_TIMEOUT_PART),
+        held_most: MAX_SESSIONS,
     })
 }
 
-/// Runs one controller until the platform stops it.
+/// Runs a controller until the platform stops it.
 pub fn run() -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     let environment = Environment::read()?;
-    let mut config = Config::read(&environment.config)?;
+    let mut config = Config::read(&environment.config_path)?;
     config.listen = environment.listen.unwrap_or(config.listen);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         let listener = TcpListener::bind(config.listen).await.map_err(|e| {
             format!("{}: {e}; RELAY_LISTEN must be a free address of this machine", config.listen)
         })?;
-        // A task like those of the connections: to wake the future that the runtime blocks on costs system calls, and
-        // each message does.
-        Ok(tokio::spawn(serve(listener, config, Some(environment.config))).await??)
+        // The loop is a spawned task like those of the connections: each message wakes it, and waking the future that
+        // the runtime blocks on costs system calls.
+        Ok(tokio::spawn(serve(listener, config, Some(environment.config_path))).await??)
     })
 }
 
-/// A streamer's connection: where batches for it go, and what closes it, at the latest when dropped.
-struct Orders {
+/// The channels to the task of a streamer's connection. The connection closes at the latest when they are dropped.
+struct StreamerConnection {
     batches: mpsc::Sender<Vec<Queued<Order>>>,
     close: oneshot::Sender<Close>,
 }
 
-/// The tasks that own the sockets, by what the dispatcher calls them.
+/// The channels to the tasks that own the sockets, by the ids that the dispatcher uses.
 struct Sockets {
     clock: Clock,
     dial_timeout: Duration,
     viewers: HashMap<u64, mpsc::Sender<Command>>,
-    /// The tasks of viewers' connections: they outlast the loop until the last answer is out.
-    writing: JoinSet<()>,
-    links: HashMap<Connection, Orders>,
-    from_viewers: mpsc::Sender<viewers::Report>,
-    from_streamers: mpsc::Sender<streamers::Report>,
+    /// The tasks of viewers' connections; they run on after the loop until the last answer is written.
+    viewer_tasks: JoinSet<()>,
+    streamers: HashMap<Connection, StreamerConnection>,
+    viewer_reports: mpsc::Sender<viewers::Report>,
+    streamer_reports: mpsc::Sender<streamers::Report>,
 }
 
 impl Sockets {
-    /// Does what the dispatcher left to be done; whether anything was handed to a viewers' connection.
+    /// Carries out the dispatcher's effects; returns whether a message was passed to a viewers' connection.
     fn carry_out(&mut self, now: Point, dispatcher: &mut Dispatcher) -> bool {
-        let mut handed = false;
+        let mut is_passed_on = false;
         while !dispatcher.effects.is_empty() {
             for effect in std::mem::take(&mut dispatcher.effects) {
                 match effect {
                     Effect::Say { conn, message, stood, reply, steps } => {
-                        let said = Box::new(Outgoing { message, stood, reply, steps });
-                        let (full, said) = match self.viewers.get(&conn) {
-                            None => (false, said),
-                            Some(commands) => match commands.try_send(Command::Say(said)) {
+                        let outgoing = Box::new(Outgoing { message, ends_session: stood, reply, steps });
+                        let (is_full, unsent) = match self.viewers.get(&conn) {
+                            None => (false, outgoing),
+                            Some(commands) => match commands.try_send(Command::Send(outgoing)) {
                                 Ok(()) => {
-                                    handed = true;
+                                    is_passed_on = true;
                                     continue;
                                 }
-                                Err(mpsc::error::TrySendError::Full(Command::Say(said))) => (true, said),
-                                Err(mpsc::error::TrySendError::Closed(Command::Say(said))) => (false, said),
+                                Err(mpsc::error::TrySendError::Full(Command::Send(unsent))) => (true, unsent),
+                                Err(mpsc::error::TrySendError::Closed(Command::Send(unsent))) => {
+                                    (false, unsent)
+                                }
                                 Err(_) => continue,
                             },
                         };
-                        if full {
-                            // It does not read what is said to it.
+                        if is_full {
+                            // The client does not read its messages.
                             self.viewers.remove(&conn);
                         }
-                        let why = if full { Departure::NotReading } else { Departure::Closed };
-                        dispatcher.viewer_gone(now, conn, why);
-                        dispatcher.unsaid(now, vec![*said]);
+                        let departure = if is_full { Departure::NotReading } else { Departure::Closed };
+                        dispatcher.viewer_gone(now, conn, departure);
+                        dispatcher.unsaid(now, vec![*unsent]);
                     }
                     Effect::Retire { conn, heard } => {
-                        // One that does not read is not idle, and ends by itself.
+                        // If the channel is full, the client does not read: the connection is not idle, and ends by
+                        // itself.
                         if let Some(commands) = self.viewers.get(&conn) {
-                            let _ = commands.try_send(Command::Retire { heard });
+                            let _ = commands.try_send(Command::CloseIdle { received: heard });
                         }
                     }
                     Effect::Drain { conn } => {
@@ -161,51 +175,67 @@
                     }
                     Effect::Dial { on, address } => self.dial(on, address),
                     Effect::Write { on, orders } => {
-                        // The dispatcher hands over one batch at a time: there is always room, or nobody is left.
-                        let _ = self.links.get(&on).map(|wire| wire.batches.try_send(orders));
+                        // The dispatcher passes on one batch at a time, so the channel has room or is closed.
+                        let _ = self.streamers.get(&on).map(|streamer| streamer.batches.try_send(orders));
                     }
                     Effect::Hang { on, awaits_close } => {
-                        if let Some(wire) = self.links.remove(&on) {
-                            let how = if awaits_close { Close::AwaitStreamer } else { Close::AtOnce };
-                            let _ = wire.close.send(how);
+                        if let Some(streamer) = self.streamers.remove(&on) {
+                            let close = if awaits_close { Close::AwaitStreamer } else { Close::AtOnce };
+                            let _ = streamer.close.send(close);
                         }
                     }
                 }
             }
         }
-        handed
+        is_passed_on
     }
 
-    fn dial(&mut self, on: Connection, address: String) {
-        let (batches, ordered) = mpsc::channel(ORDERS_MOST);
-        let (close, closed) = oneshot::channel();
-        self.links.insert(on, Orders { batches, close });
-        let to = streamers::Dial { on, address, timeout: self.dial_timeout };
-        tokio::spawn(streamers::run(self.clock, to, ordered, closed, self.from_streamers.clone()));
+    fn dial(&mut self, connection: Connection, address: String) {
+        let (batches, batch_receiver) = mpsc::channel(BATCH_QUEUE_CAPACITY);
+        let (close, close_receiver) = oneshot::channel();
+        self.streamers.insert(connection, StreamerConnection { batches, close });
+        let dial = streamers::Dial { connection, address, timeout: self.dial_timeout };
+        let reports = self.streamer_reports.clone();
+        tokio::spawn(streamers::run(self.clock, dial, batch_receiver, close_receiver, reports));
     }
 
-    fn of_viewer(&mut self, now: Point, dispatcher: &mut Dispatcher, report: viewers::Report) {
+    fn handle_viewer_report(&mut self, now: Point, dispatcher: &mut Dispatcher, report: viewers::Report) {
         match report {
             viewers::Report::Received(heard) => dispatcher.viewer_said(now, *heard),
-            viewers::Report::InputOver { conn, why } => dispatcher.input_over(now, conn, why),
-            viewers::Report::Gone { conn, why, unsaid } => {
-                self.viewers.remove(&conn);
-                dispatcher.viewer_gone(now, conn, why);
-                dispatcher.unsaid(now, unsaid);
+            viewers::Report::InputEnded { connection_id, reason } => {
+                dispatcher.input_over(now, connection_id, reason)
+            }
+            viewers::Report::Closed { connection_id, departure, unwritten } => {
+                self.viewers.remove(&connection_id);
+                dispatcher.viewer_gone(now, connection_id, departure);
+                dispatcher.unsaid(now, unwritten);
             }
             viewers::Report::Unread { unread } => dispatcher.unsaid(now, unread),
         }
     }
 
-    fn viewer_comes(&mut self, now: Point, dispatcher: &mut Dispatcher, conn: u64, socket: TcpStream) {
-        let (commands, said) = mpsc::channel(SAY_MOST);
-        self.viewers.insert(conn, commands);
-        dispatcher.viewer_up(now, conn);
-        let (reports, replies) = (self.from_viewers.clone(), dispatcher.replies().clone());
-        self.writing.spawn(viewers::run(self.clock, conn, socket, said, reports, replies));
+    fn start_viewer(
+        &mut self,
+        now: Point,
+        dispatcher: &mut Dispatcher,
+        connection_id: u64,
+        socket: TcpStream,
+    ) {
+        let (commands, command_receiver) = mpsc::channel(VIEWER_QUEUE_CAPACITY);
+        self.viewers.insert(connection_id, commands);
+        dispatcher.viewer_up(now, connection_id);
+        let (reports, replies) = (self.viewer_reports.clone(), dispatcher.replies().clone());
+        self.viewer_tasks.spawn(viewers::run(
+            self.clock,
+            connection_id,
+            socket,
+            command_receiver,
+            reports,
+            replies,
+        ));
     }
 
-    /// Closes every viewers' connection, with an answer to each request that was read on it by then.
+    /// Closes every viewers' connection, after an answer to each request that was read on it by then.
     async fn drain(&mut self, dispatcher: &mut Dispatcher, reports: &mut mpsc::Receiver<viewers::Report>) {
         for commands in self.viewers.values() {
             let _ = commands.try_send(Command::Drain);
@@ -213,184 +243,200 @@
         while !self.viewers.is_empty() {
             let Some(report) = reports.recv().await else { break };
             let now = Point::at(self.clock.now());
-            self.of_viewer(now, dispatcher, report);
+            self.handle_viewer_report(now, dispatcher, report);
             while dispatcher.decide(now) {}
             self.carry_out(now, dispatcher);
         }
-        while self.writing.join_next().await.is_some() {}
+        while self.viewer_tasks.join_next().await.is_some() {}
     }
 
-    fn of_streamer(&mut self, now: Point, dispatcher: &mut Dispatcher, report: streamers::Report) {
+    fn handle_streamer_report(&mut self, now: Point, dispatcher: &mut Dispatcher, report: streamers::Report) {
         match report {
-            streamers::Report::Linked { on } => dispatcher.linked(now, on),
-            streamers::Report::Wrote { on, unsent } => dispatcher.wrote(now, on, unsent),
-            streamers::Report::Told { on, message } => dispatcher.told(now, on, message),
-            streamers::Report::Lost { on, loss } => dispatcher.lost(now, on, loss),
-            streamers::Report::Closed { on, by_streamer } => {
-                self.links.remove(&on);
-                dispatcher.closed(now, on, by_streamer);
+            streamers::Report::Connected { connection } => dispatcher.linked(now, connection),
+            streamers::Report::Written { connection, unsent } => dispatcher.wrote(now, connection, unsent),
+            streamers::Report::Received { connection, message } => dispatcher.told(now, connection, message),
+            streamers::Report::Lost { connection, loss } => dispatcher.lost(now, connection, loss),
+            streamers::Report::Closed { connection, by_streamer } => {
+                self.streamers.remove(&connection);
+                dispatcher.closed(now, connection, by_streamer);
             }
         }
     }
 }
 
-/// Serves on a listener until SIGTERM; `file` is read again on SIGHUP.
+/// Serves on a listener until SIGTERM; the configuration file is read again on SIGHUP.
 pub async fn serve(listener: TcpListener, config: Config, file: Option<PathBuf>) -> io::Result<()> {
-    let mut hang_up = signal(SignalKind::hangup())?;
+    let mut reload = signal(SignalKind::hangup())?;
     let mut terminate = signal(SignalKind::terminate())?;
     let clock = Clock::start();
     let now = || Point::at(clock.now());
-    let unusable = |e: String| {
+    let invalid_settings = |e: String| {
         let file = file.as_deref().unwrap_or_else(|| "configuration".as_ref()).display();
         io::Error::new(io::ErrorKind::InvalidData, format!("{file}: at settings.{e}"))
     };
-    let sheet = lemontide_settings::parse_settings(&config.settings).map_err(unusable)?;
-    let terms = terms(&sheet, &config.settings, config.limits.sockets).map_err(unusable)?;
-    let closing_most = (config.limits.sockets / CLOSING_PART).max(CLOSING_LEAST);
-    let others_most = OWN_SOCKETS + terms.links_most + closing_most - CLOSING_LEAST;
-    let viewers_most = config.limits.sockets.saturating_sub(others_most).max(1);
-    // By then every set-up that was taken before the last call has its answer.
-    let stop_most = terms.lanes.iter().map(|lane| lane.1).fold(STOP_LEAST, Span::max) + STOP_LEAST;
-    let (from_viewers, mut viewers_said) = mpsc::channel(REPORTS_MOST);
-    let (from_streamers, mut streamers_said) = mpsc::channel(REPORTS_MOST);
-    let (news, mut list) = mpsc::channel::<Hosts>(REPORTS_MOST);
+    let controller_settings =
+        lemontide_settings::parse_settings(&config.settings).map_err(invalid_settings)?;
+    let settings = dispatcher_settings(&controller_settings, &config.settings, config.limits.sockets)
+        .map_err(invalid_settings)?;
+    let max_closing = (config.limits.sockets / CLOSING_DESCRIPTORS_DIVISOR).max(MIN_CLOSING_CONNECTIONS);
+    let other_descriptors =
+        RESERVED_DESCRIPTORS + settings.links_most + max_closing - MIN_CLOSING_CONNECTIONS;
+    let max_viewers = config.limits.sockets.saturating_sub(other_descriptors).max(1);
+    // After this time every set-up that was accepted before the stop has its answer.
+    let max_stop_time =
+        settings.lanes.iter().map(|class| class.1).fold(MIN_STOP_TIME, Span::max) + MIN_STOP_TIME;
+    let (viewer_reports, mut viewer_report_receiver) = mpsc::channel(REPORT_QUEUE_CAPACITY);
+    let (streamer_reports, mut streamer_report_receiver) = mpsc::channel(REPORT_QUEUE_CAPACITY);
+    let (list_updates, mut list_update_receiver) = mpsc::channel::<ListUpdate>(REPORT_QUEUE_CAPACITY);
     let mut sockets = Sockets {
         clock,
-        dial_timeout: Duration::from_secs_f64(terms.dial_timeout.seconds()),
+        dial_timeout: Duration::from_secs_f64(settings.dial_timeout.seconds()),
         viewers: HashMap::new(),
-        writing: JoinSet::new(),
-        links: HashMap::new(),
-        from_viewers,
-        from_streamers,
+        viewer_tasks: JoinSet::new(),
+        streamers: HashMap::new(),
+        viewer_reports,
+        streamer_reports,
     };
-    let mut dispatcher = Dispatcher::start(now(), config.seed(), &sheet, terms);
-    for event in &config.known.entries {
-        dispatcher.learn(now(), &event.hosts);
+    let mut dispatcher = Dispatcher::start(now(), config.seed(), &controller_settings, settings);
+    for event in &config.known.events {
+        dispatcher.learn(now(), &event.update);
     }
-    let (address, moved) = watch::channel(config.journal.clone());
-    let journal = tokio::spawn(journal::follow(moved, config.known.pos, news));
+    let (journal_address, address_changes) = watch::channel(config.journal.clone());
+    let journal = tokio::spawn(journal::follow(address_changes, config.known.position, list_updates));
     tracing::debug!(target: "config", settings = %config.settings, known = ?config.known);
-    tracing::info!(listen = %config.listen, streamers = dispatcher.streamers(), "serves");
-    let mut next_conn = 0;
-    // Accepted, and waiting for another to make room.
-    let mut doorway: Option<TcpStream> = None;
-    // No more are accepted until then.
-    let mut no_descriptor: Option<Instant> = None;
-    // The configuration is to be read again then, and so many more times where it can't be read.
-    let mut read_again: Option<(Instant, u32)> = None;
-    let mut stops: Option<Point> = None;
-    // Since when nothing is in hand.
-    let mut empty: Option<Point> = None;
+    tracing::info!(listen = %config.listen, streamers = dispatcher.streamers(), "serving");
+    let mut last_connection_id = 0;
+    // An accepted connection that waits for another one to close.
+    let mut waiting_socket: Option<TcpStream> = None;
+    // No connection is accepted until then.
+    let mut accept_paused_until: Option<Instant> = None;
+    // When the configuration is to be read again, and how many more times if it can't be read.
+    let mut config_retry: Option<(Instant, u32)> = None;
+    let mut stopping_since: Option<Point> = None;
+    // Since when there has been no session and no request.
+    let mut empty_since: Option<Point> = None;
     loop {
         sockets.carry_out(now(), &mut dispatcher);
-        while sockets.writing.try_join_next().is_some() {}
-        empty = (dispatcher.in_hand() == 0).then(|| empty.unwrap_or(now()));
-        if let Some(since) = stops {
-            let gone = now() - since;
-            let said = empty.is_some_and(|since| now() - since >= LAST_WORDS);
+        while sockets.viewer_tasks.try_join_next().is_some() {}
+        empty_since = (dispatcher.in_hand() == 0).then(|| empty_since.unwrap_or(now()));
+        if let Some(since) = stopping_since {
+            let stop_time = now() - since;
+            let is_all_sent = empty_since.is_some_and(|since| now() - since >= LAST_MESSAGES_TIME);
             let owes_nothing = dispatcher.replies().open() == 0;
-            if owes_nothing && (gone >= STOP_LEAST && said || gone >= stop_most) {
+            if owes_nothing && (stop_time >= MIN_STOP_TIME && is_all_sent || stop_time >= max_stop_time) {
                 break;
             }
         }
-        let awake = now();
-        let due = Instant::from_std(clock.instant(lemontide_front::core::seconds(dispatcher.next())));
-        let again = read_again.map_or(due, |(at, _)| at.min(due));
-        let open = doorway.is_none() && no_descriptor.is_none_or(|until| Instant::now() >= until);
-        let (mut said, mut told, mut hosts, mut accepted) = (None, None, None, None);
+        let wait_start = now();
+        let next_tick = Instant::from_std(clock.instant(lemontide_front::core::seconds(dispatcher.next())));
+        let next_timer = config_retry.map_or(next_tick, |(at, _)| at.min(next_tick));
+        let can_accept =
+            waiting_socket.is_none() && accept_paused_until.is_none_or(|until| Instant::now() >= until);
+        let mut viewer_report = None;
+        let mut streamer_report = None;
+        let mut list_update = None;
+        let mut accepted = None;
         tokio::select! {
             biased;
             Some(()) = terminate.recv() => {
-                tracing::info!(in_hand = dispatcher.in_hand(), "stops");
-                stops.get_or_insert(now());
+                tracing::info!(in_hand = dispatcher.in_hand(), "stopping");
+                stopping_since.get_or_insert(now());
                 dispatcher.stop(now());
             }
-            Some(()) = hang_up.recv() => read_again = Some((Instant::now(), READ_AGAIN_MOST)),
-            Some(report) = viewers_said.recv(), if dispatcher.asked() < ROUND => said = Some(report),
-            Some(report) = streamers_said.recv() => told = Some(report),
-            Some(news) = list.recv() => hosts = Some(news),
-            came = listener.accept(), if open => accepted = Some(came),
-            // What else there is to hear is heard before the next request is decided.
+            Some(()) = reload.recv() => config_retry = Some((Instant::now(), MAX_CONFIG_RETRIES)),
+            Some(report) = viewer_report_receiver.recv(), if dispatcher.asked() < MAX_REPORTS_PER_TURN => {
+                viewer_report = Some(report)
+            }
+            Some(report) = streamer_report_receiver.recv() => streamer_report = Some(report),
+            Some(update) = list_update_receiver.recv() => list_update = Some(update),
+            result = listener.accept(), if can_accept => accepted = Some(result),
+            // Everything that was received is handled before the next request is decided.
             () = tokio::task::yield_now(), if dispatcher.asked() > 0 => {}
-            () = sleep_until(again) => {}
+            () = sleep_until(next_timer) => {}
         }
-        let late = Some(now() - dispatcher.next().max(awake)).filter(|late| *late >= STOOD_STILL);
-        if late.is_some() {
-            // What came meanwhile is heard before anything is decided: a viewer that left, the end of an attempt, a
-            // drain. The first turn of the runtime sees what the sockets hold, the second lets their tasks report it.
+        let stall = Some(now() - dispatcher.next().max(wait_start)).filter(|stall| *stall >= STALL_THRESHOLD);
+        if stall.is_some() {
+            // Everything that was received during the stall is handled before anything is decided: a viewer that
+            // left, the end of an attempt, a drain. In the first turn of the runtime the tasks of the sockets become
+            // ready, in the second they report what they read.
             tokio::task::yield_now().await;
             tokio::task::yield_now().await;
         }
-        dispatcher.stood_still(late.unwrap_or(Span::ZERO));
-        let mut handed = false;
-        // Each source has its share of every turn, so that a flood from one keeps none of the others waiting.
-        // Viewers come first, as they may leave what would else be sent on; the timer comes last, as what it would
-        // call late may have been told.
-        for _ in 0..ROUND {
-            // Whoever asks for more than is decided waits in its own connection.
-            let more = dispatcher.asked() < ROUND;
-            let next = said.take().or_else(|| more.then(|| viewers_said.try_recv().ok()).flatten());
+        dispatcher.stood_still(stall.unwrap_or(Span::ZERO));
+        let mut is_passed_on = false;
+        // Each source has its share of every turn, so that a flood from one delays none of the others. Viewers come
+        // first, as a viewer that leaves ends a request that would else be sent on. The timer comes last, as
+        // something that it would find overdue may have been received.
+        for _ in 0..MAX_REPORTS_PER_TURN {
+            // Requests beyond those that can wait for a decision stay in their own connections.
+            let has_room = dispatcher.asked() < MAX_REPORTS_PER_TURN;
+            let next = viewer_report
+                .take()
+                .or_else(|| has_room.then(|| viewer_report_receiver.try_recv().ok()).flatten());
             let Some(report) = next else { break };
-            sockets.of_viewer(now(), &mut dispatcher, report);
+            sockets.handle_viewer_report(now(), &mut dispatcher, report);
         }
-        for _ in 0..ROUND {
-            let Some(news) = hosts.take().or_else(|| list.try_recv().ok()) else { break };
-            dispatcher.learn(now(), &news);
+        for _ in 0..MAX_REPORTS_PER_TURN {
+            let next = list_update.take().or_else(|| list_update_receiver.try_recv().ok());
+            let Some(update) = next else { break };
+            dispatcher.learn(now(), &update);
         }
-        for _ in 0..ROUND {
-            let Some(report) = told.take().or_else(|| streamers_said.try_recv().ok()) else { break };
-            sockets.of_streamer(now(), &mut dispatcher, report);
-            handed |= sockets.carry_out(now(), &mut dispatcher);
+        for _ in 0..MAX_REPORTS_PER_TURN {
+            let next = streamer_report.take().or_else(|| streamer_report_receiver.try_recv().ok());
+            let Some(report) = next else { break };
+            sockets.handle_streamer_report(now(), &mut dispatcher, report);
+            is_passed_on |= sockets.carry_out(now(), &mut dispatcher);
         }
         dispatcher.stood_still(Span::ZERO);
         if now() >= dispatcher.next() {
             dispatcher.tick(now());
         }
-        // An answer in hand leaves before a request is decided, and one request is decided a turn. Guards against
-        // answers that wait in a full turn: a viewer may leave meanwhile, and its time runs.
+        // Answers are sent before a request is decided, and one request is decided per turn. Guards against answers
+        // that wait during a full turn, while their viewer can leave or its time can run out.
         if dispatcher.asked() > 0 {
-            if sockets.carry_out(now(), &mut dispatcher) || handed {
+            if sockets.carry_out(now(), &mut dispatcher) || is_passed_on {
                 tokio::task::yield_now().await;
             }
             dispatcher.decide(now());
         }
-        for _ in 0..ROUND {
-            if let Some(socket) = doorway.take() {
-                let (held, closing) = (sockets.viewers.len(), sockets.writing.len());
-                if held >= viewers_most || closing >= viewers_most + closing_most {
-                    // Nobody is turned away while another has room to make, and nobody who is owed an answer is cut.
-                    if held >= viewers_most {
+        for _ in 0..MAX_REPORTS_PER_TURN {
+            if let Some(socket) = waiting_socket.take() {
+                let (open, tasks) = (sockets.viewers.len(), sockets.viewer_tasks.len());
+                if open >= max_viewers || tasks >= max_viewers + max_closing {
+                    // No connection is refused while an idle one can be closed for it, and none on which an answer is
+                    // owed is closed.
+                    if open >= max_viewers {
                         dispatcher.make_room();
                     }
-                    doorway = Some(socket);
+                    waiting_socket = Some(socket);
                     break;
                 }
-                next_conn += 1;
-                sockets.viewer_comes(now(), &mut dispatcher, next_conn, socket);
+                last_connection_id += 1;
+                sockets.start_viewer(now(), &mut dispatcher, last_connection_id, socket);
             }
             match accepted.take().or_else(|| listener.accept().now_or_never()) {
-                Some(Ok((socket, _))) => doorway = Some(socket),
+                Some(Ok((socket, _))) => waiting_socket = Some(socket),
                 Some(Err(e)) => {
-                    // Out of descriptors: one that is idle makes room, and others get time to end.
-                    tracing::warn!(error = %e, "can't accept");
+                    // Out of descriptors: an idle connection is closed, and others get time to end.
+                    tracing::warn!(error = %e, "can't accept a connection");
                     dispatcher.make_room();
-                    no_descriptor = Some(Instant::now() + ACCEPT_REST);
+                    accept_paused_until = Some(Instant::now() + ACCEPT_PAUSE);
                     break;
                 }
                 None => break,
             }
         }
-        if let (Some((at, left)), Some(file)) = (read_again, &file) {
+        if let (Some((at, retries_left)), Some(file)) = (config_retry, &file) {
             if Instant::now() >= at {
-                read_again = match Config::read(file) {
-                    Ok(again) => {
-                        tracing::info!(journal = again.journal, "configuration read again");
-                        let _ = address.send(again.journal);
+                config_retry = match Config::read(file) {
+                    Ok(config) => {
+                        tracing::info!(journal = config.journal, "configuration read again");
+                        let _ = journal_address.send(config.journal);
                         None
                     }
                     Err(e) => {
-                        tracing::error!(error = e, "the configuration stays as it was");
-                        (left > 0).then(|| (Instant::now() + READ_AGAIN, left - 1))
+                        tracing::error!(error = e, "can't read the configuration; it stays as it was");
+                        (retries_left > 0).then(|| (Instant::now() + CONFIG_RETRY_INTERVAL, retries_left - 1))
                     }
                 };
             }
@@ -398,7 +444,10 @@
     }
     journal.abort();
     drop(listener);
-    let _ =
-        tokio::time::timeout(viewers::WRITE_TIMEOUT, sockets.drain(&mut dispatcher, &mut viewers_said)).await;
+    let _ = tokio::time::timeout(
+        viewers::WRITE_TIMEOUT,
+        sockets.drain(&mut dispatcher, &mut viewer_report_receiver),
+    )
+    .await;
     Ok(())
 }
--- a/crates/lemontide-platform/src/streamers.rs
+++ b/crates/lemontide-platform/src/streamers.rs
@@ -1,10 +1,10 @@
-//! One connection to a streamer: dials, writes what the dispatcher hands over and reports what comes back. Nothing is
-//! decided here; every report carries the number of the dial that it belongs to.
+//! One connection to a streamer: dials, writes the dispatcher's batches and reports what it reads. It decides nothing;
+//! every report carries the number of the dial that it belongs to.
 
 use crate::codec::{Codec, Message};
 use crate::dispatcher::{Loss, Order};
 use crate::permit::Permit;
-use crate::reader::Reader;
+use crate::reader::MessageReader;
 use bytes::{Buf, BytesMut};
 use lemontide::clock::Point;
 use lemontide_front::core::{Connection, Queued};
@@ -17,99 +17,90 @@
 use tokio::time::timeout;
 use tokio_util::codec::Encoder;
 
-/// A message must be whole so long after its first bytes. Guards against answers that stop short: nothing else
-/// can be read on that connection either, and set-ups wait on it.
-const WHOLE_WITHIN: Duration = Duration::from_millis(300);
+/// How soon after its first bytes a message must be complete. Guards against truncated answers: nothing behind one can
+/// be read on that connection, and set-ups wait on it.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a streamer's own close of a connection is awaited, and how many messages are heard meanwhile, or bytes of
-/// what can't be read.
-const CLOSE_WITHIN: Duration = Duration::from_secs(3);
-const HEARD_MOST: usize = 4096;
-const DISCARD_MOST: usize = 256 * 1024;
+/// How long this end waits for a streamer to close a connection, after closing its own half.
+const STREAMER_CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// How many messages are read while it waits.
+const MAX_MESSAGES_BEFORE_CLOSE: usize = 4096;
+/// How many bytes are read while it waits, once they can't be decoded.
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 
 /// What a connection to a streamer reports.
 pub enum Report {
-    Linked {
-        on: Connection,
-    },
-    Wrote {
-        on: Connection,
-        unsent: Vec<(u32, u32)>,
-    },
-    Told {
-        on: Connection,
-        message: Message,
-    },
-    /// It is of no more use; `Closed` follows.
-    Lost {
-        on: Connection,
-        loss: Loss,
-    },
-    /// Its socket is closed. `by_streamer` says that the streamer closed or reset it, having read what it read.
-    Closed {
-        on: Connection,
-        by_streamer: bool,
-    },
+    /// The dial succeeded.
+    Connected { connection: Connection },
+    /// A batch was written, except for these attempts.
+    Written { connection: Connection, unsent: Vec<(u32, u32)> },
+    /// The streamer sent a message.
+    Received { connection: Connection, message: Message },
+    /// The connection is of no more use; `Closed` follows.
+    Lost { connection: Connection, loss: Loss },
+    /// The socket is closed. `by_streamer` is set if the streamer closed or reset the connection, and so reads
+    /// nothing more.
+    Closed { connection: Connection, by_streamer: bool },
 }
 
 /// How this end closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Close {
     AtOnce,
-    /// The streamer's own close is awaited.
+    /// Closes only this end's half, and waits for the streamer to close the other.
     AwaitStreamer,
 }
 
-/// Where a connection goes, and how long the dial may take.
+/// The connection to dial, its address, and the timeout of the dial.
 pub struct Dial {
-    pub on: Connection,
+    pub connection: Connection,
     pub address: String,
     pub timeout: Duration,
 }
 
-/// How the use of a connection ended.
-enum End {
-    /// The dial did not come through.
-    NoDial(Loss),
+/// Why a connection is not used any more.
+enum ConnectionEnd {
+    /// The dial failed.
+    DialFailed(Loss),
     /// The streamer closed or reset it.
     ByStreamer,
-    /// It can't be read or written any more; its reading half.
-    Unusable(Option<Reader>),
+    /// It can't be read or written any more; with its reading half.
+    Unusable(Option<MessageReader>),
     /// The dispatcher closes it.
-    Told(Close, Option<Reader>),
+    CloseRequested(Close, Option<MessageReader>),
 }
 
-/// The writing half: asks in the moment of writing whether a message may still begin.
+/// The writing half. It checks at the moment of writing whether a message can still begin.
 struct Writer {
     socket: OwnedWriteHalf,
     bytes: BytesMut,
 }
 
 impl Writer {
-    /// Writes a message whole; false where it may no longer begin. `not_after` is asked of the clock when the socket
-    /// takes its first bytes. Guards against set-ups that leave after their viewer did, or after they were sent
-    /// elsewhere, as they waited in a batch on a slow connection.
+    /// Writes a complete message; returns false if the message can no longer begin. The clock is compared with
+    /// `not_after` when the socket takes the first bytes. Guards against set-ups that wait in a batch on a slow
+    /// connection, and are sent after their viewer has left or after they were sent to another streamer.
     async fn write(&mut self, clock: Clock, queued: &Queued<Order>) -> io::Result<bool> {
         let attempt = queued.order.permit.as_ref().filter(|_| queued.shot.is_some());
         self.bytes.clear();
         Codec.encode(queued.order.message.clone(), &mut self.bytes)?;
-        let mut begun = false;
+        let mut has_begun = false;
         while !self.bytes.is_empty() {
             self.socket.writable().await?;
             let now = Point::at(clock.now());
-            let late = queued.not_after.is_some_and(|until| now > until);
-            if !begun && (late || attempt.is_some_and(|attempt| !attempt.begin_at(now))) {
+            let is_late = queued.not_after.is_some_and(|until| now > until);
+            if !has_begun && (is_late || attempt.is_some_and(|attempt| !attempt.begin_at(now))) {
                 return Ok(false);
             }
             match self.socket.try_write(&self.bytes) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(written) => {
-                    begun = true;
+                    has_begun = true;
                     self.bytes.advance(written);
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    let nothing_yet = attempt.filter(|_| !begun);
-                    nothing_yet.into_iter().for_each(Permit::undo);
+                    let not_begun = attempt.filter(|_| !has_begun);
+                    not_begun.into_iter().for_each(Permit::undo);
                 }
                 Err(e) => return Err(e),
             }
@@ -117,14 +108,14 @@
         Ok(true)
     }
 
-    /// Writes a batch; the attempts in it whose time was over, which never ran.
+    /// Writes a batch; returns the attempts in it that could no longer begin, and so never ran.
     async fn write_all(&mut self, clock: Clock, batch: Vec<Queued<Order>>) -> io::Result<Vec<(u32, u32)>> {
         let mut unsent = Vec::new();
         for queued in batch {
-            let written = self.write(clock, &queued).await?;
+            let is_written = self.write(clock, &queued).await?;
             let permit = queued.order.permit.as_ref();
             match queued.shot {
-                Some(shot) if !written && permit.is_some_and(Permit::withdraw) => unsent.push(shot),
+                Some(attempt) if !is_written && permit.is_some_and(Permit::withdraw) => unsent.push(attempt),
                 _ => {}
             }
         }
@@ -132,66 +123,74 @@
     }
 }
 
-/// Whether an error of a socket says that the other end closed or reset the connection.
+/// Whether a socket's error means that the other end closed or reset the connection.
 fn is_close(error: &io::Error) -> bool {
     use io::ErrorKind::{BrokenPipe, ConnectionReset, UnexpectedEof};
     matches!(error.kind(), BrokenPipe | ConnectionReset | UnexpectedEof)
 }
 
-/// Runs one connection until it is closed. It closes when `close` says so or its sender is gone, whatever is being
-/// written. That it is over is reported once it is closed.
+/// Runs one connection until it is closed. It closes when `close` receives a request or its sender is dropped, whatever
+/// is being written then. The end of the connection is reported once its socket is closed.
 pub async fn run(
     clock: Clock,
-    to: Dial,
-    orders: mpsc::Receiver<Vec<Queued<Order>>>,
+    dial: Dial,
+    batches: mpsc::Receiver<Vec<Queued<Order>>>,
     mut close: oneshot::Receiver<Close>,
     reports: mpsc::Sender<Report>,
 ) {
-    let on = to.on;
-    let (loss, reader) = match attend(clock, to, orders, &mut close, &reports).await {
-        End::Told(Close::AtOnce, _) => (None, None),
-        End::Told(Close::AwaitStreamer, reader) => (None, reader),
-        End::NoDial(loss) => (Some(loss), None),
-        End::ByStreamer => {
-            let _ = reports.send(Report::Lost { on, loss: Loss::Broke }).await;
-            let _ = reports.send(Report::Closed { on, by_streamer: true }).await;
+    let connection = dial.connection;
+    let (loss, reader) = match serve_connection(clock, dial, batches, &mut close, &reports).await {
+        ConnectionEnd::CloseRequested(Close::AtOnce, _) => (None, None),
+        ConnectionEnd::CloseRequested(Close::AwaitStreamer, reader) => (None, reader),
+        ConnectionEnd::DialFailed(loss) => (Some(loss), None),
+        ConnectionEnd::ByStreamer => {
+            let _ = reports.send(Report::Lost { connection, loss: Loss::Broke }).await;
+            let _ = reports.send(Report::Closed { connection, by_streamer: true }).await;
             return;
         }
-        End::Unusable(reader) => (Some(Loss::Broke), reader),
+        ConnectionEnd::Unusable(reader) => (Some(Loss::Broke), reader),
     };
     let mut awaits_streamer = loss.is_none();
     if let Some(loss) = loss {
-        let _ = reports.send(Report::Lost { on, loss }).await;
+        let _ = reports.send(Report::Lost { connection, loss }).await;
         awaits_streamer = reader.is_some() && close.await == Ok(Close::AwaitStreamer);
     }
     let by_streamer = match reader {
-        Some(reader) if awaits_streamer => closes(on, reader, &reports).await,
+        Some(reader) if awaits_streamer => streamer_closes(connection, reader, &reports).await,
         _ => false,
     };
-    let _ = reports.send(Report::Closed { on, by_streamer }).await;
+    let _ = reports.send(Report::Closed { connection, by_streamer }).await;
 }
 
-/// Whether the streamer closes in time a connection of which this end has closed its half. What it still says is
-/// reported: a session that stands belongs to no connection, and this may be the only one that carries its release.
-async fn closes(on: Connection, mut reader: Reader, reports: &mpsc::Sender<Report>) -> bool {
+/// Whether the streamer closes a connection in time after this end closed its half. Messages that it still sends are
+/// reported: a session belongs to no connection, and this may be the only one that carries its release.
+async fn streamer_closes(
+    connection: Connection,
+    mut reader: MessageReader,
+    reports: &mpsc::Sender<Report>,
+) -> bool {
     let closes = async {
-        match hear_last(on, &mut reader, reports).await {
+        match report_last_messages(connection, &mut reader, reports).await {
             Err(e) if is_close(&e) => Err(e),
-            _ => reader.discard(DISCARD_MOST).await,
+            _ => reader.discard(MAX_DISCARDED_BYTES).await,
         }
     };
-    match timeout(CLOSE_WITHIN, closes).await {
+    match timeout(STREAMER_CLOSE_TIMEOUT, closes).await {
         Ok(Ok(())) => true,
         Ok(Err(e)) => is_close(&e),
         Err(_) => false,
     }
 }
 
-/// Reports what a streamer says, until that is over, can't be read, or is too much.
-async fn hear_last(on: Connection, reader: &mut Reader, reports: &mpsc::Sender<Report>) -> io::Result<()> {
-    for _ in 0..HEARD_MOST {
+/// Reports a streamer's messages until they end, can't be decoded, or are too many.
+async fn report_last_messages(
+    connection: Connection,
+    reader: &mut MessageReader,
+    reports: &mpsc::Sender<Report>,
+) -> io::Result<()> {
+    for _ in 0..MAX_MESSAGES_BEFORE_CLOSE {
         let message = reader.next(None).await?;
-        if reports.send(Report::Told { on, message }).await.is_err() {
+        if reports.send(Report::Received { connection, message }).await.is_err() {
             break;
         }
     }
@@ -200,69 +199,75 @@
 
 /// Dials and serves one connection. Its writing half is closed when this returns, and its reading half as well unless
 /// it is returned.
-async fn attend(
+async fn serve_connection(
     clock: Clock,
-    to: Dial,
-    mut orders: mpsc::Receiver<Vec<Queued<Order>>>,
+    dial: Dial,
+    mut batches: mpsc::Receiver<Vec<Queued<Order>>>,
     close: &mut oneshot::Receiver<Close>,
     reports: &mpsc::Sender<Report>,
-) -> End {
-    let Dial { on, address, timeout: within } = to;
-    let dial = timeout(within, TcpStream::connect(&address));
+) -> ConnectionEnd {
+    let Dial { connection, address, timeout: dial_timeout } = dial;
+    let dialled = timeout(dial_timeout, TcpStream::connect(&address));
     let socket = tokio::select! {
-        dialled = dial => match dialled {
+        dialled = dialled => match dialled {
             Ok(Ok(socket)) => socket,
-            Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => return End::NoDial(Loss::Refused),
-            _ => return End::NoDial(Loss::Dark),
+            Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => {
+                return ConnectionEnd::DialFailed(Loss::Refused)
+            }
+            _ => return ConnectionEnd::DialFailed(Loss::Dark),
         },
-        told = &mut *close => return End::Told(told.unwrap_or(Close::AtOnce), None),
+        request = &mut *close => {
+            return ConnectionEnd::CloseRequested(request.unwrap_or(Close::AtOnce), None)
+        }
     };
     let _ = socket.set_nodelay(true);
-    if reports.send(Report::Linked { on }).await.is_err() {
-        return End::Unusable(None);
+    if reports.send(Report::Connected { connection }).await.is_err() {
+        return ConnectionEnd::Unusable(None);
     }
-    let (read, write) = socket.into_split();
-    let mut writer = Writer { socket: write, bytes: BytesMut::new() };
+    let (read_half, write_half) = socket.into_split();
+    let mut writer = Writer { socket: write_half, bytes: BytesMut::new() };
     let write = async {
-        while let Some(batch) = orders.recv().await {
+        while let Some(batch) = batches.recv().await {
             let unsent = writer.write_all(clock, batch).await?;
-            if reports.send(Report::Wrote { on, unsent }).await.is_err() {
+            if reports.send(Report::Written { connection, unsent }).await.is_err() {
                 break;
             }
         }
         Ok(())
     };
-    let mut reader = Reader::new(read, WHOLE_WITHIN);
-    let read = read_all(on, &address, &mut reader, reports);
+    let mut reader = MessageReader::new(read_half, MESSAGE_TIMEOUT);
+    let read = read_all(connection, &address, &mut reader, reports);
     let ended: io::Result<()> = tokio::select! {
         written = write => written,
         read = read => read,
-        told = close => return End::Told(told.unwrap_or(Close::AtOnce), Some(reader)),
+        request = close => {
+            return ConnectionEnd::CloseRequested(request.unwrap_or(Close::AtOnce), Some(reader))
+        }
     };
     match ended {
-        Err(e) if is_close(&e) => End::ByStreamer,
-        // The socket is dead, and nothing more is heard of the streamer on it.
-        Err(e) if e.raw_os_error().is_some() => End::Unusable(None),
-        _ => End::Unusable(Some(reader)),
+        Err(e) if is_close(&e) => ConnectionEnd::ByStreamer,
+        // The socket has failed, and nothing more can be read from it.
+        Err(e) if e.raw_os_error().is_some() => ConnectionEnd::Unusable(None),
+        _ => ConnectionEnd::Unusable(Some(reader)),
     }
 }
 
-/// Reports what a streamer says until the connection is over or can't be read.
+/// Reports a streamer's messages until the connection ends or can't be read.
 async fn read_all(
-    on: Connection,
+    connection: Connection,
     address: &str,
-    reader: &mut Reader,
+    reader: &mut MessageReader,
     reports: &mpsc::Sender<Report>,
 ) -> io::Result<()> {
     loop {
         match reader.next(None).await {
             Ok(message) => {
-                if reports.send(Report::Told { on, message }).await.is_err() {
+                if reports.send(Report::Received { connection, message }).await.is_err() {
                     return Ok(());
                 }
             }
             Err(e) => {
-                tracing::info!(target: "streamers", address, error = %e, "connection over");
+                tracing::info!(target: "streamers", address, error = %e, "connection ended");
                 return Err(e);
             }
         }
--- a/crates/lemontide-platform/src/viewers.rs
+++ b/crates/lemontide-platform/src/viewers.rs
@@ -1,11 +1,11 @@
-//! Viewers' connections: reads what comes, writes what the dispatcher says, ends what can't be read. Nothing is decided
-//! here but whether a connection is still idle in the moment in which it would be closed. A connection on which an
-//! answer is owed is not closed from this side: where its input ends, it drains first.
+//! Viewers' connections: reads messages, writes the dispatcher's messages, and closes connections that send invalid
+//! input. It decides nothing, except whether a connection is still idle at the moment of closing it. A connection on
+//! which an answer is owed is not closed from this side: when its input ends, it is drained first.
 
 use crate::codec::{Body, Message};
 use crate::dispatcher::InputEnd;
 use crate::outbox::Outbox;
-use crate::reader::Reader;
+use crate::reader::MessageReader;
 use crate::replies::{Departure, Heard, PendingReply, Replies};
 use crate::steps::Steps;
 use futures::FutureExt;
@@ -19,111 +19,106 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{sleep, timeout, Instant};
 
-/// A new connection must have said something whole by then, and a message must be whole so long after its first
-/// bytes. Guards against those who connect, or begin, and say no more: the platform owes them a close within 3 s.
-const WHOLE_WITHIN: Duration = Duration::from_millis(2000);
-/// A viewer that does not read for so long is cut off.
+/// How soon a new connection must have sent a complete message, and how soon after its first bytes a message must be
+/// complete. Guards against clients that connect, or begin a message, and send nothing more: the platform requires that
+/// they are closed within 3 s.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2000);
+/// A connection whose client does not read for this long is closed.
 pub const WRITE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// What still comes after this end closed is read for so long: the platform's slack for what crosses a close. Guards
-/// against a reset that overtakes the last answer, as a close with unread bytes sends one.
-const LINGER: Duration = Duration::from_millis(50);
-/// A reset for what was written to a connection that the other end had closed comes within this time.
-const RESET_WITHIN: Duration = Duration::from_millis(20);
-/// While a connection drains it is looked this often whether its client has reset it or is owed nothing more.
-const LOOK_WHILE_DRAINING: Duration = Duration::from_millis(5);
+/// How long the input is read after this end closed: the platform's allowance for messages that cross a close. Guards
+/// against a reset that overtakes the last answer: a socket that is closed with unread bytes sends one.
+const READ_AFTER_CLOSE: Duration = Duration::from_millis(50);
+/// Time within which the reset arrives for bytes that were written to a connection that the other end had closed.
+const RESET_TIMEOUT: Duration = Duration::from_millis(20);
+/// How often a draining connection is checked for a reset by its client and for open requests.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What a viewers' connection reports.
 pub enum Report {
+    /// The client sent a message.
     Received(Box<Heard>),
-    /// Nothing more is read on it; what is owed on it can still be said.
-    InputOver {
-        conn: u64,
-        why: InputEnd,
-    },
-    /// It is over; what was to be said on it and was not, and why its client is gone where something was still owed.
-    Gone {
-        conn: u64,
-        why: Departure,
-        unsaid: Vec<Outgoing>,
-    },
-    /// What was said on a connection that is over, and not read by its client.
-    Unread {
-        unread: Vec<Outgoing>,
-    },
+    /// Nothing more is read; answers that are owed can still be written.
+    InputEnded { connection_id: u64, reason: InputEnd },
+    /// The connection has ended. With the messages that were not written, and the reason why its client has gone, which
+    /// counts if an answer was still owed.
+    Closed { connection_id: u64, departure: Departure, unwritten: Vec<Outgoing> },
+    /// Messages that were written on a connection that has ended, and not read by its client.
+    Unread { unread: Vec<Outgoing> },
 }
 
-/// A message to a viewer; with `stood` it ends what stood, and may be said on any other connection as well.
+/// A message to a viewer.
 #[derive(Debug)]
 pub struct Outgoing {
     pub message: Message,
-    pub stood: bool,
-    /// Of the request that it answers, if it answers one.
+    /// It ends a session that plays, and can be sent on any other connection as well.
+    pub ends_session: bool,
+    /// The pending reply of the request that it answers, if it answers one.
     pub reply: Option<PendingReply>,
-    /// The steps of that request, where they are logged.
+    /// The steps of that request, if they are logged.
     pub steps: Option<Box<Steps>>,
 }
 
-/// What a viewers' connection is told.
+/// A command to a viewers' connection.
 pub enum Command {
-    Say(Box<Outgoing>),
-    /// Close, unless more was said on it than this many messages, or is being said.
-    Retire {
-        heard: u64,
-    },
-    /// Read nothing more, and close once nothing is owed.
+    /// Write this message.
+    Send(Box<Outgoing>),
+    /// Close the connection, unless more than this number of messages were received on it, or one is being received.
+    CloseIdle { received: u64 },
+    /// Read nothing more, and close once no answer is owed.
     Drain,
 }
 
 /// How a connection came to its end.
 #[derive(Clone, Copy)]
-enum End {
-    /// The other end is gone, or can't be reached.
-    Theirs { is_reset: bool, why: Departure },
+enum ConnectionEnd {
+    /// The client has gone, or can't be reached.
+    ByClient { is_reset: bool, departure: Departure },
     /// Nothing more is read on it.
     Input(InputEnd),
-    /// This end is done with it, and nothing on it is owed an answer.
-    Ours,
+    /// This end closes it, and no answer is owed on it.
+    ByController,
 }
 
-impl End {
-    const RESET: End = End::Theirs { is_reset: true, why: Departure::Closed };
+impl ConnectionEnd {
+    const RESET: ConnectionEnd = ConnectionEnd::ByClient { is_reset: true, departure: Departure::Closed };
 }
 
-/// One connection: what it may still say, and the answers that are owed on it.
+/// The writing side of one connection: its messages, and the answers that are owed on it.
 struct ClientConnection {
-    conn: u64,
+    connection_id: u64,
     outbox: Outbox,
     commands: mpsc::Receiver<Command>,
     replies: Replies,
 }
 
-/// What the reading side of a connection is told by its writing side, which takes the commands.
+/// Passes commands that concern the reading side of a connection on to it; the writing side receives them.
 #[derive(Default)]
 struct ReaderControl {
     changed: Notify,
-    drains: AtomicBool,
-    /// It is to close, where so many messages came on it.
-    retires_at: AtomicU64,
+    is_draining: AtomicBool,
+    /// One more than the number of received messages at which the connection is to be closed; 0 if it is not to be
+    /// closed.
+    close_idle: AtomicU64,
 }
 
 impl ClientConnection {
     fn owes_nothing(&self) -> bool {
-        self.replies.open_on(self.conn) == 0
+        self.replies.open_on(self.connection_id) == 0
     }
 
-    /// Takes a command and all that wait behind it.
+    /// Takes a command and all that are queued behind it.
     fn take_commands(&mut self, first: Command, control: &ReaderControl) {
         let mut next = Some(first);
         while let Some(command) = next {
             match command {
-                Command::Say(said) => self.outbox.push(*said),
-                Command::Retire { heard } => {
-                    // Counted from 1, as 0 is none.
-                    control.retires_at.store(heard + 1, Ordering::Release);
+                Command::Send(outgoing) => self.outbox.push(*outgoing),
+                Command::CloseIdle { received } => {
+                    // Counted from 1, as 0 means that there is no such command.
+                    control.close_idle.store(received + 1, Ordering::Release);
                     control.changed.notify_one();
                 }
                 Command::Drain => {
-                    control.drains.store(true, Ordering::Release);
+                    control.is_draining.store(true, Ordering::Release);
                     control.changed.notify_one();
                 }
             }
@@ -131,35 +126,35 @@
         }
     }
 
-    /// Writes all that waits; the end of the connection where that fails.
-    async fn write(&mut self) -> Result<(), End> {
+    /// Writes all waiting messages; an error is the end of the connection.
+    async fn write(&mut self) -> Result<(), ConnectionEnd> {
         match timeout(WRITE_TIMEOUT, self.outbox.write_all()).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) => Err(End::RESET),
-            Err(_) => Err(End::Theirs { is_reset: false, why: Departure::NotReading }),
+            Ok(Err(_)) => Err(ConnectionEnd::RESET),
+            Err(_) => Err(ConnectionEnd::ByClient { is_reset: false, departure: Departure::NotReading }),
         }
     }
 
-    /// Writes what the dispatcher says until it says no more.
-    async fn write_commands(&mut self, control: &ReaderControl) -> End {
+    /// Writes the dispatcher's messages until its end of the channel is dropped.
+    async fn write_commands(&mut self, control: &ReaderControl) -> ConnectionEnd {
         while let Some(command) = self.commands.recv().await {
             self.take_commands(command, control);
             if let Err(end) = self.write().await {
                 return end;
             }
         }
-        End::Ours
+        ConnectionEnd::ByController
     }
 
-    /// Says what is owed on a connection on which nothing more is read, until nothing is or its client is proven gone. Of
-    /// one that was closed by the other end it is not known whether by half: a message that means nothing is
-    /// answered with a reset where it was closed whole.
-    async fn drain(&mut self, why: InputEnd, control: &ReaderControl) -> End {
-        if why == InputEnd::HalfClosed {
-            self.outbox.half_closed();
-            if let Some(session) = self.replies.session_on(self.conn) {
-                let probe = Message { session, body: Body::Progress };
-                self.outbox.push(Outgoing { message: probe, stood: false, reply: None, steps: None });
+    /// Writes the answers that are owed on a connection on which nothing more is read, until none is owed or the client
+    /// has provably gone. If the client has closed the connection, it is unknown whether it closed only its own half. A
+    /// progress message is written for that: if both halves were closed, the client's host answers it with a reset.
+    async fn drain(&mut self, reason: InputEnd, control: &ReaderControl) -> ConnectionEnd {
+        if reason == InputEnd::HalfClosed {
+            self.outbox.set_half_closed();
+            if let Some(session) = self.replies.session_on(self.connection_id) {
+                let message = Message { session, body: Body::Progress };
+                self.outbox.push(Outgoing { message, ends_session: false, reply: None, steps: None });
             }
         }
         loop {
@@ -167,76 +162,83 @@
                 return end;
             }
             if self.outbox.is_reset() {
-                return End::RESET;
+                return ConnectionEnd::RESET;
             }
             if self.owes_nothing() && self.outbox.is_empty() {
-                return End::Ours;
+                return ConnectionEnd::ByController;
             }
-            match timeout(LOOK_WHILE_DRAINING, self.commands.recv()).await {
+            match timeout(DRAIN_CHECK_INTERVAL, self.commands.recv()).await {
                 Ok(Some(command)) => self.take_commands(command, control),
-                Ok(None) => return End::Ours,
+                Ok(None) => return ConnectionEnd::ByController,
                 Err(_) => {}
             }
         }
     }
 }
 
-/// Reads what a client says, and reports it, until nothing more is to be read.
+/// Reads a client's messages and reports them, until nothing more is to be read.
 async fn read_all(
     clock: Clock,
-    conn: u64,
+    connection_id: u64,
     replies: &Replies,
-    frames: &mut Reader,
+    reader: &mut MessageReader,
     control: &ReaderControl,
     reports: &mpsc::Sender<Report>,
-) -> End {
-    let mut due = Some(Instant::now() + WHOLE_WITHIN);
-    let mut said = 0;
+) -> ConnectionEnd {
+    let mut deadline = Some(Instant::now() + MESSAGE_TIMEOUT);
+    let mut received = 0;
     loop {
         let next = tokio::select! {
             biased;
-            next = frames.next(due) => next,
+            next = reader.next(deadline) => next,
             () = control.changed.notified() => {
-                if control.drains.load(Ordering::Acquire) {
-                    return End::Input(InputEnd::Unusable);
+                if control.is_draining.load(Ordering::Acquire) {
+                    return ConnectionEnd::Input(InputEnd::Unusable);
                 }
-                if control.retires_at.load(Ordering::Acquire) != said + 1 || replies.open_on(conn) > 0 {
+                let is_idle = control.close_idle.load(Ordering::Acquire) == received + 1;
+                if !is_idle || replies.open_on(connection_id) > 0 {
                     continue;
                 }
-                // What the socket holds by now is seen after one turn of the runtime.
+                // What the socket has received by now becomes readable after one turn of the runtime.
                 tokio::task::yield_now().await;
-                match frames.next(due).now_or_never() {
+                match reader.next(deadline).now_or_never() {
                     Some(next) => next,
-                    None if frames.is_unfinished() => continue,
-                    None => return End::Ours,
+                    None if reader.has_incomplete_message() => continue,
+                    None => return ConnectionEnd::ByController,
                 }
             }
         };
         match next {
             Ok(message) => {
-                due = None;
-                said += 1;
-                let heard = replies.take(conn, message, Point::at(clock.now()));
+                deadline = None;
+                received += 1;
+                let heard = replies.take(connection_id, message, Point::at(clock.now()));
                 if reports.send(Report::Received(Box::new(heard))).await.is_err() {
-                    return End::Ours;
+                    return ConnectionEnd::ByController;
                 }
             }
             Err(e) => {
-                tracing::debug!(target: "viewers", conn, error = %e, owed = replies.open_on(conn), "input over");
+                tracing::debug!(
+                    target: "viewers",
+                    conn = connection_id,
+                    error = %e,
+                    owed = replies.open_on(connection_id),
+                    "input ended"
+                );
                 return match e.kind() {
-                    io::ErrorKind::UnexpectedEof => End::Input(InputEnd::HalfClosed),
-                    _ if frames.is_over() => End::RESET,
-                    _ => End::Input(InputEnd::Unusable),
+                    io::ErrorKind::UnexpectedEof => ConnectionEnd::Input(InputEnd::HalfClosed),
+                    _ if reader.is_closed_by_peer() => ConnectionEnd::RESET,
+                    _ => ConnectionEnd::Input(InputEnd::Unusable),
                 };
             }
         }
     }
 }
 
-/// Runs one connection until either end is done with it; it closes when `commands` does.
+/// Runs one connection until either end closes it, or the sender of `commands` is dropped.
 pub async fn run(
     clock: Clock,
-    conn: u64,
+    connection_id: u64,
     socket: TcpStream,
     commands: mpsc::Receiver<Command>,
     reports: mpsc::Sender<Report>,
@@ -244,54 +246,65 @@
 ) {
     // Answers are small and urgent.
     let _ = socket.set_nodelay(true);
-    let (read, write) = socket.into_split();
-    let mut connection =
-        ClientConnection { conn, outbox: Outbox::new(clock, write), commands, replies: replies.clone() };
-    let mut frames = Reader::new(read, WHOLE_WITHIN);
+    let (read_half, write_half) = socket.into_split();
+    let outbox = Outbox::new(clock, write_half);
+    let mut connection = ClientConnection { connection_id, outbox, commands, replies: replies.clone() };
+    let mut reader = MessageReader::new(read_half, MESSAGE_TIMEOUT);
     let control = ReaderControl::default();
     let mut end = tokio::select! {
         end = connection.write_commands(&control) => end,
-        end = read_all(clock, conn, &replies, &mut frames, &control, &reports) => end,
+        end = read_all(clock, connection_id, &replies, &mut reader, &control, &reports) => end,
     };
-    if let End::Input(why) = end {
-        end = match (connection.owes_nothing(), why) {
+    if let ConnectionEnd::Input(reason) = end {
+        end = match (connection.owes_nothing(), reason) {
             (false, _) => {
-                let _ = reports.send(Report::InputOver { conn, why }).await;
-                connection.drain(why, &control).await
+                let _ = reports.send(Report::InputEnded { connection_id, reason }).await;
+                connection.drain(reason, &control).await
             }
-            (true, InputEnd::HalfClosed) => End::Theirs { is_reset: false, why: Departure::Closed },
-            (true, InputEnd::Unusable) => End::Ours,
+            (true, InputEnd::HalfClosed) => {
+                ConnectionEnd::ByClient { is_reset: false, departure: Departure::Closed }
+            }
+            (true, InputEnd::Unusable) => ConnectionEnd::ByController,
         };
     }
     let ClientConnection { mut outbox, mut commands, .. } = connection;
     commands.close();
     while let Ok(command) = commands.try_recv() {
-        if let Command::Say(said) = command {
-            outbox.push(*said);
+        if let Command::Send(outgoing) = command {
+            outbox.push(*outgoing);
         }
     }
-    if matches!(end, End::Ours) {
-        let _ = timeout(LINGER, outbox.write_all()).await;
-        let _ = timeout(LINGER, outbox.socket().shutdown()).await;
+    if matches!(end, ConnectionEnd::ByController) {
+        let _ = timeout(READ_AFTER_CLOSE, outbox.write_all()).await;
+        let _ = timeout(READ_AFTER_CLOSE, outbox.socket().shutdown()).await;
     }
-    let why = if let End::Theirs { why, .. } = end { why } else { Departure::Closed };
-    let _ = reports.send(Report::Gone { conn, why, unsaid: outbox.take_unsaid() }).await;
+    let departure =
+        if let ConnectionEnd::ByClient { departure, .. } = end { departure } else { Departure::Closed };
+    let unwritten = outbox.take_unwritten();
+    let _ = reports.send(Report::Closed { connection_id, departure, unwritten }).await;
     let is_reset = match end {
-        End::Theirs { is_reset, .. } => is_reset || is_reset_later(&outbox).await,
-        End::Ours | End::Input(_) => matches!(timeout(LINGER, frames.discard(usize::MAX)).await, Ok(Err(_))),
+        ConnectionEnd::ByClient { is_reset, .. } => is_reset || is_reset_later(&outbox).await,
+        ConnectionEnd::ByController | ConnectionEnd::Input(_) => {
+            matches!(timeout(READ_AFTER_CLOSE, reader.discard(usize::MAX)).await, Ok(Err(_)))
+        }
     };
     let unread = outbox.take_maybe_unread();
     if is_reset && !unread.is_empty() {
-        tracing::debug!(target: "viewers", conn, unread = unread.len(), "reset before all was read");
+        tracing::debug!(
+            target: "viewers",
+            conn = connection_id,
+            unread = unread.len(),
+            "connection reset with unread messages"
+        );
         let _ = reports.send(Report::Unread { unread }).await;
     }
 }
 
-/// Whether the other end, which closed the connection, resets it for what it will not read.
+/// Whether a client that closed the connection resets it for messages that it will not read.
 async fn is_reset_later(outbox: &Outbox) -> bool {
     if !outbox.has_maybe_unread() {
         return false;
     }
-    sleep(RESET_WITHIN).await;
+    sleep(RESET_TIMEOUT).await;
     outbox.is_reset()
 }
--- a/crates/lemontide-platform/tests/common/mod.rs
+++ b/crates/lemontide-platform/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use lemontide::interface::Load;
 use lemontide_front::core::{Connection, Queued};
 use lemontide_platform::codec::{cause, Body, Message, RequestDetails, SetUp};
-use lemontide_platform::config::{Entry, Hosts};
+use lemontide_platform::config::{ListEntry, ListUpdate};
 use lemontide_platform::dispatcher::{Dispatcher, Effect, Loss, Order};
 use lemontide_platform::permit::Permit;
 use lemontide_platform::replies::PendingReply;
@@ -35,10 +35,10 @@
     })
 }
 
-pub fn entry(at: usize, state: &str) -> Entry {
-    Entry {
+pub fn entry(at: usize, state: &str) -> ListEntry {
+    ListEntry {
         id: format!("s{at}"),
-        addr: format!("127.0.0.1:{}", 9000 + at),
+        address: format!("127.0.0.1:{}", 9000 + at),
         zone: "here".into(),
         kind: "std".into(),
         cell: at,
@@ -101,7 +101,7 @@
     pub fn of(settings: Json) -> World {
         let now = Point::at(1000.0);
         let sheet = lemontide_settings::parse_settings(&settings).expect("usable settings");
-        let terms = serve::terms(&sheet, &settings, 256).expect("usable settings");
+        let terms = serve::dispatcher_settings(&sheet, &settings, 256).expect("usable settings");
         let mut world = World {
             dispatcher: Dispatcher::start(now, 7, &sheet, terms),
             now,
@@ -123,19 +123,19 @@
             next: 100,
         };
         let servers = (0..STREAMERS).map(|at| entry(at, "in_service")).collect();
-        world.learn(&Hosts { full: true, servers });
+        world.learn(&ListUpdate { full: true, streamers: servers });
         world.dispatcher.viewer_up(now, VIEWERS);
         world.pass(20.0);
         world
     }
 
-    pub fn learn(&mut self, hosts: &Hosts) {
+    pub fn learn(&mut self, hosts: &ListUpdate) {
         self.dispatcher.learn(self.now, hosts);
         self.perform();
     }
 
-    pub fn news(&mut self, entry: Entry) {
-        self.learn(&Hosts { full: false, servers: vec![entry] });
+    pub fn news(&mut self, entry: ListEntry) {
+        self.learn(&ListUpdate { full: false, streamers: vec![entry] });
     }
 
     /// Sends a set-up on a connection; its number.
--- a/crates/lemontide-platform/tests/crossings.rs
+++ b/crates/lemontide-platform/tests/crossings.rs
@@ -5,7 +5,7 @@
 use common::{entry, wish, World, STREAMERS, VIEWERS};
 use lemontide_front::core::Connection;
 use lemontide_platform::codec::{cause, Body, Message, SessionReport, SetUp};
-use lemontide_platform::config::Hosts;
+use lemontide_platform::config::ListUpdate;
 use lemontide_platform::dispatcher::Loss;
 use lemontide_platform::replies::Departure;
 
@@ -24,7 +24,7 @@
 fn with_slow_connections(world: &mut World) {
     for at in 0..STREAMERS {
         for _ in 0..40 {
-            if world.address.values().any(|address| *address == entry(at, "").addr) {
+            if world.address.values().any(|address| *address == entry(at, "").address) {
                 break;
             }
             world.playing("free");
@@ -56,7 +56,7 @@
     with_slow_connections(&mut world);
     let session = world.ask("paid");
     let servers = (0..STREAMERS).map(|at| entry(at, "terminating")).collect();
-    world.learn(&Hosts { full: false, servers });
+    world.learn(&ListUpdate { full: false, streamers: servers });
     assert_eq!(world.answered(session), Some(cause::REJECTED), "it provably never ran");
     world.catch_up();
     assert!(order_of(&world, session).is_empty());
@@ -123,7 +123,7 @@
         world.late_close = true;
         let at: usize = world.address[&link][10..].parse::<usize>().expect("a port") - 9000;
         let mut moved = entry(at, "in_service");
-        moved.addr = "127.0.0.1:9999".into();
+        moved.address = "127.0.0.1:9999".into();
         world.news(moved);
         assert_eq!((world.hung.clone(), order_of(&world, session)), (vec![link], vec![true]));
         assert!(world.closing[0].1, "its streamer's close is awaited");
@@ -374,7 +374,7 @@
 fn with_a_second_attempt_at_the_same_streamer(lane: &str) -> (World, u64, u64) {
     let mut world = World::new();
     let others = (1..STREAMERS).map(|at| entry(at, "terminating")).collect();
-    world.learn(&Hosts { full: false, servers: others });
+    world.learn(&ListUpdate { full: false, streamers: others });
     let session = world.ask(lane);
     world.pass(0.5);
     assert_eq!(order_of(&world, session), [true, false, true], "the end of the first is read");
@@ -451,7 +451,7 @@
 fn a_release_on_a_connection_that_is_being_closed_is_heard() {
     let mut world = World::new();
     let others = (1..STREAMERS).map(|at| entry(at, "terminating")).collect();
-    world.learn(&Hosts { full: false, servers: others });
+    world.learn(&ListUpdate { full: false, streamers: others });
     let (session, link) = world.playing("free");
     let on = world.on(link);
     world.ask("free");
@@ -473,7 +473,7 @@
     for leaves in [true, false] {
         let mut world = World::new();
         let others = (1..STREAMERS).map(|at| entry(at, "terminating")).collect();
-        world.learn(&Hosts { full: false, servers: others });
+        world.learn(&ListUpdate { full: false, streamers: others });
         let (_, link) = world.playing("free");
         let session = world.ask("paid");
         if leaves {
--- a/crates/lemontide-platform/tests/dispatcher.rs
+++ b/crates/lemontide-platform/tests/dispatcher.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use common::{entry, settings, wish, World, STREAMERS, VIEWERS};
 use lemontide_platform::codec::{cause, Body, SetUp};
-use lemontide_platform::config::Hosts;
+use lemontide_platform::config::ListUpdate;
 use lemontide_platform::dispatcher::Loss;
 use lemontide_platform::replies::Departure;
 use proptest::prelude::*;
@@ -272,7 +272,7 @@
     let at: usize = world.address[&link][10..].parse::<usize>().expect("a port") - 9000;
     let mut new = entry(at, "in_service");
     new.id = "new".into();
-    world.learn(&Hosts { full: false, servers: vec![entry(at, "terminated"), new] });
+    world.learn(&ListUpdate { full: false, streamers: vec![entry(at, "terminated"), new] });
     world.loses(link, Loss::Broke);
     assert_eq!(world.heard(session).len(), 2, "the new one does not know it");
     assert_eq!(world.dispatcher.streamers(), STREAMERS);
@@ -397,8 +397,8 @@
             };
             let round = life / 100;
             let (old, mut new) = (named("terminated", round), named("in_service", round + STREAMERS as u64));
-            new.addr = format!("127.0.0.1:{}", 20_000 + life);
-            world.learn(&Hosts { full: false, servers: vec![old, new] });
+            new.address = format!("127.0.0.1:{}", 20_000 + life);
+            world.learn(&ListUpdate { full: false, streamers: vec![old, new] });
             world.pass(0.1);
         }
         world.dispatcher.viewer_gone(world.now, conn, Departure::Closed);
@@ -491,7 +491,7 @@
                 }
                 Step::State { at, state } => world.news(entry(at, state)),
                 Step::Away { at, away } => {
-                    let address = entry(at, "").addr;
+                    let address = entry(at, "").address;
                     if away {
                         world.away.insert(address, Loss::Dark);
                     } else {
--- a/crates/lemontide-platform/tests/settings.rs
+++ b/crates/lemontide-platform/tests/settings.rs
@@ -6,7 +6,7 @@
 use common::{entry, settings, wish, STREAMERS};
 use lemontide::clock::{Point, Span};
 use lemontide_platform::codec::{Body, Message};
-use lemontide_platform::config::Hosts;
+use lemontide_platform::config::ListUpdate;
 use lemontide_platform::dispatcher::{Dispatcher, Effect};
 use lemontide_platform::serve;
 use serde_json::{json, Value as Json};
@@ -26,10 +26,10 @@
 fn serve(settings: &Json) -> Result<(), String> {
     let mut now = Point::at(1000.0);
     let sheet = lemontide_settings::parse_settings(settings)?;
-    let terms = serve::terms(&sheet, settings, 256)?;
+    let terms = serve::dispatcher_settings(&sheet, settings, 256)?;
     let mut dispatcher = Dispatcher::start(now, 7, &sheet, terms);
     let servers = (0..STREAMERS).map(|at| entry(at, "in_service")).collect();
-    dispatcher.learn(now, &Hosts { full: true, servers });
+    dispatcher.learn(now, &ListUpdate { full: true, streamers: servers });
     dispatcher.viewer_up(now, 1);
     for session in 1..100 {
         now = now + Span::of_millis(50);
--- a/crates/lemontide-platform/tests/told.rs
+++ b/crates/lemontide-platform/tests/told.rs
@@ -2,33 +2,37 @@
 
 use lemontide::interface::StreamerState;
 use lemontide_platform::config::Config;
-use lemontide_platform::journal::{read, Heard};
+use lemontide_platform::journal::{parse_line, ParsedLine};
 
 const EVENT: &str = r#"{"pos":4,"hosts":{"version":7,"full":false,"servers":[{"id":"s-1","addr":"127.0.0.1:9","zone":"a",
     "kind":"std","cell":2,"state":"terminating","weight":4,"started_ms":1500}]}}"#;
 
 #[test]
 fn an_event_is_taken_once_and_a_gap_is_asked_about() {
-    let Heard::Next(event) = read(EVENT, 3, false) else { panic!("it is the next") };
-    let entry = &event.hosts.servers[0];
-    assert_eq!((entry.stage(), entry.cell), (StreamerState::Draining, 2));
-    assert_eq!(entry.started(), Some(lemontide::clock::Point::at(1.5)));
-    assert_eq!(read(EVENT, 4, false), Heard::Nothing, "written twice");
+    let ParsedLine::Next(event) = parse_line(EVENT, 3, false) else { panic!("it is the next") };
+    let entry = &event.update.streamers[0];
+    assert_eq!((entry.streamer_state(), entry.cell), (StreamerState::Draining, 2));
+    assert_eq!(entry.started_at(), Some(lemontide::clock::Point::at(1.5)));
+    assert_eq!(parse_line(EVENT, 4, false), ParsedLine::Unchanged, "written twice");
     for first in [false, true] {
-        assert_eq!(read(EVENT, 2, first), Heard::Gap(4), "asked about once more, whoever leaves it out");
+        assert_eq!(
+            parse_line(EVENT, 2, first),
+            ParsedLine::Gap(4),
+            "asked about once more, whoever leaves it out"
+        );
     }
     let whole = EVENT.replace("\"full\":false", "\"full\":true");
-    assert!(matches!(read(&whole, 2, true), Heard::Next(_)), "a whole list leaves nothing out");
+    assert!(matches!(parse_line(&whole, 2, true), ParsedLine::Next(_)), "a whole list leaves nothing out");
 }
 
 #[test]
 fn the_number_of_the_last_event_is_no_news_unless_one_was_missed() {
     for line in [r#"{"pos":4}"#, "4"] {
-        assert_eq!(read(line, 4, false), Heard::Nothing, "{line}");
-        assert_eq!(read(line, 3, false), Heard::Missed, "{line}");
+        assert_eq!(parse_line(line, 4, false), ParsedLine::Unchanged, "{line}");
+        assert_eq!(parse_line(line, 3, false), ParsedLine::Missed, "{line}");
     }
     for line in ["", "{", r#"{"pos":4,"hosts":7}"#, "[]", "-1"] {
-        assert_eq!(read(line, 3, false), Heard::Missed, "{line}");
+        assert_eq!(parse_line(line, 3, false), ParsedLine::Missed, "{line}");
     }
 }
 
@@ -51,5 +55,5 @@
     )
     .expect("written");
     let config = Config::read(&file).expect("it is valid");
-    assert_eq!((config.seed(), config.limits.sockets, config.known.entries.len()), (255, 256, 1));
+    assert_eq!((config.seed(), config.limits.sockets, config.known.events.len()), (255, 256, 1));
 }
--- a/crates/lemontide-platform/tests/unread.rs
+++ b/crates/lemontide-platform/tests/unread.rs
@@ -21,7 +21,7 @@
 fn release(session: u64) -> Outgoing {
     Outgoing {
         message: Message { session, body: Body::release(cause::NORMAL) },
-        stood: true,
+        ends_session: true,
         reply: None,
         steps: None,
     }
@@ -32,8 +32,10 @@
     let mut back = Vec::new();
     while let Some(report) = reports.recv().await {
         match report {
-            Report::Received(_) | Report::InputOver { .. } => {}
-            Report::Gone { unsaid, .. } => back.extend(unsaid.iter().map(|said| said.message.session)),
+            Report::Received(_) | Report::InputEnded { .. } => {}
+            Report::Closed { unwritten, .. } => {
+                back.extend(unwritten.iter().map(|said| said.message.session))
+            }
             Report::Unread { unread } => back.extend(unread.iter().map(|said| said.message.session)),
         }
     }
@@ -47,7 +49,7 @@
         let (commands, said) = mpsc::channel(4);
         let (reports, reported) = mpsc::channel(4);
         drop(theirs);
-        commands.send(Command::Say(Box::new(release(session)))).await.expect("it takes it");
+        commands.send(Command::Send(Box::new(release(session)))).await.expect("it takes it");
         tokio::spawn(run(Clock::start(), 1, ours, said, reports, Replies::default()));
         assert_eq!(handed_back(reported).await, [session]);
     }
@@ -61,7 +63,7 @@
         let (commands, said) = mpsc::channel(4);
         let (reports, reported) = mpsc::channel(4);
         tokio::spawn(run(Clock::start(), 1, ours, said, reports, Replies::default()));
-        commands.send(Command::Say(Box::new(release(session)))).await.expect("it takes it");
+        commands.send(Command::Send(Box::new(release(session)))).await.expect("it takes it");
         let mut heard = [0; 64];
         let read = tokio::time::timeout(Duration::from_secs(1), theirs.read(&mut heard)).await;
         assert!(read.expect("in time").expect("read") > 0);
--- a/crates/lemontide-standin/tests/crossings.rs
+++ b/crates/lemontide-standin/tests/crossings.rs
@@ -4,7 +4,7 @@
 use lemontide::clock::{Point, Span};
 use lemontide_front::core::{Connection, Queued};
 use lemontide_platform::codec::{Body, Message, SetUp};
-use lemontide_platform::config::Hosts;
+use lemontide_platform::config::ListUpdate;
 use lemontide_platform::dispatcher::Order;
 use lemontide_platform::journal;
 use lemontide_platform::permit::Permit;
@@ -34,10 +34,10 @@
     let (orders, ordered) = mpsc::channel(4);
     let (close, closed) = oneshot::channel();
     let (report, mut reports) = mpsc::channel(256);
-    let to = Dial { on: ON, address, timeout: SOON };
+    let to = Dial { connection: ON, address, timeout: SOON };
     tokio::spawn(run(Clock::start(), to, ordered, closed, report));
     let streamer = timeout(SOON, listener.accept()).await.expect("it dials").expect("accepted").0;
-    assert!(matches!(reports.recv().await, Some(Report::Linked { on: ON })));
+    assert!(matches!(reports.recv().await, Some(Report::Connected { connection: ON })));
     Line { orders, close: Some(close), reports, streamer }
 }
 
@@ -103,7 +103,7 @@
     drop(line.close);
     let mut wrote = 0;
     while let Some(report) = timeout(SOON, line.reports.recv()).await.expect("its task ends") {
-        if let Report::Wrote { unsent, .. } = report {
+        if let Report::Written { unsent, .. } = report {
             assert_eq!(unsent.len(), all.len() - left.len());
             wrote += 1;
         }
@@ -139,7 +139,7 @@
         let mut line = line().await;
         let permit = Permit::new();
         line.orders.send(vec![set_up(1, &permit)]).await.expect("it takes orders");
-        assert!(matches!(line.reports.recv().await, Some(Report::Wrote { .. })));
+        assert!(matches!(line.reports.recv().await, Some(Report::Written { .. })));
         let close = line.close.take().expect("it is up");
         close.send(Close::AwaitStreamer).expect("it is up");
         if by_streamer {
@@ -161,7 +161,7 @@
     let other = Permit::new();
     line.orders.send(vec![late, set_up(2, &other)]).await.expect("it takes orders");
     let told = timeout(SOON, line.reports.recv()).await.expect("told");
-    assert!(matches!(told, Some(Report::Wrote { unsent, .. }) if unsent == [(1, 0)]));
+    assert!(matches!(told, Some(Report::Written { unsent, .. }) if unsent == [(1, 0)]));
     assert!(!permit.begin() && other.has_begun(), "nobody may begin it any more");
     drop(line.orders);
     assert_eq!(read_all(&mut line.streamer).await, [2]);
@@ -182,7 +182,7 @@
     let (_orders, ordered) = mpsc::channel(4);
     let (close, closed) = oneshot::channel();
     let (report, mut reports) = mpsc::channel(4);
-    let to = Dial { on: ON, address: at.to_string(), timeout: SOON * 2 };
+    let to = Dial { connection: ON, address: at.to_string(), timeout: SOON * 2 };
     tokio::spawn(run(Clock::start(), to, ordered, closed, report));
     tokio::task::yield_now().await;
     drop(close);
@@ -195,8 +195,8 @@
     format!("{}\n", json!({"pos": pos, "hosts": {"full": false, "servers": [server]}}))
 }
 
-fn name(hosts: &Hosts) -> &str {
-    &hosts.servers[0].id
+fn name(hosts: &ListUpdate) -> &str {
+    &hosts.streamers[0].id
 }
 
 /// The service moves while an event waits for room: it was counted as taken, dropped, and never asked for again.
