--- a/crates/lemontide-platform/tests/common/mod.rs
+++ b/crates/lemontide-platform/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A dispatcher with scripted links and viewers, in virtual time: what it writes is kept, what it says is counted.
-#![allow(dead_code)] // each test program uses its own part
+//! A dispatcher with scripted streamers and viewers, in virtual time. It keeps all messages that the dispatcher sends.
+#![allow(dead_code)] // each test program uses only a part of it
 
 use bytes::Bytes;
 use lemontide::clock::{Point, Span};
@@ -17,12 +17,12 @@
 pub const STREAMERS: usize = 4;
 pub const VIEWERS: u64 = 1;
 
-/// Settings as the platform hands them out; four streamers that hold every title, three shots.
+/// Settings as the platform passes them: four streamers that hold every title, and three attempts.
 pub fn settings() -> Json {
-    let lane = |name: &str, effect: &str| json!({"name": name, "worth": 1, "aim": 1, "hard_limit": 3, "effect": effect});
+    let class = |name: &str, effect: &str| json!({"name": name, "worth": 1, "aim": 1, "hard_limit": 3, "effect": effect});
     json!({
         "me": 0, "peers_total": 1, "zone": "here", "areas": ["here"], "kinds": ["std"],
-        "classes": [lane("free", "read_like"), lane("paid", "non_idempotent")],
+        "classes": [class("free", "read_like"), class("paid", "non_idempotent")],
         "tenants": [{"name": "acme", "quota_per_s": 1000, "share": 1}],
         "family_info": {"kind_slots": [3000], "positions": STREAMERS, "lowest_rung": [0, 0], "top_by_class": [2, 2],
             "class_scale": [1, 1], "class_seats": [0, 0], "live": [false, false], "join": 1, "rung_kb": [200, 400, 800], "worth_by_rung": [0.3, 0.6, 1.0],
@@ -35,7 +35,8 @@
     })
 }
 
-pub fn entry(at: usize, state: &str) -> ListEntry {
+/// An entry of the list of streamers.
+pub fn list_entry(at: usize, state: &str) -> ListEntry {
     ListEntry {
         id: format!("s{at}"),
         address: format!("127.0.0.1:{}", 9000 + at),
@@ -48,209 +49,229 @@
     }
 }
 
-pub fn wish(lane: &str) -> SetUp {
-    let figures =
+/// A viewer's set-up of this class.
+pub fn set_up_of(class: &str) -> SetUp {
+    let details =
         RequestDetails { first_cell: 0, replicas: STREAMERS, max_rung: 2, is_retry: false, playing_at: None };
     SetUp {
-        class: lane.into(),
+        class: class.into(),
         tenant: "acme".into(),
         title: "t".into(),
         wait_ms: 3000,
-        details: Some(figures),
+        details: Some(details),
         description: Bytes::from_static(b"asked"),
         ..SetUp::default()
     }
 }
 
-pub struct World {
+/// A dispatcher and everything around it. Viewers and streamers are played by the test.
+pub struct Harness {
     pub dispatcher: Dispatcher,
     pub now: Point,
-    /// All that was written to streamers, with the link, in order.
+    /// All messages that were written to streamers, with the link, in order.
     pub written: Vec<(u64, Message)>,
-    pub said: Vec<(u64, Message)>,
-    pub parted: Vec<u64>,
-    /// Connections that were asked to close if nothing more came on them.
-    pub retired: Vec<(u64, u64)>,
-    pub dials: BTreeMap<u64, u64>,
-    pub address: HashMap<u64, String>,
-    /// Links that were told to hang up.
-    pub hung: Vec<u64>,
-    /// How dials of these addresses end; the rest come through.
-    pub away: HashMap<String, Loss>,
-    /// Connections that take nothing for now and do not close, and the batches that wait for them.
-    pub slow: BTreeSet<u64>,
-    pub batches: Vec<(Connection, Vec<Queued<Order>>)>,
-    /// Links whose streamer reads nothing for now, and the tests that it has not read.
-    pub unread: BTreeSet<u64>,
+    /// All messages that were sent to viewers, with the connection, in order.
+    pub sent_to_viewers: Vec<(u64, Message)>,
+    /// Viewers' connections that were drained.
+    pub drained: Vec<u64>,
+    /// Connections to be closed if no more than this number of messages were received on them.
+    pub close_if_idle: Vec<(u64, u64)>,
+    /// Number of the last dial of each link.
+    pub last_dials: BTreeMap<u64, u64>,
+    /// Address of each link's streamer.
+    pub addresses: HashMap<u64, String>,
+    /// Links that the dispatcher closed.
+    pub closed_links: Vec<u64>,
+    /// How dials to these addresses fail; all others succeed.
+    pub unreachable: HashMap<String, Loss>,
+    /// Links that take no bytes for now and do not close.
+    pub stalled: BTreeSet<u64>,
+    /// The batches that wait for stalled links.
+    pub waiting_batches: Vec<(Connection, Vec<Queued<Order>>)>,
+    /// Links whose streamer reads nothing for now.
+    pub unread_links: BTreeSet<u64>,
+    /// The tests that such streamers have not read.
     pub unread_tests: Vec<(Connection, u64)>,
-    /// Connections close only with `close_all`, and those that were told to, with whether the streamer's close of
-    /// them is awaited.
-    pub late_close: bool,
-    pub closing: Vec<(Connection, bool)>,
-    /// Dials from now on neither come through nor end.
-    pub stuck: bool,
-    next: u64,
+    /// Connections are closed only by `complete_closes`.
+    pub delays_closes: bool,
+    /// Connections that `complete_closes` will close, with whether the streamer's close is awaited.
+    pub pending_closes: Vec<(Connection, bool)>,
+    /// Dials from now on neither succeed nor fail.
+    pub dials_stall: bool,
+    last_session: u64,
 }
 
-impl World {
-    /// Young controllers hold back, so the world begins a while after the start.
-    pub fn new() -> World {
-        World::of(settings())
+impl Harness {
+    /// A harness with the default settings.
+    pub fn new() -> Harness {
+        Harness::with_settings(settings())
     }
 
-    pub fn of(settings: Json) -> World {
+    /// A harness with these settings. It begins a while after the controller's start, as a controller that was just
+    /// started sends little.
+    pub fn with_settings(settings: Json) -> Harness {
         let now = Point::at(1000.0);
-        let sheet = lemontide_settings::parse_settings(&settings).expect("usable settings");
-        let terms = serve::dispatcher_settings(&sheet, &settings, 256).expect("usable settings");
-        let mut world = World {
-            dispatcher: Dispatcher::start(now, 7, &sheet, terms),
+        let controller_settings = lemontide_settings::parse_settings(&settings).expect("valid settings");
+        let dispatcher_settings =
+            serve::dispatcher_settings(&controller_settings, &settings, 256).expect("valid settings");
+        let mut harness = Harness {
+            dispatcher: Dispatcher::start(now, 7, &controller_settings, dispatcher_settings),
             now,
             written: Vec::new(),
-            said: Vec::new(),
-            parted: Vec::new(),
-            retired: Vec::new(),
-            dials: BTreeMap::new(),
-            address: HashMap::new(),
-            hung: Vec::new(),
-            away: HashMap::new(),
-            slow: BTreeSet::new(),
-            batches: Vec::new(),
-            unread: BTreeSet::new(),
+            sent_to_viewers: Vec::new(),
+            drained: Vec::new(),
+            close_if_idle: Vec::new(),
+            last_dials: BTreeMap::new(),
+            addresses: HashMap::new(),
+            closed_links: Vec::new(),
+            unreachable: HashMap::new(),
+            stalled: BTreeSet::new(),
+            waiting_batches: Vec::new(),
+            unread_links: BTreeSet::new(),
             unread_tests: Vec::new(),
-            late_close: false,
-            closing: Vec::new(),
-            stuck: false,
-            next: 100,
+            delays_closes: false,
+            pending_closes: Vec::new(),
+            dials_stall: false,
+            last_session: 100,
         };
-        let servers = (0..STREAMERS).map(|at| entry(at, "in_service")).collect();
-        world.learn(&ListUpdate { full: true, streamers: servers });
-        world.dispatcher.viewer_up(now, VIEWERS);
-        world.pass(20.0);
-        world
+        let streamers = (0..STREAMERS).map(|at| list_entry(at, "in_service")).collect();
+        harness.apply_list_update(&ListUpdate { full: true, streamers });
+        harness.dispatcher.viewer_up(now, VIEWERS);
+        harness.advance(20.0);
+        harness
     }
 
-    pub fn learn(&mut self, hosts: &ListUpdate) {
-        self.dispatcher.learn(self.now, hosts);
-        self.perform();
+    pub fn apply_list_update(&mut self, update: &ListUpdate) {
+        self.dispatcher.learn(self.now, update);
+        self.perform_effects();
     }
 
-    pub fn news(&mut self, entry: ListEntry) {
-        self.learn(&ListUpdate { full: false, streamers: vec![entry] });
+    pub fn update_entry(&mut self, entry: ListEntry) {
+        self.apply_list_update(&ListUpdate { full: false, streamers: vec![entry] });
     }
 
-    /// Sends a set-up on a connection; its number.
-    pub fn ask_on(&mut self, conn: u64, set_up: SetUp) -> u64 {
-        self.next += 1;
-        self.say(conn, self.next, Body::SetUp(set_up));
-        self.next
+    /// Sends a set-up on a viewers' connection; returns its session number.
+    pub fn request_on(&mut self, conn: u64, set_up: SetUp) -> u64 {
+        self.last_session += 1;
+        self.viewer_sends(conn, self.last_session, Body::SetUp(set_up));
+        self.last_session
     }
 
-    pub fn ask(&mut self, lane: &str) -> u64 {
-        self.ask_on(VIEWERS, wish(lane))
+    /// Sends a set-up of this class on the default viewers' connection.
+    pub fn request(&mut self, class: &str) -> u64 {
+        self.request_on(VIEWERS, set_up_of(class))
     }
 
-    pub fn say(&mut self, conn: u64, session: u64, body: Body) {
-        self.hears(conn, Message { session, body }, self.now);
+    /// A viewer sends a message, and the dispatcher decides.
+    pub fn viewer_sends(&mut self, conn: u64, session: u64, body: Body) {
+        self.receive(conn, Message { session, body }, self.now);
         while self.dispatcher.decide(self.now) {}
-        self.perform();
+        self.perform_effects();
     }
 
-    /// The dispatcher hears what was read on a connection.
-    pub fn hears(&mut self, conn: u64, message: Message, read: Point) {
+    /// The dispatcher receives a message that was read on a viewers' connection, and decides nothing yet.
+    pub fn receive(&mut self, conn: u64, message: Message, read: Point) {
         let heard = self.dispatcher.replies().take(conn, message, read);
         self.dispatcher.viewer_said(self.now, heard);
     }
 
-    /// A subscription that plays, and the link that it was set up on.
-    pub fn playing(&mut self, lane: &str) -> (u64, u64) {
-        let session = self.ask(lane);
-        let link = self.shot(session).expect("it was sent").0;
-        self.answer(session);
+    /// A new session that plays, and the link that it was set up on.
+    pub fn start_session(&mut self, class: &str) -> (u64, u64) {
+        let session = self.request(class);
+        let link = self.last_attempt(session).expect("it was sent").0;
+        self.streamer_answers(session);
         (session, link)
     }
 
-    /// The last set-up of this session and the link it went over.
-    pub fn shot(&self, session: u64) -> Option<(u64, SetUp)> {
+    /// The last set-up of this session and the link that it was written to.
+    pub fn last_attempt(&self, session: u64) -> Option<(u64, SetUp)> {
         self.written.iter().rev().find_map(|(link, message)| match &message.body {
             Body::SetUp(set_up) if message.session == session => Some((*link, set_up.clone())),
             _ => None,
         })
     }
 
-    pub fn shots(&self, session: u64) -> usize {
-        let of = |(_, m): &&(u64, Message)| m.session == session && matches!(m.body, Body::SetUp(_));
-        self.written.iter().filter(of).count()
+    pub fn attempt_count(&self, session: u64) -> usize {
+        let is_attempt = |(_, message): &&(u64, Message)| {
+            message.session == session && matches!(message.body, Body::SetUp(_))
+        };
+        self.written.iter().filter(is_attempt).count()
     }
 
-    /// Releases written to streamers for this session.
-    pub fn released(&self, session: u64) -> usize {
-        let of = |(_, m): &&(u64, Message)| m.session == session && matches!(m.body, Body::Release { .. });
-        self.written.iter().filter(of).count()
+    /// How many releases were written to streamers for this session.
+    pub fn release_count(&self, session: u64) -> usize {
+        let is_release = |(_, message): &&(u64, Message)| {
+            message.session == session && matches!(message.body, Body::Release { .. })
+        };
+        self.written.iter().filter(is_release).count()
     }
 
-    /// The streamer of the last shot says something.
-    pub fn tell(&mut self, session: u64, body: Body) {
-        let (link, _) = self.shot(session).expect("it was sent");
-        self.tell_on(link, session, body);
+    /// The streamer of the session's last attempt sends a message.
+    pub fn streamer_sends(&mut self, session: u64, body: Body) {
+        let (link, _) = self.last_attempt(session).expect("it was sent");
+        self.streamer_sends_on(link, session, body);
     }
 
-    pub fn tell_on(&mut self, link: u64, session: u64, body: Body) {
-        self.dispatcher.told(self.now, self.on(link), Message { session, body });
-        self.perform();
+    /// A streamer sends a message on a link.
+    pub fn streamer_sends_on(&mut self, link: u64, session: u64, body: Body) {
+        self.dispatcher.told(self.now, self.current_connection(link), Message { session, body });
+        self.perform_effects();
     }
 
-    pub fn answer(&mut self, session: u64) {
+    /// The streamer of the session's last attempt answers it.
+    pub fn streamer_answers(&mut self, session: u64) {
         let description = Bytes::from_static(b"answered");
-        self.tell(session, Body::Answer { description, load: Load::default() });
+        self.streamer_sends(session, Body::Answer { description, load: Load::default() });
     }
 
-    pub fn ends(&mut self, session: u64, why: u8) {
-        self.tell(session, Body::release(why));
+    /// The streamer of the session's last attempt releases it.
+    pub fn streamer_releases(&mut self, session: u64, cause: u8) {
+        self.streamer_sends(session, Body::release(cause));
     }
 
     /// The connection of the link's last dial.
-    pub fn on(&self, link: u64) -> Connection {
-        Connection { link, dial: self.dials.get(&link).copied().unwrap_or(0) }
+    pub fn current_connection(&self, link: u64) -> Connection {
+        Connection { link, dial: self.last_dials.get(&link).copied().unwrap_or(0) }
     }
 
-    /// The streamer closes a connection, or a dial ends.
-    pub fn loses(&mut self, link: u64, loss: Loss) {
-        let on = self.on(link);
-        self.dispatcher.lost(self.now, on, loss);
-        self.dispatcher.closed(self.now, on, loss == Loss::Broke);
-        self.perform();
+    /// The streamer closes a connection, or a dial fails.
+    pub fn lose_connection(&mut self, link: u64, loss: Loss) {
+        let connection = self.current_connection(link);
+        self.dispatcher.lost(self.now, connection, loss);
+        self.dispatcher.closed(self.now, connection, loss == Loss::Broke);
+        self.perform_effects();
     }
 
-    /// A link's streamer reads what lies unread, and passes the tests in it.
-    pub fn reads(&mut self, link: u64) {
-        self.unread.remove(&link);
+    /// The streamer of a link reads what was unread, and passes the tests in it.
+    pub fn streamer_reads(&mut self, link: u64) {
+        self.unread_links.remove(&link);
         let (read, unread) =
-            std::mem::take(&mut self.unread_tests).into_iter().partition(|t| t.0.link == link);
+            std::mem::take(&mut self.unread_tests).into_iter().partition(|test| test.0.link == link);
         self.unread_tests = unread;
-        for (on, test) in read {
-            self.passes(on, test);
+        for (connection, test) in read {
+            self.pass_test(connection, test);
         }
-        self.perform();
+        self.perform_effects();
     }
 
-    fn passes(&mut self, on: Connection, test: u64) {
-        let passed = Message { session: test, body: Body::TestResult { passed: true } };
-        self.dispatcher.told(self.now, on, passed);
+    fn pass_test(&mut self, connection: Connection, test: u64) {
+        let result = Message { session: test, body: Body::TestResult { passed: true } };
+        self.dispatcher.told(self.now, connection, result);
     }
 
-    /// Whether the streamer at the other end of a link reads what comes.
+    /// Whether the streamer of a link reads what is written to it.
     fn is_read(&self, link: u64) -> bool {
-        !self.unread.contains(&link) && !self.away.contains_key(&self.address[&link])
+        !self.unread_links.contains(&link) && !self.unreachable.contains_key(&self.addresses[&link])
     }
 
-    /// All that was said to viewers under this number.
-    pub fn heard(&self, session: u64) -> Vec<&Body> {
-        self.said.iter().filter(|(_, m)| m.session == session).map(|(_, m)| &m.body).collect()
+    /// All messages to viewers about this session.
+    pub fn messages_to_viewer(&self, session: u64) -> Vec<&Body> {
+        self.sent_to_viewers.iter().filter(|(_, m)| m.session == session).map(|(_, m)| &m.body).collect()
     }
 
-    /// The one answer so far, by its cause; 0 is that it plays.
-    pub fn answered(&self, session: u64) -> Option<u8> {
-        match self.heard(session)[..] {
+    /// The cause of the session's only answer so far; 0 if it plays.
+    pub fn final_answer(&self, session: u64) -> Option<u8> {
+        match self.messages_to_viewer(session)[..] {
             [] => None,
             [Body::Answer { description, .. }] => {
                 assert_eq!(&description[..], b"answered", "passed on unchanged");
@@ -261,40 +282,42 @@
         }
     }
 
-    pub fn pass(&mut self, seconds: f64) {
+    /// Lets this time pass.
+    pub fn advance(&mut self, seconds: f64) {
         let until = self.now + Span::of(seconds);
         while self.now < until {
             self.now = self.now + Span::of_millis(10);
-            // Streamers say something now and then, so that links stay up.
-            for (link, dial) in self.dials.clone() {
+            // Streamers send something in each step, so that links stay up.
+            for (link, dial) in self.last_dials.clone() {
                 if self.is_read(link) {
-                    let word = Message { session: 0, body: Body::Progress };
-                    self.dispatcher.told(self.now, Connection { link, dial }, word);
+                    let progress = Message { session: 0, body: Body::Progress };
+                    self.dispatcher.told(self.now, Connection { link, dial }, progress);
                 }
             }
             if self.now >= self.dispatcher.next() {
                 self.dispatcher.tick(self.now);
             }
-            self.perform();
+            self.perform_effects();
         }
     }
 
-    pub fn perform(&mut self) {
+    /// Carries out the dispatcher's effects, until there are none.
+    pub fn perform_effects(&mut self) {
         while !self.dispatcher.effects.is_empty() {
             for effect in std::mem::take(&mut self.dispatcher.effects) {
                 match effect {
                     Effect::Say { conn, message, reply, .. } => {
                         reply.into_iter().for_each(PendingReply::answered);
-                        self.said.push((conn, message));
+                        self.sent_to_viewers.push((conn, message));
                     }
-                    Effect::Drain { conn } => self.parted.push(conn),
-                    Effect::Retire { conn, heard } => self.retired.push((conn, heard)),
+                    Effect::Drain { conn } => self.drained.push(conn),
+                    Effect::Retire { conn, heard } => self.close_if_idle.push((conn, heard)),
                     Effect::Dial { on, address } => {
-                        self.dials.insert(on.link, on.dial);
-                        let away = self.away.get(&address).copied();
-                        self.address.insert(on.link, address);
-                        match away {
-                            _ if self.stuck => {}
+                        self.last_dials.insert(on.link, on.dial);
+                        let loss = self.unreachable.get(&address).copied();
+                        self.addresses.insert(on.link, address);
+                        match loss {
+                            _ if self.dials_stall => {}
                             Some(loss) => {
                                 self.dispatcher.lost(self.now, on, loss);
                                 self.dispatcher.closed(self.now, on, false);
@@ -303,18 +326,22 @@
                         }
                     }
                     Effect::Write { on, orders } => {
-                        assert_eq!(self.dials.get(&on.link), Some(&on.dial), "written on what is up");
-                        if self.slow.contains(&on.link) {
-                            self.batches.push((on, orders));
+                        assert_eq!(
+                            self.last_dials.get(&on.link),
+                            Some(&on.dial),
+                            "written to a connection that is up"
+                        );
+                        if self.stalled.contains(&on.link) {
+                            self.waiting_batches.push((on, orders));
                         } else {
-                            self.write(on, orders);
+                            self.write_batch(on, orders);
                         }
                     }
                     Effect::Hang { on, awaits_close } => {
-                        self.hung.push(on.link);
-                        self.batches.retain(|batch| batch.0 != on);
-                        if self.late_close {
-                            self.closing.push((on, awaits_close));
+                        self.closed_links.push(on.link);
+                        self.waiting_batches.retain(|batch| batch.0 != on);
+                        if self.delays_closes {
+                            self.pending_closes.push((on, awaits_close));
                         } else {
                             self.dispatcher.closed(self.now, on, awaits_close && self.is_read(on.link));
                         }
@@ -324,41 +351,42 @@
         }
     }
 
-    /// What a connection's task does with a batch, and the streamer with what it reads of it.
-    pub fn write(&mut self, on: Connection, orders: Vec<Queued<Order>>) {
-        let may = |queued: &Queued<Order>| queued.order.permit.as_ref().is_none_or(Permit::begin);
+    /// Writes a batch as the task of a connection does, and passes the tests in it if the streamer reads them.
+    pub fn write_batch(&mut self, connection: Connection, orders: Vec<Queued<Order>>) {
+        let can_begin = |queued: &Queued<Order>| queued.order.permit.as_ref().is_none_or(Permit::begin);
         let written: Vec<Message> =
-            orders.into_iter().filter(may).map(|queued| queued.order.message).collect();
+            orders.into_iter().filter(can_begin).map(|queued| queued.order.message).collect();
         let tests: Vec<u64> = written.iter().filter(|m| m.body == Body::Test).map(|m| m.session).collect();
-        self.written.extend(written.into_iter().map(|message| (on.link, message)));
-        self.dispatcher.wrote(self.now, on, Vec::new());
+        self.written.extend(written.into_iter().map(|message| (connection.link, message)));
+        self.dispatcher.wrote(self.now, connection, Vec::new());
         for test in tests {
-            if self.is_read(on.link) {
-                self.passes(on, test);
+            if self.is_read(connection.link) {
+                self.pass_test(connection, test);
             } else {
-                self.unread_tests.push((on, test));
+                self.unread_tests.push((connection, test));
             }
         }
     }
 
-    /// The connections that were told to close are closed, by their streamers as well where that is awaited.
-    pub fn close_all(&mut self, by_streamer: bool) {
-        for (on, awaits_close) in std::mem::take(&mut self.closing) {
-            self.dispatcher.closed(self.now, on, awaits_close && by_streamer);
+    /// Closes the pending connections; where it is awaited, the streamer closes them as well if `by_streamer` is set.
+    pub fn complete_closes(&mut self, by_streamer: bool) {
+        for (connection, awaits_close) in std::mem::take(&mut self.pending_closes) {
+            self.dispatcher.closed(self.now, connection, awaits_close && by_streamer);
         }
-        self.perform();
+        self.perform_effects();
     }
 
-    /// The slow connections take what waits for them.
-    pub fn catch_up(&mut self) {
-        self.slow.clear();
-        for (on, orders) in std::mem::take(&mut self.batches) {
-            self.write(on, orders);
+    /// The stalled connections take the batches that wait for them.
+    pub fn resume_stalled(&mut self) {
+        self.stalled.clear();
+        for (connection, orders) in std::mem::take(&mut self.waiting_batches) {
+            self.write_batch(connection, orders);
         }
-        self.perform();
+        self.perform_effects();
     }
 
-    pub fn is_refusal(why: u8) -> bool {
+    /// Whether the cause means that the set-up did not run.
+    pub fn is_rejection(why: u8) -> bool {
         [cause::FULL, cause::REJECTED, cause::NOT_SENT].contains(&why)
     }
 }
--- a/crates/lemontide-platform/tests/crossings.rs
+++ b/crates/lemontide-platform/tests/crossings.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{entry, wish, World, STREAMERS, VIEWERS};
+use common::{list_entry, set_up_of, Harness, STREAMERS, VIEWERS};
 use lemontide_front::core::Connection;
 use lemontide_platform::codec::{cause, Body, Message, SessionReport, SetUp};
 use lemontide_platform::config::ListUpdate;
@@ -10,8 +10,8 @@
 use lemontide_platform::replies::Departure;
 
 /// All of the session's set-ups and releases as they were written: true for a set-up.
-fn order_of(world: &World, session: u64) -> Vec<bool> {
-    let of = world.written.iter().filter(|(_, message)| message.session == session);
+fn order_of(harness: &Harness, session: u64) -> Vec<bool> {
+    let of = harness.written.iter().filter(|(_, message)| message.session == session);
     of.filter_map(|(_, message)| match message.body {
         Body::SetUp(_) => Some(true),
         Body::Release { .. } => Some(false),
@@ -21,66 +21,70 @@
 }
 
 /// A world in which connections to all streamers are up and one more set-up waits in a batch on each.
-fn with_slow_connections(world: &mut World) {
+fn with_slow_connections(harness: &mut Harness) {
     for at in 0..STREAMERS {
         for _ in 0..40 {
-            if world.address.values().any(|address| *address == entry(at, "").address) {
+            if harness.addresses.values().any(|address| *address == list_entry(at, "").address) {
                 break;
             }
-            world.playing("free");
+            harness.start_session("free");
         }
     }
-    world.slow = world.dials.keys().copied().collect();
+    harness.stalled = harness.last_dials.keys().copied().collect();
 }
 
 #[test]
 fn what_waits_in_a_batch_is_not_written_once_its_viewer_left() {
     for closes in [true, false] {
-        let mut world = World::new();
-        with_slow_connections(&mut world);
-        let session = world.ask("paid");
-        assert!(!world.batches.is_empty(), "it waits to be written");
+        let mut harness = Harness::new();
+        with_slow_connections(&mut harness);
+        let session = harness.request("paid");
+        assert!(!harness.waiting_batches.is_empty(), "it waits to be written");
         match closes {
-            true => world.dispatcher.viewer_gone(world.now, VIEWERS, Departure::Closed),
-            false => world.say(VIEWERS, session, Body::release(cause::NORMAL)),
+            true => harness.dispatcher.viewer_gone(harness.now, VIEWERS, Departure::Closed),
+            false => harness.viewer_sends(VIEWERS, session, Body::release(cause::NORMAL)),
         }
-        world.perform();
-        world.catch_up();
-        assert!(order_of(&world, session).is_empty(), "nothing of it left, and nothing has to be given up");
+        harness.perform_effects();
+        harness.resume_stalled();
+        assert!(order_of(&harness, session).is_empty(), "nothing of it left, and nothing has to be given up");
     }
 }
 
 #[test]
 fn what_waits_in_a_batch_is_not_written_once_its_streamer_drains() {
-    let mut world = World::new();
-    with_slow_connections(&mut world);
-    let session = world.ask("paid");
-    let servers = (0..STREAMERS).map(|at| entry(at, "terminating")).collect();
-    world.learn(&ListUpdate { full: false, streamers: servers });
-    assert_eq!(world.answered(session), Some(cause::REJECTED), "it provably never ran");
-    world.catch_up();
-    assert!(order_of(&world, session).is_empty());
+    let mut harness = Harness::new();
+    with_slow_connections(&mut harness);
+    let session = harness.request("paid");
+    let servers = (0..STREAMERS).map(|at| list_entry(at, "terminating")).collect();
+    harness.apply_list_update(&ListUpdate { full: false, streamers: servers });
+    assert_eq!(harness.final_answer(session), Some(cause::REJECTED), "it provably never ran");
+    harness.resume_stalled();
+    assert!(order_of(&harness, session).is_empty());
 }
 
 /// A paid set-up whose connection broke before it was written may be sent again; one that was written may not.
 #[test]
 fn a_connection_lost_under_a_batch_proves_what_was_not_written() {
     for written in [false, true] {
-        let mut world = World::new();
-        with_slow_connections(&mut world);
+        let mut harness = Harness::new();
+        with_slow_connections(&mut harness);
         if written {
-            world.slow.clear();
+            harness.stalled.clear();
         }
-        let session = world.ask("paid");
-        let link = match world.batches.last() {
+        let session = harness.request("paid");
+        let link = match harness.waiting_batches.last() {
             Some(batch) => batch.0.link,
-            None => world.shot(session).expect("it was written").0,
+            None => harness.last_attempt(session).expect("it was written").0,
         };
-        world.batches.clear();
-        world.slow.clear();
-        world.loses(link, Loss::Broke);
+        harness.waiting_batches.clear();
+        harness.stalled.clear();
+        harness.lose_connection(link, Loss::Broke);
         let failed = written.then_some(cause::FAILED);
-        assert_eq!((world.answered(session), world.shots(session)), (failed, 1), "written: {written}");
+        assert_eq!(
+            (harness.final_answer(session), harness.attempt_count(session)),
+            (failed, 1),
+            "written: {written}"
+        );
     }
 }
 
@@ -88,28 +92,28 @@
 /// when the streamer passes the test behind it, and no sooner.
 #[test]
 fn the_next_attempt_leaves_only_after_the_end_of_the_last_is_read() {
-    let mut world = World::new();
-    let session = world.ask("free");
-    let (link, _) = world.shot(session).expect("it was sent");
+    let mut harness = Harness::new();
+    let session = harness.request("free");
+    let (link, _) = harness.last_attempt(session).expect("it was sent");
     // Another set-up on the same connection is being written when the first is given up.
-    world.slow = [link].into();
-    let title = SetUp { title: "t".into(), ..wish("free") };
+    harness.stalled = [link].into();
+    let title = SetUp { title: "t".into(), ..set_up_of("free") };
     for _ in 0..40 {
-        world.ask_on(VIEWERS, title.clone());
-        if !world.batches.is_empty() {
+        harness.request_on(VIEWERS, title.clone());
+        if !harness.waiting_batches.is_empty() {
             break;
         }
     }
-    assert!(!world.batches.is_empty(), "a batch is being written there");
-    world.pass(0.46);
-    assert_eq!(order_of(&world, session), [true], "given up, but nobody can know it yet");
-    world.unread = [link].into();
-    world.catch_up();
-    assert_eq!(order_of(&world, session), [true, false], "written, and not read");
-    world.pass(0.1);
-    assert_eq!(order_of(&world, session), [true, false]);
-    world.reads(link);
-    assert_eq!(order_of(&world, session), [true, false, true]);
+    assert!(!harness.waiting_batches.is_empty(), "a batch is being written there");
+    harness.advance(0.46);
+    assert_eq!(order_of(&harness, session), [true], "given up, but nobody can know it yet");
+    harness.unread_links = [link].into();
+    harness.resume_stalled();
+    assert_eq!(order_of(&harness, session), [true, false], "written, and not read");
+    harness.advance(0.1);
+    assert_eq!(order_of(&harness, session), [true, false]);
+    harness.streamer_reads(link);
+    assert_eq!(order_of(&harness, session), [true, false, true]);
 }
 
 /// A connection that is closed by this end proves nothing of what its streamer has read; nor does the streamer's close
@@ -117,27 +121,27 @@
 #[test]
 fn the_next_attempt_leaves_only_after_the_end_of_one_on_a_closed_connection_is_read_elsewhere() {
     for by_streamer in [false, true] {
-        let mut world = World::new();
-        let session = world.ask("free");
-        let (link, _) = world.shot(session).expect("it was sent");
-        world.late_close = true;
-        let at: usize = world.address[&link][10..].parse::<usize>().expect("a port") - 9000;
-        let mut moved = entry(at, "in_service");
+        let mut harness = Harness::new();
+        let session = harness.request("free");
+        let (link, _) = harness.last_attempt(session).expect("it was sent");
+        harness.delays_closes = true;
+        let at: usize = harness.addresses[&link][10..].parse::<usize>().expect("a port") - 9000;
+        let mut moved = list_entry(at, "in_service");
         moved.address = "127.0.0.1:9999".into();
-        world.news(moved);
-        assert_eq!((world.hung.clone(), order_of(&world, session)), (vec![link], vec![true]));
-        assert!(world.closing[0].1, "its streamer's close is awaited");
-        world.pass(0.5);
-        assert_eq!(order_of(&world, session), [true]);
-        world.unread = (0..1000).collect();
-        world.close_all(by_streamer);
-        world.pass(0.2);
+        harness.update_entry(moved);
+        assert_eq!((harness.closed_links.clone(), order_of(&harness, session)), (vec![link], vec![true]));
+        assert!(harness.pending_closes[0].1, "its streamer's close is awaited");
+        harness.advance(0.5);
+        assert_eq!(order_of(&harness, session), [true]);
+        harness.unread_links = (0..1000).collect();
+        harness.complete_closes(by_streamer);
+        harness.advance(0.2);
         let words = if by_streamer { vec![true, false] } else { vec![true] };
-        assert_eq!(order_of(&world, session), words, "closed by its streamer: {by_streamer}");
-        let links: Vec<u64> = world.dials.keys().copied().collect();
-        links.into_iter().for_each(|link| world.reads(link));
+        assert_eq!(order_of(&harness, session), words, "closed by its streamer: {by_streamer}");
+        let links: Vec<u64> = harness.last_dials.keys().copied().collect();
+        links.into_iter().for_each(|link| harness.streamer_reads(link));
         let words = if by_streamer { vec![true, false, true] } else { vec![true] };
-        assert_eq!(order_of(&world, session), words, "closed by its streamer: {by_streamer}");
+        assert_eq!(order_of(&harness, session), words, "closed by its streamer: {by_streamer}");
     }
 }
 
@@ -145,19 +149,19 @@
 #[test]
 fn the_next_attempt_leaves_when_the_process_of_the_last_is_gone() {
     for is_listed in [true, false] {
-        let mut world = World::new();
-        let session = world.ask("free");
-        let (link, _) = world.shot(session).expect("it was sent");
-        let address = world.address[&link].clone();
+        let mut harness = Harness::new();
+        let session = harness.request("free");
+        let (link, _) = harness.last_attempt(session).expect("it was sent");
+        let address = harness.addresses[&link].clone();
         let at: usize = address[10..].parse::<usize>().expect("a port") - 9000;
         if is_listed {
-            world.away.insert(address, Loss::Refused);
+            harness.unreachable.insert(address, Loss::Refused);
         } else {
-            world.news(entry(at, "terminated"));
+            harness.update_entry(list_entry(at, "terminated"));
         }
-        world.loses(link, Loss::Broke);
-        world.pass(0.3);
-        assert_eq!(order_of(&world, session), [true, true], "listed: {is_listed}");
+        harness.lose_connection(link, Loss::Broke);
+        harness.advance(0.3);
+        assert_eq!(order_of(&harness, session), [true, true], "listed: {is_listed}");
     }
 }
 
@@ -165,14 +169,14 @@
 #[test]
 fn the_next_attempt_leaves_when_the_streamer_says_that_the_last_is_over() {
     for word in [Body::Acknowledged, Body::release(cause::FAILED)] {
-        let mut world = World::new();
-        let session = world.ask("free");
-        let (link, _) = world.shot(session).expect("it was sent");
-        world.unread = [link].into();
-        world.pass(0.46);
-        assert_eq!(order_of(&world, session), [true, false]);
-        world.tell_on(link, session, word);
-        assert_eq!(order_of(&world, session), [true, false, true]);
+        let mut harness = Harness::new();
+        let session = harness.request("free");
+        let (link, _) = harness.last_attempt(session).expect("it was sent");
+        harness.unread_links = [link].into();
+        harness.advance(0.46);
+        assert_eq!(order_of(&harness, session), [true, false]);
+        harness.streamer_sends_on(link, session, word);
+        assert_eq!(order_of(&harness, session), [true, false, true]);
     }
 }
 
@@ -180,36 +184,40 @@
 /// a later set-up under the same number is refused while the attempt may be out.
 #[test]
 fn a_silent_streamer_ends_a_request_without_another_attempt() {
-    let mut world = World::new();
-    let session = world.ask("free");
-    let (link, _) = world.shot(session).expect("it was sent");
-    world.away.insert(world.address[&link].clone(), Loss::Dark);
-    world.pass(3.0);
-    assert_eq!((world.shots(session), world.answered(session)), (1, Some(cause::REJECTED)));
-    world.dispatcher.viewer_up(world.now, 2);
-    world.say(2, session, Body::SetUp(wish("free")));
-    assert_eq!(world.shots(session), 1, "its attempt may still be out");
-    assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::INVALID, .. }]));
+    let mut harness = Harness::new();
+    let session = harness.request("free");
+    let (link, _) = harness.last_attempt(session).expect("it was sent");
+    harness.unreachable.insert(harness.addresses[&link].clone(), Loss::Dark);
+    harness.advance(3.0);
+    assert_eq!((harness.attempt_count(session), harness.final_answer(session)), (1, Some(cause::REJECTED)));
+    harness.dispatcher.viewer_up(harness.now, 2);
+    harness.viewer_sends(2, session, Body::SetUp(set_up_of("free")));
+    assert_eq!(harness.attempt_count(session), 1, "its attempt may still be out");
+    assert!(matches!(
+        harness.messages_to_viewer(session)[..],
+        [_, Body::Release { cause: cause::INVALID, .. }]
+    ));
 }
 
 /// Rungs of a subscription go over one connection while it is up, in order, whatever connection carries least.
 #[test]
 fn rungs_follow_each_other_on_one_connection() {
-    let mut world = World::new();
-    let (session, link) = world.playing("free");
+    let mut harness = Harness::new();
+    let (session, link) = harness.start_session("free");
     // Others wait there, so that further connections are opened and carry less.
     for second in 0..60 {
         if second % 2 == 0 {
-            world.ask("paid");
+            harness.request("paid");
         }
-        world.tell_on(
+        harness.streamer_sends_on(
             link,
             session,
             Body::SessionReport(SessionReport::LinkUtilization(if second % 20 < 10 { 0.1 } else { 3.0 })),
         );
-        world.pass(1.0);
+        harness.advance(1.0);
     }
-    let rungs = world.written.iter().filter(|(_, m)| m.session == session && matches!(m.body, Body::Rung(_)));
+    let rungs =
+        harness.written.iter().filter(|(_, m)| m.session == session && matches!(m.body, Body::Rung(_)));
     let on: Vec<u64> = rungs.map(|(link, _)| *link).collect();
     assert!(on.len() > 1 && on.iter().all(|other| *other == link), "on {link}: {on:?}");
 }
@@ -217,122 +225,125 @@
 /// Whatever never closes must not hold a request for ever.
 #[test]
 fn a_connection_that_is_never_closed_does_not_keep_a_request() {
-    let mut world = World::new();
-    let session = world.ask("free");
-    let (link, _) = world.shot(session).expect("it was sent");
-    world.late_close = true;
-    world.slow = [link].into();
-    world.pass(3.0);
-    assert!(world.answered(session).is_some(), "one answer by its deadline");
+    let mut harness = Harness::new();
+    let session = harness.request("free");
+    let (link, _) = harness.last_attempt(session).expect("it was sent");
+    harness.delays_closes = true;
+    harness.stalled = [link].into();
+    harness.advance(3.0);
+    assert!(harness.final_answer(session).is_some(), "one answer by its deadline");
 }
 
 /// The viewer ends what plays, and the connection goes before the word for its streamer is written.
 #[test]
 fn the_end_of_a_stream_is_sent_again_where_its_connection_goes_first() {
-    let mut world = World::new();
-    let (session, link) = world.playing("free");
-    world.slow = [link].into();
-    world.say(VIEWERS, session, Body::release(cause::NORMAL));
-    assert_eq!(order_of(&world, session), [true], "it waits to be written");
-    world.batches.clear();
-    world.slow.clear();
-    world.loses(link, Loss::Broke);
-    world.pass(1.0);
-    assert_eq!(order_of(&world, session), [true, false], "once, on the next connection");
+    let mut harness = Harness::new();
+    let (session, link) = harness.start_session("free");
+    harness.stalled = [link].into();
+    harness.viewer_sends(VIEWERS, session, Body::release(cause::NORMAL));
+    assert_eq!(order_of(&harness, session), [true], "it waits to be written");
+    harness.waiting_batches.clear();
+    harness.stalled.clear();
+    harness.lose_connection(link, Loss::Broke);
+    harness.advance(1.0);
+    assert_eq!(order_of(&harness, session), [true, false], "once, on the next connection");
 }
 
 /// The end of a stream was written, and its connection went before the streamer read it.
 #[test]
 fn the_end_of_a_stream_is_sent_again_until_its_streamer_has_read_it() {
     for read in [false, true] {
-        let mut world = World::new();
-        let (session, link) = world.playing("free");
+        let mut harness = Harness::new();
+        let (session, link) = harness.start_session("free");
         if !read {
-            world.unread = [link].into();
+            harness.unread_links = [link].into();
         }
-        world.say(VIEWERS, session, Body::release(cause::NORMAL));
-        world.pass(1.5);
-        assert_eq!(order_of(&world, session), [true, false], "written");
+        harness.viewer_sends(VIEWERS, session, Body::release(cause::NORMAL));
+        harness.advance(1.5);
+        assert_eq!(order_of(&harness, session), [true, false], "written");
         if read {
-            world.tell_on(link, session, Body::Acknowledged);
+            harness.streamer_sends_on(link, session, Body::Acknowledged);
         }
-        world.loses(link, Loss::Broke);
-        world.unread.clear();
-        world.pass(0.5);
+        harness.lose_connection(link, Loss::Broke);
+        harness.unread_links.clear();
+        harness.advance(0.5);
         let words = if read { vec![true, false] } else { vec![true, false, false] };
-        assert_eq!(order_of(&world, session), words, "read: {read}");
+        assert_eq!(order_of(&harness, session), words, "read: {read}");
     }
 }
 
 /// A client ends its stream and asks again under the same number: nothing may begin before the end is read.
 #[test]
 fn a_number_whose_stream_may_still_stand_is_refused() {
-    let mut world = World::new();
-    let (session, link) = world.playing("free");
-    world.unread = [link].into();
-    world.say(VIEWERS, session, Body::release(cause::NORMAL));
-    world.dispatcher.viewer_up(world.now, 2);
-    world.say(2, session, Body::SetUp(wish("free")));
-    assert_eq!(order_of(&world, session), [true, false], "its stream may still stand");
-    assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::INVALID, .. }]));
-    world.tell_on(link, session, Body::Acknowledged);
-    world.unread.clear();
+    let mut harness = Harness::new();
+    let (session, link) = harness.start_session("free");
+    harness.unread_links = [link].into();
+    harness.viewer_sends(VIEWERS, session, Body::release(cause::NORMAL));
+    harness.dispatcher.viewer_up(harness.now, 2);
+    harness.viewer_sends(2, session, Body::SetUp(set_up_of("free")));
+    assert_eq!(order_of(&harness, session), [true, false], "its stream may still stand");
+    assert!(matches!(
+        harness.messages_to_viewer(session)[..],
+        [_, Body::Release { cause: cause::INVALID, .. }]
+    ));
+    harness.streamer_sends_on(link, session, Body::Acknowledged);
+    harness.unread_links.clear();
     for (conn, wait, is_taken) in [(3, 0.0, false), (4, 7.9, false), (5, 0.2, true)] {
-        world.pass(wait);
-        world.dispatcher.viewer_up(world.now, conn);
-        world.say(conn, session, Body::SetUp(wish("free")));
-        assert_eq!(world.shots(session) == 2, is_taken, "{wait} s later");
+        harness.advance(wait);
+        harness.dispatcher.viewer_up(harness.now, conn);
+        harness.viewer_sends(conn, session, Body::SetUp(set_up_of("free")));
+        assert_eq!(harness.attempt_count(session) == 2, is_taken, "{wait} s later");
     }
 }
 
 /// Set-ups wait for a dial; half of their viewers leave, and then it comes up.
 #[test]
 fn what_waits_for_a_dial_is_not_sent_once_its_viewer_left() {
-    let mut world = World::new();
-    world.stuck = true;
-    let asked: Vec<u64> = (0..40).map(|_| world.ask("paid")).collect();
-    assert!(asked.iter().all(|session| order_of(&world, *session).is_empty()), "all wait");
+    let mut harness = Harness::new();
+    harness.dials_stall = true;
+    let asked: Vec<u64> = (0..40).map(|_| harness.request("paid")).collect();
+    assert!(asked.iter().all(|session| order_of(&harness, *session).is_empty()), "all wait");
     for session in asked.iter().step_by(2) {
-        world.say(VIEWERS, *session, Body::release(cause::NORMAL));
+        harness.viewer_sends(VIEWERS, *session, Body::release(cause::NORMAL));
     }
-    for (link, dial) in world.dials.clone() {
-        world.dispatcher.linked(world.now, Connection { link, dial });
+    for (link, dial) in harness.last_dials.clone() {
+        harness.dispatcher.linked(harness.now, Connection { link, dial });
     }
-    world.perform();
+    harness.perform_effects();
     for (n, session) in asked.iter().enumerate() {
-        assert_eq!(world.shots(*session), n % 2, "number {n}");
+        assert_eq!(harness.attempt_count(*session), n % 2, "number {n}");
     }
 }
 
 #[test]
 fn who_cancels_or_closes_in_the_moment_of_asking_is_not_sent_on() {
     for closes in [true, false] {
-        let mut world = World::new();
-        let (asks, session) = (Body::SetUp(wish("free")), 0xabc);
+        let mut harness = Harness::new();
+        let (asks, session) = (Body::SetUp(set_up_of("free")), 0xabc);
         let message = |body| Message { session, body };
-        world.hears(VIEWERS, message(asks), world.now);
+        harness.receive(VIEWERS, message(asks), harness.now);
         match closes {
-            true => world.dispatcher.viewer_gone(world.now, VIEWERS, Departure::Closed),
-            false => world.hears(VIEWERS, message(Body::release(cause::NORMAL)), world.now),
+            true => harness.dispatcher.viewer_gone(harness.now, VIEWERS, Departure::Closed),
+            false => harness.receive(VIEWERS, message(Body::release(cause::NORMAL)), harness.now),
         }
-        assert!(!world.dispatcher.decide(world.now), "nothing is left to decide");
-        world.perform();
-        assert!(order_of(&world, session).is_empty() && world.said.is_empty());
-        assert_eq!(world.dispatcher.in_hand(), 0);
+        assert!(!harness.dispatcher.decide(harness.now), "nothing is left to decide");
+        harness.perform_effects();
+        assert!(order_of(&harness, session).is_empty() && harness.sent_to_viewers.is_empty());
+        assert_eq!(harness.dispatcher.in_hand(), 0);
     }
 }
 
 #[test]
 fn the_time_of_a_request_runs_from_when_it_was_read() {
-    let mut world = World::new();
-    let (read, session) = (world.now, 0xabc);
-    let message = Message { session, body: Body::SetUp(wish("paid")) };
-    world.hears(VIEWERS, message, read);
+    let mut harness = Harness::new();
+    let (read, session) = (harness.now, 0xabc);
+    let message = Message { session, body: Body::SetUp(set_up_of("paid")) };
+    harness.receive(VIEWERS, message, read);
     // It waits two of its three seconds for a decision.
-    world.now = world.now + lemontide::clock::Span::of(2.0);
-    assert!(world.dispatcher.decide(world.now));
-    world.perform();
-    let mut sent_on = world.written.iter().filter(|(_, message)| message.session == session);
+    harness.now = harness.now + lemontide::clock::Span::of(2.0);
+    assert!(harness.dispatcher.decide(harness.now));
+    harness.perform_effects();
+    let mut sent_on = harness.written.iter().filter(|(_, message)| message.session == session);
     let Some((_, Message { body: Body::SetUp(set_up), .. })) = sent_on.next() else {
         panic!("it is sent on")
     };
@@ -341,45 +352,45 @@
 
 #[test]
 fn what_is_asked_and_not_decided_keeps_its_connection_and_its_process() {
-    let mut world = World::new();
-    let (in_hand, open) = (world.dispatcher.in_hand(), world.dispatcher.open());
-    assert_eq!(world.dispatcher.spare(), Some(VIEWERS), "nothing is open on it");
+    let mut harness = Harness::new();
+    let (in_hand, open) = (harness.dispatcher.in_hand(), harness.dispatcher.open());
+    assert_eq!(harness.dispatcher.spare(), Some(VIEWERS), "nothing is open on it");
     let message = |body| Message { session: 0xabc, body };
-    world.hears(VIEWERS, message(Body::SetUp(wish("free"))), world.now);
-    assert_eq!((world.dispatcher.in_hand(), world.dispatcher.open()), (in_hand + 1, open + 1));
-    world.dispatcher.make_room();
-    world.perform();
-    assert!(world.dispatcher.spare().is_none() && world.retired.is_empty(), "it is not idle");
-    world.hears(VIEWERS, message(Body::release(cause::NORMAL)), world.now);
-    assert_eq!((world.dispatcher.in_hand(), world.dispatcher.spare()), (in_hand, Some(VIEWERS)));
+    harness.receive(VIEWERS, message(Body::SetUp(set_up_of("free"))), harness.now);
+    assert_eq!((harness.dispatcher.in_hand(), harness.dispatcher.open()), (in_hand + 1, open + 1));
+    harness.dispatcher.make_room();
+    harness.perform_effects();
+    assert!(harness.dispatcher.spare().is_none() && harness.close_if_idle.is_empty(), "it is not idle");
+    harness.receive(VIEWERS, message(Body::release(cause::NORMAL)), harness.now);
+    assert_eq!((harness.dispatcher.in_hand(), harness.dispatcher.spare()), (in_hand, Some(VIEWERS)));
 }
 
 /// A newcomer that needs a place takes the place of one idle connection, not of several.
 #[test]
 fn one_idle_connection_makes_room_at_a_time() {
-    let mut world = World::new();
-    (2..40).for_each(|conn| world.dispatcher.viewer_up(world.now, conn));
+    let mut harness = Harness::new();
+    (2..40).for_each(|conn| harness.dispatcher.viewer_up(harness.now, conn));
     let asks = 2;
-    world.ask_on(asks, wish("free"));
+    harness.request_on(asks, set_up_of("free"));
     for _ in 0..8 {
-        world.dispatcher.make_room();
+        harness.dispatcher.make_room();
     }
-    world.perform();
-    assert_eq!(world.retired.len(), 1, "{:?}", world.retired);
-    assert_ne!(world.retired[0].0, asks);
+    harness.perform_effects();
+    assert_eq!(harness.close_if_idle.len(), 1, "{:?}", harness.close_if_idle);
+    assert_ne!(harness.close_if_idle[0].0, asks);
 }
 
 /// A world with one streamer, at which a request's first attempt got no answer and its second one is out: its session and
 /// the link of the second.
-fn with_a_second_attempt_at_the_same_streamer(lane: &str) -> (World, u64, u64) {
-    let mut world = World::new();
-    let others = (1..STREAMERS).map(|at| entry(at, "terminating")).collect();
-    world.learn(&ListUpdate { full: false, streamers: others });
-    let session = world.ask(lane);
-    world.pass(0.5);
-    assert_eq!(order_of(&world, session), [true, false, true], "the end of the first is read");
-    let (link, _) = world.shot(session).expect("it was sent");
-    (world, session, link)
+fn with_a_second_attempt_at_the_same_streamer(lane: &str) -> (Harness, u64, u64) {
+    let mut harness = Harness::new();
+    let others = (1..STREAMERS).map(|at| list_entry(at, "terminating")).collect();
+    harness.apply_list_update(&ListUpdate { full: false, streamers: others });
+    let session = harness.request(lane);
+    harness.advance(0.5);
+    assert_eq!(order_of(&harness, session), [true, false, true], "the end of the first is read");
+    let (link, _) = harness.last_attempt(session).expect("it was sent");
+    (harness, session, link)
 }
 
 /// The soak's seed 15: the first attempt had stood with its answer lost, and its streamer said its release again on the
@@ -387,83 +398,96 @@
 #[test]
 fn a_release_of_the_first_attempt_is_not_taken_for_the_end_of_the_second() {
     for why in [cause::NORMAL, cause::CANCELLED, cause::FAILED, 99] {
-        let (mut world, session, link) = with_a_second_attempt_at_the_same_streamer("free");
-        world.tell_on(link, session, Body::release(why));
-        world.pass(0.02);
-        assert_eq!(order_of(&world, session), [true, false, true], "cause {why}: the second may be out");
-        world.answer(session);
-        assert_eq!(world.answered(session), Some(0), "cause {why}");
+        let (mut harness, session, link) = with_a_second_attempt_at_the_same_streamer("free");
+        harness.streamer_sends_on(link, session, Body::release(why));
+        harness.advance(0.02);
+        assert_eq!(order_of(&harness, session), [true, false, true], "cause {why}: the second may be out");
+        harness.streamer_answers(session);
+        assert_eq!(harness.final_answer(session), Some(0), "cause {why}");
     }
     for why in [cause::FULL, cause::ERROR, cause::NOT_SENT] {
-        let (mut world, session, _) = with_a_second_attempt_at_the_same_streamer("free");
-        world.ends(session, why);
-        assert!(world.shots(session) > 2 || world.answered(session).is_some(), "cause {why} ends a set-up");
+        let (mut harness, session, _) = with_a_second_attempt_at_the_same_streamer("free");
+        harness.streamer_releases(session, why);
+        assert!(
+            harness.attempt_count(session) > 2 || harness.final_answer(session).is_some(),
+            "cause {why} ends a set-up"
+        );
     }
 }
 
 #[test]
 fn a_word_on_the_first_attempt_does_not_prove_the_second_over_that_was_given_up() {
     for word in [Body::release(cause::NORMAL), Body::release(cause::FAILED), Body::Acknowledged] {
-        let (mut world, session, link) = with_a_second_attempt_at_the_same_streamer("free");
-        world.unread = [link].into();
-        world.pass(0.5);
+        let (mut harness, session, link) = with_a_second_attempt_at_the_same_streamer("free");
+        harness.unread_links = [link].into();
+        harness.advance(0.5);
         let given_up = [true, false, true, false];
-        assert_eq!(order_of(&world, session), given_up);
-        world.tell_on(link, session, word.clone());
-        world.pass(0.05);
-        let is_decided = |world: &World| world.answered(session).is_some() || world.shots(session) > 2;
-        assert!(!is_decided(&world), "{word:?}: the second may still be out");
-        world.reads(link);
-        assert!(is_decided(&world), "{word:?}");
+        assert_eq!(order_of(&harness, session), given_up);
+        harness.streamer_sends_on(link, session, word.clone());
+        harness.advance(0.05);
+        let is_decided =
+            |harness: &Harness| harness.final_answer(session).is_some() || harness.attempt_count(session) > 2;
+        assert!(!is_decided(&harness), "{word:?}: the second may still be out");
+        harness.streamer_reads(link);
+        assert!(is_decided(&harness), "{word:?}");
     }
 }
 
 /// The release may be that of the first attempt, so what the second set up is ended at its streamer too.
 #[test]
 fn a_release_that_may_be_of_an_earlier_attempt_leaves_nothing_standing() {
-    let (mut world, session, link) = with_a_second_attempt_at_the_same_streamer("free");
-    world.answer(session);
-    world.tell_on(link, session, Body::release(cause::NORMAL));
-    assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::NORMAL, .. }]));
-    assert_eq!((world.released(session), world.dispatcher.in_hand()), (2, 0));
-    let (session, _) = world.playing("free");
-    world.ends(session, cause::NORMAL);
-    assert_eq!(world.released(session), 0, "the release of a first attempt is its own");
+    let (mut harness, session, link) = with_a_second_attempt_at_the_same_streamer("free");
+    harness.streamer_answers(session);
+    harness.streamer_sends_on(link, session, Body::release(cause::NORMAL));
+    assert!(matches!(
+        harness.messages_to_viewer(session)[..],
+        [_, Body::Release { cause: cause::NORMAL, .. }]
+    ));
+    assert_eq!((harness.release_count(session), harness.dispatcher.in_hand()), (2, 0));
+    let (session, _) = harness.start_session("free");
+    harness.streamer_releases(session, cause::NORMAL);
+    assert_eq!(harness.release_count(session), 0, "the release of a first attempt is its own");
 }
 
 /// A streamer says its release again on the next connection: a set-up under the same number would be taken for over.
 #[test]
 fn a_number_is_not_taken_again_while_its_streamer_may_still_release_it() {
-    let mut world = World::new();
-    let (session, _) = world.playing("free");
-    world.ends(session, cause::NORMAL);
-    world.dispatcher.viewer_up(world.now, 2);
-    world.say(2, session, Body::SetUp(wish("free")));
-    assert_eq!(world.shots(session), 1);
-    assert!(matches!(world.said.last(), Some((2, Message { body: Body::Release { .. }, .. }))), "refused");
-    world.pass(8.2);
-    world.say(2, session, Body::SetUp(wish("free")));
-    assert_eq!(world.shots(session), 2, "nothing more is said of it");
+    let mut harness = Harness::new();
+    let (session, _) = harness.start_session("free");
+    harness.streamer_releases(session, cause::NORMAL);
+    harness.dispatcher.viewer_up(harness.now, 2);
+    harness.viewer_sends(2, session, Body::SetUp(set_up_of("free")));
+    assert_eq!(harness.attempt_count(session), 1);
+    assert!(
+        matches!(harness.sent_to_viewers.last(), Some((2, Message { body: Body::Release { .. }, .. }))),
+        "refused"
+    );
+    harness.advance(8.2);
+    harness.viewer_sends(2, session, Body::SetUp(set_up_of("free")));
+    assert_eq!(harness.attempt_count(session), 2, "nothing more is said of it");
 }
 
 /// A set-up got no answer on a connection, so it is closed by half; the release of another session is on its way there.
 #[test]
 fn a_release_on_a_connection_that_is_being_closed_is_heard() {
-    let mut world = World::new();
-    let others = (1..STREAMERS).map(|at| entry(at, "terminating")).collect();
-    world.learn(&ListUpdate { full: false, streamers: others });
-    let (session, link) = world.playing("free");
-    let on = world.on(link);
-    world.ask("free");
-    world.unread = [link].into();
-    world.late_close = true;
-    world.pass(1.1);
-    assert_eq!(world.closing, [(on, true)], "the streamer's own close is awaited");
-    world.dispatcher.told(world.now, on, Message { session, body: Body::release(cause::NORMAL) });
-    world.perform();
-    assert!(matches!(world.heard(session)[..], [_, Body::Release { cause: cause::NORMAL, .. }]));
-    world.close_all(true);
-    world.dispatcher.told(world.now, on, Message { session: 99, body: Body::release(cause::NORMAL) });
+    let mut harness = Harness::new();
+    let others = (1..STREAMERS).map(|at| list_entry(at, "terminating")).collect();
+    harness.apply_list_update(&ListUpdate { full: false, streamers: others });
+    let (session, link) = harness.start_session("free");
+    let on = harness.current_connection(link);
+    harness.request("free");
+    harness.unread_links = [link].into();
+    harness.delays_closes = true;
+    harness.advance(1.1);
+    assert_eq!(harness.pending_closes, [(on, true)], "the streamer's own close is awaited");
+    harness.dispatcher.told(harness.now, on, Message { session, body: Body::release(cause::NORMAL) });
+    harness.perform_effects();
+    assert!(matches!(
+        harness.messages_to_viewer(session)[..],
+        [_, Body::Release { cause: cause::NORMAL, .. }]
+    ));
+    harness.complete_closes(true);
+    harness.dispatcher.told(harness.now, on, Message { session: 99, body: Body::release(cause::NORMAL) });
 }
 
 /// The answer of an attempt may be lost with its connection, and its request gets no other: what may stand is ended on
@@ -471,21 +495,25 @@
 #[test]
 fn what_may_stand_of_a_failed_request_is_ended_on_another_connection() {
     for leaves in [true, false] {
-        let mut world = World::new();
-        let others = (1..STREAMERS).map(|at| entry(at, "terminating")).collect();
-        world.learn(&ListUpdate { full: false, streamers: others });
-        let (_, link) = world.playing("free");
-        let session = world.ask("paid");
+        let mut harness = Harness::new();
+        let others = (1..STREAMERS).map(|at| list_entry(at, "terminating")).collect();
+        harness.apply_list_update(&ListUpdate { full: false, streamers: others });
+        let (_, link) = harness.start_session("free");
+        let session = harness.request("paid");
         if leaves {
-            world.unread = [link].into();
-            world.say(VIEWERS, session, Body::release(cause::NORMAL));
+            harness.unread_links = [link].into();
+            harness.viewer_sends(VIEWERS, session, Body::release(cause::NORMAL));
         }
-        let before = world.released(session);
-        world.loses(link, Loss::Broke);
-        world.unread.clear();
-        world.pass(0.5);
-        assert_eq!((world.shots(session), world.released(session)), (1, before + 1), "leaves: {leaves}");
-        world.pass(2.0);
-        assert_eq!(world.released(session), before + 1, "leaves: {leaves}, and once is enough");
+        let before = harness.release_count(session);
+        harness.lose_connection(link, Loss::Broke);
+        harness.unread_links.clear();
+        harness.advance(0.5);
+        assert_eq!(
+            (harness.attempt_count(session), harness.release_count(session)),
+            (1, before + 1),
+            "leaves: {leaves}"
+        );
+        harness.advance(2.0);
+        assert_eq!(harness.release_count(session), before + 1, "leaves: {leaves}, and once is enough");
     }
 }
--- a/crates/lemontide-platform/tests/replies.rs
+++ b/crates/lemontide-platform/tests/replies.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{wish, World, VIEWERS};
+use common::{set_up_of, Harness, VIEWERS};
 use lemontide::clock::Span;
 use lemontide_platform::codec::{cause, Body, Message};
 use lemontide_platform::dispatcher::{Effect, InputEnd};
@@ -11,8 +11,8 @@
 #[test]
 fn a_request_is_open_until_it_is_answered_or_its_client_is_gone() {
     let replies = Replies::default();
-    let now = World::new().now;
-    let request = |session| Message { session, body: Body::SetUp(wish("free")) };
+    let now = Harness::new().now;
+    let request = |session| Message { session, body: Body::SetUp(set_up_of("free")) };
     let take = |conn, session| replies.take(conn, request(session), now).reply.expect("a request");
     let (first, second, other) = (take(1, 1), take(1, 2), take(2, 3));
     assert_eq!((replies.open(), replies.open_on(1), replies.open_on(2)), (3, 2, 1));
@@ -27,8 +27,8 @@
 #[test]
 fn a_request_is_overdue_from_its_cut_off_until_its_answer_is_handed_over() {
     let replies = Replies::default();
-    let now = World::new().now;
-    let heard = replies.take(1, Message { session: 7, body: Body::SetUp(wish("free")) }, now);
+    let now = Harness::new().now;
+    let heard = replies.take(1, Message { session: 7, body: Body::SetUp(set_up_of("free")) }, now);
     let reply = heard.reply.expect("a request");
     let wait = Span::of(3.0);
     assert!(replies.overdue(now).is_empty());
@@ -45,7 +45,7 @@
 #[test]
 fn a_message_that_asks_for_nothing_is_owed_no_answer() {
     let replies = Replies::default();
-    let now = World::new().now;
+    let now = Harness::new().now;
     for body in [Body::Test, Body::Acknowledged, Body::release(cause::NORMAL)] {
         assert!(replies.take(1, Message { session: 1, body }, now).reply.is_none());
     }
@@ -55,88 +55,91 @@
 /// The answer is lost between the dispatcher and the connection.
 #[test]
 fn a_reply_that_is_dropped_is_answered_after_all() {
-    let mut world = World::new();
-    let session = world.ask("free");
-    let link = world.shot(session).expect("it was sent").0;
+    let mut harness = Harness::new();
+    let session = harness.request("free");
+    let link = harness.last_attempt(session).expect("it was sent").0;
     let answer = Body::Answer { description: "answered".into(), load: Default::default() };
-    let on = world.on(link);
-    world.dispatcher.told(world.now, on, Message { session, body: answer });
+    let on = harness.current_connection(link);
+    harness.dispatcher.told(harness.now, on, Message { session, body: answer });
     let is_answer =
         |effect: &Effect| matches!(effect, Effect::Say { message, .. } if message.session == session);
-    world.dispatcher.effects.retain(|effect| !is_answer(effect));
-    world.perform();
-    assert_eq!((world.heard(session).len(), world.dispatcher.replies().open()), (0, 1));
-    world.pass(0.2);
-    assert_eq!(world.answered(session), Some(cause::FAILED));
-    assert_eq!(world.dispatcher.replies().open(), 0);
+    harness.dispatcher.effects.retain(|effect| !is_answer(effect));
+    harness.perform_effects();
+    assert_eq!((harness.messages_to_viewer(session).len(), harness.dispatcher.replies().open()), (0, 1));
+    harness.advance(0.2);
+    assert_eq!(harness.final_answer(session), Some(cause::FAILED));
+    assert_eq!(harness.dispatcher.replies().open(), 0);
 }
 
 #[test]
 fn a_request_whose_connection_takes_no_more_input_gets_no_other_attempt_and_one_answer() {
     for why in [InputEnd::HalfClosed, InputEnd::Unusable] {
-        let mut world = World::new();
-        let session = world.ask("free");
-        world.dispatcher.input_over(world.now, VIEWERS, why);
-        world.perform();
+        let mut harness = Harness::new();
+        let session = harness.request("free");
+        harness.dispatcher.input_over(harness.now, VIEWERS, why);
+        harness.perform_effects();
         match why {
             // The client may still wait for the attempt that is out.
-            InputEnd::HalfClosed => world.ends(session, cause::NOT_SENT),
-            InputEnd::Unusable => assert_eq!(world.released(session), 1, "it is given up"),
+            InputEnd::HalfClosed => harness.streamer_releases(session, cause::NOT_SENT),
+            InputEnd::Unusable => assert_eq!(harness.release_count(session), 1, "it is given up"),
         }
-        world.pass(4.0);
-        assert_eq!(world.shots(session), 1, "{why:?}");
-        assert!(world.answered(session).is_some_and(World::is_refusal), "{why:?}: it may be repeated");
-        assert_eq!(world.dispatcher.replies().open(), 0);
+        harness.advance(4.0);
+        assert_eq!(harness.attempt_count(session), 1, "{why:?}");
+        assert!(
+            harness.final_answer(session).is_some_and(Harness::is_rejection),
+            "{why:?}: it may be repeated"
+        );
+        assert_eq!(harness.dispatcher.replies().open(), 0);
     }
 }
 
 #[test]
 fn a_client_that_closed_its_half_is_served_by_the_attempt_that_is_out() {
-    let mut world = World::new();
-    let session = world.ask("paid");
-    world.dispatcher.input_over(world.now, VIEWERS, InputEnd::HalfClosed);
-    world.answer(session);
-    assert_eq!(world.answered(session), Some(0));
+    let mut harness = Harness::new();
+    let session = harness.request("paid");
+    harness.dispatcher.input_over(harness.now, VIEWERS, InputEnd::HalfClosed);
+    harness.streamer_answers(session);
+    assert_eq!(harness.final_answer(session), Some(0));
 }
 
 #[test]
 fn what_may_have_run_and_may_not_be_repeated_is_failed_and_not_refused() {
-    let mut world = World::new();
-    let session = world.ask("paid");
-    world.dispatcher.input_over(world.now, VIEWERS, InputEnd::Unusable);
-    world.perform();
-    assert_eq!(world.answered(session), Some(cause::FAILED));
+    let mut harness = Harness::new();
+    let session = harness.request("paid");
+    harness.dispatcher.input_over(harness.now, VIEWERS, InputEnd::Unusable);
+    harness.perform_effects();
+    assert_eq!(harness.final_answer(session), Some(cause::FAILED));
 }
 
 #[test]
 fn what_is_asked_and_not_decided_as_the_input_ends_is_refused() {
-    let mut world = World::new();
+    let mut harness = Harness::new();
     let session = 0xabc;
-    world.hears(VIEWERS, Message { session, body: Body::SetUp(wish("paid")) }, world.now);
-    world.dispatcher.input_over(world.now, VIEWERS, InputEnd::HalfClosed);
-    while world.dispatcher.decide(world.now) {}
+    harness.receive(VIEWERS, Message { session, body: Body::SetUp(set_up_of("paid")) }, harness.now);
+    harness.dispatcher.input_over(harness.now, VIEWERS, InputEnd::HalfClosed);
+    while harness.dispatcher.decide(harness.now) {}
     // Read before the input ended, and reported after it.
     let late = 0xabd;
-    world.say(VIEWERS, late, Body::SetUp(wish("paid")));
-    world.perform();
-    assert_eq!((world.answered(session), world.shots(session)), (Some(cause::REJECTED), 0));
-    assert_eq!((world.answered(late), world.shots(late)), (Some(cause::REJECTED), 0));
+    harness.viewer_sends(VIEWERS, late, Body::SetUp(set_up_of("paid")));
+    harness.perform_effects();
+    assert_eq!((harness.final_answer(session), harness.attempt_count(session)), (Some(cause::REJECTED), 0));
+    assert_eq!((harness.final_answer(late), harness.attempt_count(late)), (Some(cause::REJECTED), 0));
 }
 
 /// A hand-over asks for no answer, so the end of its connection takes nothing from it.
 #[test]
 fn what_is_handed_over_on_a_connection_that_closes_is_taken_over() {
     for closes in [true, false] {
-        let mut world = World::new();
-        let mut stands = wish("free");
+        let mut harness = Harness::new();
+        let mut stands = set_up_of("free");
         let figures = stands.details.as_mut().expect("there are some");
         figures.playing_at = Some("s1".to_owned());
-        world.hears(VIEWERS, Message { session: 7, body: Body::SetUp(stands) }, world.now);
+        harness.receive(VIEWERS, Message { session: 7, body: Body::SetUp(stands) }, harness.now);
         match closes {
-            true => world.dispatcher.viewer_gone(world.now, VIEWERS, Departure::Closed),
-            false => world.dispatcher.input_over(world.now, VIEWERS, InputEnd::HalfClosed),
+            true => harness.dispatcher.viewer_gone(harness.now, VIEWERS, Departure::Closed),
+            false => harness.dispatcher.input_over(harness.now, VIEWERS, InputEnd::HalfClosed),
         }
-        while world.dispatcher.decide(world.now) {}
-        assert_eq!(world.dispatcher.in_hand(), 1, "closed whole: {closes}");
+        while harness.dispatcher.decide(harness.now) {}
+        assert_eq!(harness.dispatcher.in_hand(), 1, "closed whole: {closes}");
     }
 }
--- a/crates/lemontide-platform/tests/settings.rs
+++ b/crates/lemontide-platform/tests/settings.rs
@@ -1,9 +1,9 @@
-//! Settings that can't be used: an error with the place, or a controller that decides; never a panic.
+//! Invalid settings give an error that names the place, or a controller that works; they never cause a panic.
 
 mod common;
 
 use bytes::Bytes;
-use common::{entry, settings, wish, STREAMERS};
+use common::{list_entry, set_up_of, settings, STREAMERS};
 use lemontide::clock::{Point, Span};
 use lemontide_platform::codec::{Body, Message};
 use lemontide_platform::config::ListUpdate;
@@ -11,30 +11,33 @@
 use lemontide_platform::serve;
 use serde_json::{json, Value as Json};
 
-/// The places of all plain values.
-fn places(of: &Json, at: String, all: &mut Vec<String>) {
-    match of {
-        Json::Object(map) => map.iter().for_each(|(name, value)| places(value, format!("{at}/{name}"), all)),
-        Json::Array(list) => {
-            list.iter().enumerate().for_each(|(i, value)| places(value, format!("{at}/{i}"), all))
+/// Collects the JSON pointers of all plain values.
+fn collect_pointers(value: &Json, pointer: String, all: &mut Vec<String>) {
+    match value {
+        Json::Object(map) => {
+            map.iter().for_each(|(name, value)| collect_pointers(value, format!("{pointer}/{name}"), all))
         }
-        _ => all.push(at),
+        Json::Array(list) => list
+            .iter()
+            .enumerate()
+            .for_each(|(i, value)| collect_pointers(value, format!("{pointer}/{i}"), all)),
+        _ => all.push(pointer),
     }
 }
 
-/// Starts a dispatcher on these settings and lets it work for a while; the error where they can't be used.
-fn serve(settings: &Json) -> Result<(), String> {
+/// Starts a dispatcher with these settings and lets it serve requests for a while; an error if they are invalid.
+fn serve_with(settings: &Json) -> Result<(), String> {
     let mut now = Point::at(1000.0);
-    let sheet = lemontide_settings::parse_settings(settings)?;
-    let terms = serve::dispatcher_settings(&sheet, settings, 256)?;
-    let mut dispatcher = Dispatcher::start(now, 7, &sheet, terms);
-    let servers = (0..STREAMERS).map(|at| entry(at, "in_service")).collect();
-    dispatcher.learn(now, &ListUpdate { full: true, streamers: servers });
+    let controller_settings = lemontide_settings::parse_settings(settings)?;
+    let dispatcher_settings = serve::dispatcher_settings(&controller_settings, settings, 256)?;
+    let mut dispatcher = Dispatcher::start(now, 7, &controller_settings, dispatcher_settings);
+    let streamers = (0..STREAMERS).map(|at| list_entry(at, "in_service")).collect();
+    dispatcher.learn(now, &ListUpdate { full: true, streamers });
     dispatcher.viewer_up(now, 1);
     for session in 1..100 {
         now = now + Span::of_millis(50);
-        let lane = if session % 2 == 0 { "free" } else { "paid" };
-        let message = Message { session, body: Body::SetUp(wish(lane)) };
+        let class = if session % 2 == 0 { "free" } else { "paid" };
+        let message = Message { session, body: Body::SetUp(set_up_of(class)) };
         let heard = dispatcher.replies().take(1, message, now);
         dispatcher.viewer_said(now, heard);
         assert!(dispatcher.decide(now));
@@ -66,11 +69,11 @@
 }
 
 #[test]
-fn no_value_at_any_place_makes_a_panic_and_errors_name_the_place() {
-    serve(&settings()).expect("usable");
-    let mut all = Vec::new();
-    places(&settings(), String::new(), &mut all);
-    let odd = [
+fn no_value_at_any_place_causes_a_panic_and_errors_name_the_place() {
+    serve_with(&settings()).expect("valid");
+    let mut pointers = Vec::new();
+    collect_pointers(&settings(), String::new(), &mut pointers);
+    let values = [
         json!(0),
         json!(-1),
         json!(1e300),
@@ -82,15 +85,15 @@
         json!({}),
     ];
     let mut refused = 0;
-    for place in all {
-        for value in &odd {
+    for pointer in pointers {
+        for value in &values {
             let mut settings = settings();
-            *settings.pointer_mut(&place).expect("it is there") = value.clone();
-            if let Err(why) = serve(&settings) {
+            *settings.pointer_mut(&pointer).expect("exists") = value.clone();
+            if let Err(error) = serve_with(&settings) {
                 refused += 1;
-                let told = place.split('/').filter(|part| part.parse::<usize>().is_err());
-                let named = told.filter(|part| !part.is_empty()).any(|part| why.contains(part));
-                assert!(named, "{place} = {value}: {why}");
+                let names = pointer.split('/').filter(|part| part.parse::<usize>().is_err());
+                let is_named = names.filter(|part| !part.is_empty()).any(|part| error.contains(part));
+                assert!(is_named, "{pointer} = {value}: {error}");
             }
         }
     }
@@ -98,16 +101,16 @@
 }
 
 #[test]
-fn names_that_come_twice_and_tenants_without_a_share_are_refused_with_the_place() {
-    for (place, value, named) in [
+fn duplicate_names_and_tenants_without_a_share_are_refused_with_the_place() {
+    for (pointer, value, place) in [
         ("/classes/1/name", json!("free"), "classes.1.name"),
         ("/tenants/0", json!({"name": "acme"}), "tenants.0"),
         ("/tenants", json!([{"name": "a", "share": 1}, {"name": "a", "share": 1}]), "tenants.1.name"),
         ("/policy_limits/streams_per_conn", json!(0), "streams_per_conn"),
     ] {
         let mut settings = settings();
-        *settings.pointer_mut(place).expect("it is there") = value;
-        let why = serve(&settings).expect_err(place);
-        assert!(why.contains(named) && why.contains("give"), "{why}");
+        *settings.pointer_mut(pointer).expect("exists") = value;
+        let error = serve_with(&settings).expect_err(pointer);
+        assert!(error.contains(place) && error.contains("give"), "{error}");
     }
 }
