--- a/crates/lemontide-cli/tests/common/mod.rs
+++ b/crates/lemontide-cli/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A controller as a real process on loopback, with scripted streamers, viewers and a list around it.
-#![allow(dead_code)] // each test program uses its own part
+//! A controller as a real process on loopback, with scripted streamers, viewers and journal service.
+#![allow(dead_code)] // each test program uses only a part of it
 
 use bytes::Bytes;
 use lemontide::interface::Load;
@@ -15,97 +15,99 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 
-/// Controllers started so far.
-static STARTED: AtomicU32 = AtomicU32::new(0);
+/// Number of controllers started so far.
+static STARTED_CONTROLLERS: AtomicU32 = AtomicU32::new(0);
 
-/// A streamer in the test: every connection is attended to, and what comes on any of them comes here.
-pub struct Streamer {
+/// A streamer that the test plays, with all connections to it.
+pub struct TestStreamer {
     pub listener: TcpListener,
-    pub links: Vec<Attended>,
+    pub connections: Vec<Attended>,
 }
 
-/// A controller as a process, with the ends around it.
-pub struct Served {
+/// A running controller process, and the services that the test plays around it.
+pub struct RunningController {
     pub process: Child,
     pub listen: SocketAddr,
     pub journal: Journal,
-    pub streamers: Vec<Streamer>,
+    pub streamers: Vec<TestStreamer>,
     pub config: Json,
     pub folder: tempfile::TempDir,
 }
 
-impl Served {
-    /// Starts one with so many streamers; `change` may change its configuration.
-    pub async fn start(streamers: usize, change: impl Fn(&mut Json)) -> Served {
+impl RunningController {
+    /// Starts a controller with this number of streamers. `change_config` can change its configuration.
+    pub async fn start(streamer_count: usize, change_config: impl Fn(&mut Json)) -> RunningController {
         let folder = tempfile::tempdir().expect("a folder");
         let journal = Journal::start().await.expect("a port");
-        let mut all = Vec::new();
-        let mut servers = Vec::new();
-        for at in 0..streamers {
+        let mut streamers = Vec::new();
+        let mut entries = Vec::new();
+        for at in 0..streamer_count {
             let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
-            servers.push(server(at, &listener, "in_service"));
-            all.push(Streamer { listener, links: Vec::new() });
+            entries.push(list_entry(at, &listener, "in_service"));
+            streamers.push(TestStreamer { listener, connections: Vec::new() });
         }
-        // An address of its own: on the common one another's connection may take the port during a restart.
-        let number = STARTED.fetch_add(1, Ordering::Relaxed);
-        let own = Ipv4Addr::new(127, 77, (number / 250) as u8, (number % 250) as u8 + 1);
-        let free = std::net::TcpListener::bind((own, 0)).expect("a free port");
-        let listen = free.local_addr().expect("it is bound");
-        drop(free);
+        // Each controller has an address of its own: on a common one, another connection can take the port during a restart.
+        let number = STARTED_CONTROLLERS.fetch_add(1, Ordering::Relaxed);
+        let own_address = Ipv4Addr::new(127, 77, (number / 250) as u8, (number % 250) as u8 + 1);
+        let free_port = std::net::TcpListener::bind((own_address, 0)).expect("a free port");
+        let listen = free_port.local_addr().expect("bound");
+        drop(free_port);
         let mut settings = settings();
         settings["policy_limits"]["try_limit"] = json!(4);
         let mut config = json!({"listen": listen, "seed": "1", "settings": settings,
-            "limits": {"sockets": 1024}, "journal": journal.address().expect("it is bound").to_string(),
-            "known": {"pos": 1, "entries": [{"pos": 1, "hosts": {"full": true, "servers": servers}}]}});
-        change(&mut config);
+            "limits": {"sockets": 1024}, "journal": journal.address().expect("bound").to_string(),
+            "known": {"pos": 1, "entries": [{"pos": 1, "hosts": {"full": true, "servers": entries}}]}});
+        change_config(&mut config);
         let process = spawn(folder.path(), &config, listen);
-        Served { process, listen, journal, streamers: all, config, folder }
+        RunningController { process, listen, journal, streamers, config, folder }
     }
 
     pub fn signal(&self, signal: Signal) {
-        let pid = self.process.id().expect("it runs");
+        let pid = self.process.id().expect("running");
         kill(Pid::from_raw(pid as i32), signal).expect("sent");
     }
 
-    /// Stops the process until `go_on`, so that it finds at once whatever comes in between.
-    pub async fn hold(&self) {
+    /// Stops the process until `resume`, so that it then receives at once everything that was sent in between.
+    pub async fn pause(&self) {
         self.signal(Signal::SIGSTOP);
-        // The signal is sent; the process stands still once the kernel says so.
-        let pid = self.process.id().expect("it runs");
-        let stands =
+        // The signal is sent now; the process is stopped only when the kernel shows it.
+        let pid = self.process.id().expect("running");
+        let is_stopped =
             || std::fs::read_to_string(format!("/proc/{pid}/stat")).is_ok_and(|s| s.contains(") T "));
-        let held = async {
-            while !stands() {
+        let stopped = async {
+            while !is_stopped() {
                 sleep(Duration::from_millis(1)).await;
             }
         };
-        timeout(SOON, held).await.expect("it stands still");
+        timeout(SOON, stopped).await.expect("stopped in time");
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
+    /// A new viewers' connection.
     pub async fn viewer(&self) -> End {
-        End::viewer(self.listen).await.expect("it listens")
+        End::viewer(self.listen).await.expect("connected")
     }
 
-    /// The next message that is no test from any streamer, with the streamer and its connection.
-    pub async fn next(&mut self) -> Option<(usize, usize, Message)> {
-        self.next_within(SOON).await
+    /// The next message to any streamer, except tests, with the streamer and its connection.
+    pub async fn next_message(&mut self) -> Option<(usize, usize, Message)> {
+        self.next_message_within(SOON).await
     }
 
-    pub async fn next_within(&mut self, within: Duration) -> Option<(usize, usize, Message)> {
+    /// The same, or none after this time.
+    pub async fn next_message_within(&mut self, within: Duration) -> Option<(usize, usize, Message)> {
         let until = Instant::now() + within;
         loop {
             for (at, streamer) in self.streamers.iter_mut().enumerate() {
                 let accepted = timeout(Duration::from_millis(1), streamer.listener.accept());
                 if let Ok(Ok((socket, _))) = accepted.await {
-                    streamer.links.push(End::of(socket).attend());
+                    streamer.connections.push(End::of(socket).attend());
                 }
-                for (link, attended) in streamer.links.iter_mut().enumerate() {
+                for (connection, attended) in streamer.connections.iter_mut().enumerate() {
                     if let Some(message) = attended.try_news() {
-                        return Some((at, link, message));
+                        return Some((at, connection, message));
                     }
                 }
             }
@@ -115,36 +117,40 @@
         }
     }
 
-    pub async fn say(&mut self, at: (usize, usize), session: u64, body: Body) {
-        self.streamers[at.0].links[at.1].say(session, body).await.expect("sent");
+    /// Sends a message from a streamer, on this connection of it.
+    pub async fn streamer_sends(&mut self, at: (usize, usize), session: u64, body: Body) {
+        self.streamers[at.0].connections[at.1].say(session, body).await.expect("sent");
     }
 
-    pub async fn ends(mut self) -> std::process::ExitStatus {
-        timeout(SOON * 2, self.process.wait()).await.expect("it ends").expect("waited for")
+    /// Waits until the process ends.
+    pub async fn wait_for_exit(mut self) -> std::process::ExitStatus {
+        timeout(SOON * 2, self.process.wait()).await.expect("ends in time").expect("waited for")
     }
 }
 
-pub fn server(at: usize, listener: &TcpListener, state: &str) -> Json {
-    let addr = listener.local_addr().expect("it is bound").to_string();
+/// An entry of the list of streamers.
+pub fn list_entry(at: usize, listener: &TcpListener, state: &str) -> Json {
+    let addr = listener.local_addr().expect("bound").to_string();
     json!({"id": format!("s{at}"), "addr": addr, "zone": "a", "kind": "std", "cell": 0, "state": state,
         "weight": 1, "started_ms": 0})
 }
 
+/// Starts a controller process.
 pub fn spawn(folder: &std::path::Path, config: &Json, listen: SocketAddr) -> Child {
     spawn_logging(folder, config, listen, None)
 }
 
-/// The same, with a line for every request in that file.
+/// The same; with a log file, each request is logged there.
 pub fn spawn_logging(
     folder: &std::path::Path,
     config: &Json,
     listen: SocketAddr,
     log: Option<&std::path::Path>,
 ) -> Child {
-    let file = folder.join("config.json");
-    std::fs::write(&file, config.to_string()).expect("written");
-    let most = config["limits"]["sockets"].as_u64().expect("a number");
-    // The descriptors are the platform's: no more than it says.
+    let config_file = folder.join("config.json");
+    std::fs::write(&config_file, config.to_string()).expect("written");
+    let max_descriptors = config["limits"]["sockets"].as_u64().expect("a number");
+    // The process gets no more descriptors than the configuration says.
     let mut command = Command::new("/bin/sh");
     if let Some(log) = log {
         let log = std::fs::File::create(log).expect("a file");
@@ -152,18 +158,19 @@
     }
     command
         .arg("-c")
-        .arg(format!("ulimit -n {most}; exec {} serve", env!("CARGO_BIN_EXE_lemontide")))
-        .env("RELAY_CONFIG", &file)
+        .arg(format!("ulimit -n {max_descriptors}; exec {} serve", env!("CARGO_BIN_EXE_lemontide")))
+        .env("RELAY_CONFIG", &config_file)
         .env("RELAY_LISTEN", listen.to_string())
         .kill_on_drop(true)
         .spawn()
-        .expect("it starts")
+        .expect("started")
 }
 
-pub fn set_up(lane: &str, at: Option<&str>) -> Body {
-    let at = at.map(str::to_owned);
+/// A set-up of this class; with `playing_at`, of a session that plays already at that streamer.
+pub fn set_up(class: &str, playing_at: Option<&str>) -> Body {
+    let playing_at = playing_at.map(str::to_owned);
     Body::SetUp(SetUp {
-        class: lane.into(),
+        class: class.into(),
         tenant: "acme".into(),
         title: "t".into(),
         wait_ms: 60_000,
@@ -172,23 +179,24 @@
             replicas: 1,
             max_rung: 1,
             is_retry: false,
-            playing_at: at,
+            playing_at,
         }),
         description: Bytes::from_static(b"asked"),
         ..SetUp::default()
     })
 }
 
+/// A streamer's answer to a set-up.
 pub fn answer() -> Body {
     Body::Answer { description: Bytes::from_static(b"made"), load: Load::default() }
 }
 
-/// The controller passes a test on this connection: all that came on it before is heard.
-pub async fn passes(viewer: &mut End) {
+/// Waits until the controller passes a test on this connection: it has then read everything that was sent before.
+pub async fn wait_for_test(viewer: &mut End) {
     viewer.say(u64::MAX, Body::Test).await.expect("sent");
     loop {
-        let heard = viewer.hear().await.expect("told");
-        if heard.body == (Body::TestResult { passed: true }) {
+        let message = viewer.hear().await.expect("received");
+        if message.body == (Body::TestResult { passed: true }) {
             return;
         }
     }
--- a/crates/lemontide-cli/tests/crossings.rs
+++ b/crates/lemontide-cli/tests/crossings.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{answer, passes, server, set_up, spawn, spawn_logging, Served};
+use common::{answer, list_entry, set_up, spawn, spawn_logging, wait_for_test, RunningController};
 use lemontide_platform::codec::{cause, Body, SetUp};
 use lemontide_standin::platform::{End, Journal, SOON};
 use nix::sys::signal::Signal;
@@ -22,23 +22,23 @@
 async fn no_attempt_begins_for_a_viewer_that_has_gone() {
     const ROUNDS: u64 = 40;
     const EACH: u64 = 50;
-    let mut served = Served::start(3, |_| {}).await;
+    let mut controller = RunningController::start(3, |_| {}).await;
     let mut begun_after = 0;
     let (mut left, mut stayed) = (0, 0);
     for round in 0..ROUNDS {
         let mut viewers: BTreeMap<u64, End> = BTreeMap::new();
         let mut out: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
         for n in 1..=EACH {
-            let mut viewer = served.viewer().await;
+            let mut viewer = controller.viewer().await;
             let session = round * EACH + n;
             viewer.say(session, set_up(if n % 2 == 0 { "free" } else { "paid" }, None)).await.expect("sent");
             viewers.insert(session, viewer);
         }
         while out.len() < EACH as usize {
-            let (at, link, message) = served.next().await.expect("sent on");
+            let (at, link, message) = controller.next_message().await.expect("sent on");
             out.insert(message.session, (at, link));
         }
-        served.hold().await;
+        controller.pause().await;
         let mut gone = BTreeSet::new();
         for session in out.keys().copied() {
             match session % 4 {
@@ -52,24 +52,26 @@
             gone.insert(session);
         }
         for (session, at) in &out {
-            served.say(*at, *session, Body::release(cause::NOT_SENT)).await;
+            controller.streamer_sends(*at, *session, Body::release(cause::NOT_SENT)).await;
         }
         sleep(Duration::from_millis(150)).await;
-        served.go_on();
+        controller.resume();
         let mut again = BTreeSet::new();
         while again.len() < (EACH as usize - gone.len()) {
-            let (at, link, message) = served.next().await.expect("who stayed is sent elsewhere");
+            let (at, link, message) = controller.next_message().await.expect("who stayed is sent elsewhere");
             match message.body {
                 Body::SetUp(_) if gone.contains(&message.session) => begun_after += 1,
                 Body::SetUp(_) => {
                     again.insert(message.session);
-                    served.say((at, link), message.session, answer()).await;
-                    served.say((at, link), message.session, Body::release(cause::NORMAL)).await;
+                    controller.streamer_sends((at, link), message.session, answer()).await;
+                    controller
+                        .streamer_sends((at, link), message.session, Body::release(cause::NORMAL))
+                        .await;
                 }
                 _ => {}
             }
         }
-        while let Some((_, _, message)) = served.next_within(Duration::from_millis(20)).await {
+        while let Some((_, _, message)) = controller.next_message_within(Duration::from_millis(20)).await {
             begun_after +=
                 usize::from(matches!(message.body, Body::SetUp(_)) && gone.contains(&message.session));
         }
@@ -107,12 +109,12 @@
 #[tokio::test]
 async fn viewers_that_leave_at_random_moments_get_no_late_attempts() {
     const EACH: u64 = 500;
-    let served = Served::start(3, |_| {}).await;
+    let controller = RunningController::start(3, |_| {}).await;
     let (came, mut comes) = mpsc::channel(EACH as usize * 8);
     let (left, mut leaves) = mpsc::channel(EACH as usize);
-    let (process, listen) = (served.process, served.listen);
-    let _kept = (process, served.journal, served.folder);
-    for streamer in served.streamers {
+    let (process, listen) = (controller.process, controller.listen);
+    let _kept = (process, controller.journal, controller.folder);
+    for streamer in controller.streamers {
         tokio::spawn(send_back(streamer.listener, came.clone()));
     }
     for session in 1..=EACH {
@@ -156,15 +158,15 @@
 /// A set-up that came while the process stood still is answered by the time its viewer gave, counted from then.
 #[tokio::test]
 async fn a_stall_shortens_the_wait_of_what_came_in_it() {
-    let mut served = Served::start(1, |_| {}).await;
-    let mut viewer = served.viewer().await;
-    passes(&mut viewer).await;
-    served.hold().await;
+    let mut controller = RunningController::start(1, |_| {}).await;
+    let mut viewer = controller.viewer().await;
+    wait_for_test(&mut viewer).await;
+    controller.pause().await;
     let Body::SetUp(asked) = set_up("paid", None) else { panic!("it is one") };
     viewer.say(5, Body::SetUp(SetUp { wait_ms: 3000, ..asked })).await.expect("sent");
     sleep(Duration::from_millis(1500)).await;
-    served.go_on();
-    let (_, _, message) = served.next().await.expect("sent on");
+    controller.resume();
+    let (_, _, message) = controller.next_message().await.expect("sent on");
     let Body::SetUp(sent) = message.body else { panic!("it is one") };
     // The stall is seen but for one beat of the timer at most.
     assert!(sent.wait_ms <= 3000 - 1500 + 120, "{} ms left", sent.wait_ms);
@@ -173,16 +175,16 @@
 /// A streamer's answer and its viewer's close are found at once: nobody watches that stream.
 #[tokio::test]
 async fn an_answer_that_crosses_a_close_leaves_no_stream_behind() {
-    let mut served = Served::start(1, |_| {}).await;
-    let mut viewer = served.viewer().await;
+    let mut controller = RunningController::start(1, |_| {}).await;
+    let mut viewer = controller.viewer().await;
     viewer.say(5, set_up("free", None)).await.expect("sent");
-    let (at, link, _) = served.next().await.expect("sent on");
-    served.hold().await;
-    served.say((at, link), 5, answer()).await;
+    let (at, link, _) = controller.next_message().await.expect("sent on");
+    controller.pause().await;
+    controller.streamer_sends((at, link), 5, answer()).await;
     drop(viewer);
     sleep(Duration::from_millis(50)).await;
-    served.go_on();
-    let (_, _, message) = served.next().await.expect("it is ended");
+    controller.resume();
+    let (_, _, message) = controller.next_message().await.expect("it is ended");
     assert_eq!((message.session, message.body), (5, Body::release(cause::NORMAL)));
 }
 
@@ -191,32 +193,32 @@
 #[tokio::test]
 async fn a_set_up_that_crosses_an_idle_close_is_taken() {
     // 96 descriptors: 96 - 24 - 32 are the viewers'.
-    let mut served = Served::start(1, |config| config["limits"]["sockets"] = json!(96)).await;
+    let mut controller = RunningController::start(1, |config| config["limits"]["sockets"] = json!(96)).await;
     let mut viewers = Vec::new();
     for _ in 0..40 {
-        let mut viewer = served.viewer().await;
-        passes(&mut viewer).await;
+        let mut viewer = controller.viewer().await;
+        wait_for_test(&mut viewer).await;
         viewers.push(viewer);
     }
     for session in 1..=5 {
-        served.hold().await;
+        controller.pause().await;
         viewers[0].say(session, set_up("free", None)).await.expect("sent");
-        let mut newcomer = served.viewer().await;
+        let mut newcomer = controller.viewer().await;
         newcomer.say(u64::MAX, Body::Test).await.expect("sent");
-        served.go_on();
-        let (at, link, message) = served.next().await.expect("sent on");
+        controller.resume();
+        let (at, link, message) = controller.next_message().await.expect("sent on");
         assert_eq!(message.session, session);
         newcomer.hear().await.expect("another made room");
-        served.say((at, link), session, answer()).await;
+        controller.streamer_sends((at, link), session, answer()).await;
         assert_eq!(viewers[0].hear().await.expect("answered where it asked").body, answer());
-        served.say((at, link), session, Body::release(cause::NORMAL)).await;
+        controller.streamer_sends((at, link), session, Body::release(cause::NORMAL)).await;
         viewers[0].hear().await.expect("released");
         viewers.remove(1);
         let owed = viewers.remove(0);
         viewers.push(newcomer);
         viewers.push(owed);
         for viewer in &mut viewers[..] {
-            passes(viewer).await;
+            wait_for_test(viewer).await;
         }
     }
 }
@@ -228,30 +230,30 @@
     let away = TcpListener::bind(("127.0.0.1", 0)).await.expect("a free port");
     let at = away.local_addr().expect("it is bound");
     drop(away);
-    let mut served = Served::start(1, |config| {
+    let mut controller = RunningController::start(1, |config| {
         config["limits"]["sockets"] = json!(96);
         config["journal"] = json!(at.to_string());
     })
     .await;
     let mut idle = Vec::new();
     for n in 0..160 {
-        let mut viewer = served.viewer().await;
+        let mut viewer = controller.viewer().await;
         // Some say a word and nothing more, and some nothing at all.
         if n % 2 == 0 {
-            passes(&mut viewer).await;
+            wait_for_test(&mut viewer).await;
         }
         idle.push(viewer);
     }
-    let mut asks = served.viewer().await;
+    let mut asks = controller.viewer().await;
     asks.say(7, set_up("free", None)).await.expect("sent");
-    let (at_streamer, link, message) = served.next().await.expect("sent on");
+    let (at_streamer, link, message) = controller.next_message().await.expect("sent on");
     assert_eq!(message.session, 7);
-    served.say((at_streamer, link), 7, answer()).await;
+    controller.streamer_sends((at_streamer, link), 7, answer()).await;
     assert_eq!(asks.hear().await.expect("answered").body, answer());
     let back = Journal::listen(at).await.expect("the port is free");
     let (mut reader, last) = back.reader().await.expect("it asks though viewers fill the rest");
     assert_eq!(last, 1);
-    let drains = server(0, &served.streamers[0].listener, "terminating");
+    let drains = list_entry(0, &controller.streamers[0].listener, "terminating");
     let event = json!({"pos": 2, "hosts": {"full": false, "servers": [drains]}});
     reader.write_all(format!("{event}\n").as_bytes()).await.expect("sent");
     let obeyed = async {
@@ -262,29 +264,29 @@
                     assert!(matches!(told.expect("answered").body, Body::Release { .. }));
                     return;
                 }
-                sent = served.next() => {
+                sent = controller.next_message() => {
                     let (at, link, message) = sent.expect("sent on");
-                    served.say((at, link), message.session, answer()).await;
+                    controller.streamer_sends((at, link), message.session, answer()).await;
                 }
             }
             asks.hear().await.expect("answered");
         }
     };
     timeout(SOON, obeyed).await.expect("the drain is obeyed");
-    assert!(served.process.try_wait().expect("asked").is_none(), "it runs on");
+    assert!(controller.process.try_wait().expect("asked").is_none(), "it runs on");
 }
 
 /// Viewers that say something without end kept the loop from everything that its `select!` names after them.
 #[tokio::test]
 async fn a_flood_keeps_neither_signals_nor_the_list_nor_others_waiting() {
-    let served = Served::start(1, |_| {}).await;
+    let controller = RunningController::start(1, |_| {}).await;
     let (stop, _) = tokio::sync::broadcast::channel::<()>(1);
     let mut floods = Vec::new();
     for _ in 0..8 {
-        let socket = tokio::net::TcpStream::connect(served.listen);
+        let socket = tokio::net::TcpStream::connect(controller.listen);
         let socket = match socket.await {
             Ok(socket) => socket,
-            Err(_) => End::viewer(served.listen).await.expect("it listens").into_socket(),
+            Err(_) => End::viewer(controller.listen).await.expect("it listens").into_socket(),
         };
         let mut stopped = stop.subscribe();
         let (mut read, mut write) = socket.into_split();
@@ -299,38 +301,38 @@
             }
         }));
     }
-    let mut other = served.viewer().await;
-    passes(&mut other).await;
+    let mut other = controller.viewer().await;
+    wait_for_test(&mut other).await;
     let moved = Journal::start().await.expect("a port");
-    let mut config = served.config.clone();
+    let mut config = controller.config.clone();
     config["journal"] = json!(moved.address().expect("it is bound").to_string());
-    std::fs::write(served.folder.path().join("config.json"), config.to_string()).expect("written");
-    served.signal(Signal::SIGHUP);
+    std::fs::write(controller.folder.path().join("config.json"), config.to_string()).expect("written");
+    controller.signal(Signal::SIGHUP);
     moved.reader().await.expect("it asks at the new address");
-    served.signal(Signal::SIGTERM);
-    assert!(served.ends().await.success());
+    controller.signal(Signal::SIGTERM);
+    assert!(controller.wait_for_exit().await.success());
     let _ = stop.send(());
 }
 
 /// The end of what stood, told in the moment in which its viewer's connection closes: it was written there and lost.
 #[tokio::test]
 async fn a_release_that_crosses_a_close_goes_to_another_connection() {
-    let mut served = Served::start(1, |_| {}).await;
-    let (mut first, mut other) = (served.viewer().await, served.viewer().await);
+    let mut controller = RunningController::start(1, |_| {}).await;
+    let (mut first, mut other) = (controller.viewer().await, controller.viewer().await);
     let mut at = (0, 0);
     for (session, viewer) in [(1, &mut first), (2, &mut other)] {
         viewer.say(session, set_up("free", None)).await.expect("sent");
-        let (streamer, link, message) = served.next().await.expect("sent on");
+        let (streamer, link, message) = controller.next_message().await.expect("sent on");
         assert_eq!(message.session, session);
         at = (streamer, link);
-        served.say(at, session, answer()).await;
+        controller.streamer_sends(at, session, answer()).await;
         assert_eq!(viewer.hear().await.expect("answered").body, answer());
     }
-    served.hold().await;
+    controller.pause().await;
     drop(first);
-    served.say(at, 1, Body::release(cause::NORMAL)).await;
+    controller.streamer_sends(at, 1, Body::release(cause::NORMAL)).await;
     sleep(Duration::from_millis(150)).await;
-    served.go_on();
+    controller.resume();
     let told = other.hear().await.expect("told on the other connection");
     assert_eq!((told.session, told.body), (1, Body::release(cause::NORMAL)));
 }
@@ -338,23 +340,23 @@
 /// A session ends before the one that takes it over has heard of it, either end first.
 #[tokio::test]
 async fn what_ended_before_it_was_handed_over_is_released_at_once() {
-    let mut served = Served::start(1, |_| {}).await;
-    let mut viewer = served.viewer().await;
+    let mut controller = RunningController::start(1, |_| {}).await;
+    let mut viewer = controller.viewer().await;
     viewer.say(1, set_up("free", None)).await.expect("sent");
-    let (at, link, _) = served.next().await.expect("sent on");
-    served.say((at, link), 1, answer()).await;
+    let (at, link, _) = controller.next_message().await.expect("sent on");
+    controller.streamer_sends((at, link), 1, answer()).await;
     viewer.hear().await.expect("answered");
-    served.say((at, link), 8, Body::release(cause::NORMAL)).await;
+    controller.streamer_sends((at, link), 8, Body::release(cause::NORMAL)).await;
     viewer.say(9, Body::release(cause::NORMAL)).await.expect("sent");
     // What was said on the streamer's connection before this is heard once this is.
-    served.say((at, link), 1, Body::release(cause::NORMAL)).await;
+    controller.streamer_sends((at, link), 1, Body::release(cause::NORMAL)).await;
     assert_eq!(viewer.hear().await.expect("released").session, 1);
     for session in [8, 9] {
         viewer.say(session, set_up("free", Some("s0"))).await.expect("sent");
     }
     let told = viewer.hear().await.expect("its streamer ended it");
     assert_eq!((told.session, told.body), (8, Body::release(cause::NORMAL)));
-    let (_, _, told) = served.next().await.expect("its viewer ended it");
+    let (_, _, told) = controller.next_message().await.expect("its viewer ended it");
     assert_eq!((told.session, told.body), (9, Body::release(cause::NORMAL)));
 }
 
@@ -362,18 +364,18 @@
 /// twice or together change nothing.
 #[tokio::test]
 async fn a_stop_waits_for_the_longest_deadline_and_other_signals_change_nothing() {
-    let mut served = Served::start(1, |_| {}).await;
-    let mut viewer = served.viewer().await;
+    let mut controller = RunningController::start(1, |_| {}).await;
+    let mut viewer = controller.viewer().await;
     viewer.say(1, set_up("paid", None)).await.expect("sent");
-    let (at, link, _) = served.next().await.expect("sent on");
+    let (at, link, _) = controller.next_message().await.expect("sent on");
     for signal in [Signal::SIGTERM, Signal::SIGHUP, Signal::SIGTERM] {
-        served.signal(signal);
+        controller.signal(signal);
     }
     // Longer than the eight seconds after which a stopping process used to end, whatever it owed.
     sleep(Duration::from_millis(8700)).await;
-    served.say((at, link), 1, Body::release(cause::ERROR)).await;
+    controller.streamer_sends((at, link), 1, Body::release(cause::ERROR)).await;
     assert_eq!(viewer.hear().await.expect("the final answer").body, Body::release(cause::FAILED));
-    assert!(served.ends().await.success());
+    assert!(controller.wait_for_exit().await.success());
 }
 
 /// An answer and two dozen new requests that a process finds at once: the answer is with its viewer before anything of the
@@ -382,41 +384,41 @@
 async fn an_answer_leaves_before_anything_new_is_decided() {
     const ROUNDS: u64 = 8;
     const ASKED: u64 = 24;
-    let mut served = Served::start(1, |_| {}).await;
+    let mut controller = RunningController::start(1, |_| {}).await;
     let mut asking = Vec::new();
     for _ in 0..4 {
-        asking.push(served.viewer().await);
+        asking.push(controller.viewer().await);
     }
-    let mut viewer = served.viewer().await;
+    let mut viewer = controller.viewer().await;
     for round in 1..=ROUNDS {
         let session = round * 1000;
         viewer.say(session, set_up("paid", None)).await.expect("sent");
-        let (at, link, message) = served.next().await.expect("sent on");
+        let (at, link, message) = controller.next_message().await.expect("sent on");
         assert_eq!(message.session, session);
-        served.hold().await;
+        controller.pause().await;
         for n in 1..=ASKED {
             let asks = &mut asking[n as usize % 4];
             asks.say(session + n, set_up("free", None)).await.expect("sent");
         }
-        served.say((at, link), session, answer()).await;
+        controller.streamer_sends((at, link), session, answer()).await;
         // All of it is in the sockets of the process once the other ends have written it.
         let written = async {
-            while !served.streamers[at].links[link].is_said() {
+            while !controller.streamers[at].connections[link].is_said() {
                 sleep(Duration::from_millis(1)).await;
             }
         };
         timeout(SOON, written).await.expect("written");
-        served.go_on();
+        controller.resume();
         let answered = async { viewer.hear().await.expect("answered").session };
         let first = tokio::select! {
             biased;
             session = answered => session,
-            message = served.next() => message.expect("sent on").2.session,
+            message = controller.next_message() => message.expect("sent on").2.session,
         };
         assert_eq!(first, session, "round {round}: a new request was sent on before the answer");
         for _ in 0..ASKED {
-            let (at, link, message) = served.next().await.expect("sent on");
-            served.say((at, link), message.session, answer()).await;
+            let (at, link, message) = controller.next_message().await.expect("sent on");
+            controller.streamer_sends((at, link), message.session, answer()).await;
         }
         for n in 1..=ASKED {
             let heard = asking[n as usize % 4].hear().await.expect("answered");
@@ -430,15 +432,15 @@
 #[tokio::test]
 async fn idle_connections_wake_nobody() {
     const CONNECTIONS: usize = 100;
-    let served = Served::start(1, |_| {}).await;
+    let controller = RunningController::start(1, |_| {}).await;
     let mut idle = Vec::new();
     for _ in 0..CONNECTIONS {
-        let mut viewer = served.viewer().await;
-        passes(&mut viewer).await;
+        let mut viewer = controller.viewer().await;
+        wait_for_test(&mut viewer).await;
         idle.push(viewer);
         sleep(Duration::from_millis(1)).await;
     }
-    let pid = served.process.id().expect("it runs");
+    let pid = controller.process.id().expect("it runs");
     let woken = || {
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("it runs");
         let line = status.lines().find_map(|line| line.strip_prefix("voluntary_ctxt_switches:"));
@@ -455,25 +457,26 @@
 /// Each request leaves one line in the log at its end, with how long each step took.
 #[tokio::test]
 async fn every_request_leaves_one_line() {
-    let mut served = Served::start(1, |_| {}).await;
-    let log = served.folder.path().join("log");
-    served.process.kill().await.expect("killed");
-    served.process = spawn_logging(served.folder.path(), &served.config, served.listen, Some(&log));
-    let mut viewer = served.viewer().await;
+    let mut controller = RunningController::start(1, |_| {}).await;
+    let log = controller.folder.path().join("log");
+    controller.process.kill().await.expect("killed");
+    controller.process =
+        spawn_logging(controller.folder.path(), &controller.config, controller.listen, Some(&log));
+    let mut viewer = controller.viewer().await;
     for session in [1, 2, 3] {
         viewer.say(session, set_up("paid", None)).await.expect("sent");
-        let (at, link, message) = served.next().await.expect("sent on");
+        let (at, link, message) = controller.next_message().await.expect("sent on");
         assert_eq!(message.session, session);
         match session {
-            1 => served.say((at, link), 1, answer()).await,
-            2 => served.say((at, link), 2, Body::release(cause::ERROR)).await,
+            1 => controller.streamer_sends((at, link), 1, answer()).await,
+            2 => controller.streamer_sends((at, link), 2, Body::release(cause::ERROR)).await,
             _ => viewer.say(3, Body::release(cause::NORMAL)).await.expect("sent"),
         }
         if session < 3 {
             viewer.hear().await.expect("answered");
         }
     }
-    passes(&mut viewer).await;
+    wait_for_test(&mut viewer).await;
     let lines = || {
         let text = std::fs::read_to_string(&log).unwrap_or_default();
         let lines = text.lines().filter_map(|line| serde_json::from_str::<Json>(line).ok());
@@ -501,17 +504,17 @@
 /// A configuration that is half written when SIGHUP comes is read again.
 #[tokio::test]
 async fn a_half_written_configuration_is_read_again() {
-    let served = Served::start(1, |_| {}).await;
-    let mut viewer = served.viewer().await;
-    passes(&mut viewer).await;
+    let controller = RunningController::start(1, |_| {}).await;
+    let mut viewer = controller.viewer().await;
+    wait_for_test(&mut viewer).await;
     let moved = Journal::start().await.expect("a port");
-    let mut config = served.config.clone();
+    let mut config = controller.config.clone();
     config["journal"] = json!(moved.address().expect("it is bound").to_string());
-    let (file, text) = (served.folder.path().join("config.json"), config.to_string());
-    served.journal.reader().await.expect("it asks");
+    let (file, text) = (controller.folder.path().join("config.json"), config.to_string());
+    controller.journal.reader().await.expect("it asks");
     std::fs::write(&file, &text[..text.len() / 2]).expect("written");
-    served.signal(Signal::SIGHUP);
-    passes(&mut viewer).await;
+    controller.signal(Signal::SIGHUP);
+    wait_for_test(&mut viewer).await;
     std::fs::write(&file, &text).expect("written");
     moved.reader().await.expect("it asks at the new address, though nobody told it again");
 }
@@ -522,14 +525,14 @@
     const PROCESSES: usize = 30;
     let mut all = Vec::new();
     for n in 0..PROCESSES {
-        all.push((n, Served::start(2, |config| config["limits"]["sockets"] = json!(256)).await));
+        all.push((n, RunningController::start(2, |config| config["limits"]["sockets"] = json!(256)).await));
     }
     let (tell, mut told) = mpsc::channel(PROCESSES);
-    for (n, mut served) in all {
+    for (n, mut controller) in all {
         let tell = tell.clone();
         tokio::spawn(async move {
             let (stop, mut stopped) = tokio::sync::oneshot::channel::<()>();
-            let listen = served.listen;
+            let listen = controller.listen;
             // Load until the restart is over: requests of which nobody hears again, on ever new connections.
             let load = tokio::spawn(async move {
                 for session in 1.. {
@@ -545,14 +548,14 @@
                     }
                 }
             });
-            let mut viewer = served.viewer().await;
-            passes(&mut viewer).await;
-            served.signal(if n % 2 == 0 { Signal::SIGTERM } else { Signal::SIGKILL });
-            let _ = served.process.wait().await;
+            let mut viewer = controller.viewer().await;
+            wait_for_test(&mut viewer).await;
+            controller.signal(if n % 2 == 0 { Signal::SIGTERM } else { Signal::SIGKILL });
+            let _ = controller.process.wait().await;
             let since = Instant::now();
-            served.process = spawn(served.folder.path(), &served.config, served.listen);
-            let mut viewer = served.viewer().await;
-            passes(&mut viewer).await;
+            controller.process = spawn(controller.folder.path(), &controller.config, controller.listen);
+            let mut viewer = controller.viewer().await;
+            wait_for_test(&mut viewer).await;
             let _ = tell.send(since.elapsed()).await;
             let _ = stop.send(());
             let _ = load.await;
--- a/crates/lemontide-cli/tests/overlapping_attempts.rs
+++ b/crates/lemontide-cli/tests/overlapping_attempts.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{answer, set_up, Served};
+use common::{answer, set_up, RunningController};
 use lemontide_platform::codec::{cause, Body};
 use lemontide_standin::platform::{Attended, End, SOON};
 use serde_json::json;
@@ -19,12 +19,12 @@
 /// Well before an attempt without an answer is given up.
 const BEFORE_GIVEN_UP: Duration = Duration::from_millis(300);
 
-async fn start(streamers: usize) -> Served {
+async fn start(streamers: usize) -> RunningController {
     let class = |config: &mut serde_json::Value| {
         config["settings"]["classes"][0]["aim"] = json!(GOAL_S);
         config["settings"]["classes"][0]["hard_limit"] = json!(DEADLINE_S);
     };
-    Served::start(streamers, class).await
+    RunningController::start(streamers, class).await
 }
 
 async fn accept(listener: &TcpListener) -> TcpStream {
@@ -47,10 +47,10 @@
 /// The end of the first attempt lies unread at its streamer, and the second one begins at another.
 #[tokio::test]
 async fn no_second_attempt_while_the_end_of_the_first_is_unread() {
-    let served = start(2).await;
-    let mut viewer = served.viewer().await;
+    let controller = start(2).await;
+    let mut viewer = controller.viewer().await;
     viewer.say(1, set_up("free", None)).await.expect("sent");
-    let (first, second) = (&served.streamers[0].listener, &served.streamers[1].listener);
+    let (first, second) = (&controller.streamers[0].listener, &controller.streamers[1].listener);
     let (unread, other) = tokio::select! {
         socket = accept(first) => (socket, second),
         socket = accept(second) => (socket, first),
@@ -78,15 +78,15 @@
 #[tokio::test]
 async fn no_second_attempt_overtakes_the_end_of_the_first_on_another_connection() {
     const REQUESTS: u64 = 6;
-    let served = start(1).await;
-    let mut viewer = served.viewer().await;
+    let controller = start(1).await;
+    let mut viewer = controller.viewer().await;
     for session in 1..=REQUESTS {
         viewer.say(session, set_up("free", None)).await.expect("sent");
     }
     let mut unread = Vec::new();
     let all = async {
         loop {
-            unread.push(accept(&served.streamers[0].listener).await);
+            unread.push(accept(&controller.streamers[0].listener).await);
         }
     };
     let _: Result<(), _> = timeout(GIVEN_UP * 2, all).await;
@@ -106,10 +106,10 @@
 /// The first attempt stood with its answer lost; its release comes once more on the connection of the second.
 #[tokio::test]
 async fn no_third_attempt_after_a_release_of_the_first() {
-    let served = start(1).await;
-    let mut viewer = served.viewer().await;
+    let controller = start(1).await;
+    let mut viewer = controller.viewer().await;
     viewer.say(1, set_up("free", None)).await.expect("sent");
-    let mut link = End::of(accept(&served.streamers[0].listener).await).attend();
+    let mut link = End::of(accept(&controller.streamers[0].listener).await).attend();
     assert!(set_up_comes(&mut link, 1, SOON).await);
     assert!(set_up_comes(&mut link, 1, SOON).await, "the end of the first is read");
     link.say(1, Body::release(cause::NORMAL)).await.expect("sent");
--- a/crates/lemontide-cli/tests/unanswered_requests.rs
+++ b/crates/lemontide-cli/tests/unanswered_requests.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{answer, set_up, Served};
+use common::{answer, set_up, RunningController};
 use lemontide_platform::codec::{Body, Message};
 use lemontide_standin::platform::{bytes_of, End, SOON};
 use std::collections::BTreeMap;
@@ -29,17 +29,17 @@
 }
 
 /// A controller with two requests out at its streamer, on one connection.
-async fn with_two_requests() -> (Served, End, (usize, usize)) {
-    let mut served = Served::start(1, |_| ()).await;
-    let mut client = served.viewer().await;
+async fn with_two_requests() -> (RunningController, End, (usize, usize)) {
+    let mut controller = RunningController::start(1, |_| ()).await;
+    let mut client = controller.viewer().await;
     let mut streamer = (0, 0);
     for session in [FIRST, SECOND] {
         client.say(session, set_up("free", None)).await.expect("sent");
-        let (at, link, message) = served.next().await.expect("sent on");
+        let (at, link, message) = controller.next_message().await.expect("sent on");
         assert_eq!(message.session, session);
         streamer = (at, link);
     }
-    (served, client, streamer)
+    (controller, client, streamer)
 }
 
 #[tokio::test]
@@ -63,15 +63,15 @@
 
 #[tokio::test]
 async fn a_request_of_a_client_that_closed_its_half_is_answered() {
-    let mut served = Served::start(1, |_| ()).await;
-    let mut client = served.viewer().await;
+    let mut controller = RunningController::start(1, |_| ()).await;
+    let mut client = controller.viewer().await;
     client.say(FIRST, set_up("free", None)).await.expect("sent");
     let mut socket = client.into_socket();
-    let (at, link, _) = served.next().await.expect("sent on");
+    let (at, link, _) = controller.next_message().await.expect("sent on");
     socket.shutdown().await.expect("closed by half");
     // Long enough for the controller to have read the close.
     sleep(Duration::from_millis(100)).await;
-    served.say((at, link), FIRST, answer()).await;
+    controller.streamer_sends((at, link), FIRST, answer()).await;
     let mut client = End::of(socket);
     let heard = loop {
         let heard = timeout(SOON, client.hear()).await.expect("in time").expect("an answer");
--- a/crates/lemontide-cli/tests/unread_releases.rs
+++ b/crates/lemontide-cli/tests/unread_releases.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{answer, set_up, Served};
+use common::{answer, set_up, RunningController};
 use lemontide_platform::codec::{cause, Body, Message};
 use lemontide_standin::platform::{bytes_of, End, SOON};
 use std::time::Duration;
@@ -18,32 +18,32 @@
 /// A controller with a session that was set up over a socket of its own, another connection of the same client, and where
 /// the streamer said its answer.
 struct Standing {
-    served: Served,
+    controller: RunningController,
     socket: TcpStream,
     other: End,
     streamer: (usize, usize),
 }
 
-async fn answers(served: &mut Served, session: u64) -> (usize, usize) {
-    let (at, link, message) = served.next().await.expect("a set-up");
+async fn answers(controller: &mut RunningController, session: u64) -> (usize, usize) {
+    let (at, link, message) = controller.next_message().await.expect("a set-up");
     assert_eq!(message.session, session);
-    served.say((at, link), session, answer()).await;
+    controller.streamer_sends((at, link), session, answer()).await;
     (at, link)
 }
 
 async fn start() -> Standing {
-    let mut served = Served::start(1, |_| ()).await;
-    let mut other = served.viewer().await;
+    let mut controller = RunningController::start(1, |_| ()).await;
+    let mut other = controller.viewer().await;
     other.say(OTHER, set_up("free", None)).await.expect("sent");
-    answers(&mut served, OTHER).await;
+    answers(&mut controller, OTHER).await;
     other.hear().await.expect("it plays");
-    let mut socket = TcpStream::connect(served.listen).await.expect("it listens");
+    let mut socket = TcpStream::connect(controller.listen).await.expect("it listens");
     let asked = bytes_of(Message { session: SESSION, body: set_up("free", None) });
     socket.write_all(&asked).await.expect("sent");
-    let streamer = answers(&mut served, SESSION).await;
+    let streamer = answers(&mut controller, SESSION).await;
     let mut heard = [0; 256];
     assert!(timeout(SOON, socket.read(&mut heard)).await.expect("in time").expect("it plays") > 0);
-    Standing { served, socket, other, streamer }
+    Standing { controller, socket, other, streamer }
 }
 
 async fn is_released(other: &mut End) -> bool {
@@ -60,8 +60,8 @@
 
 #[tokio::test]
 async fn a_release_that_lay_unread_as_its_client_closed_is_said_on_another_connection() {
-    let Standing { mut served, socket, mut other, streamer } = start().await;
-    served.say(streamer, SESSION, Body::release(cause::NORMAL)).await;
+    let Standing { mut controller, socket, mut other, streamer } = start().await;
+    controller.streamer_sends(streamer, SESSION, Body::release(cause::NORMAL)).await;
     timeout(SOON, socket.readable()).await.expect("in time").expect("the release is there");
     drop(socket);
     assert!(is_released(&mut other).await);
@@ -70,21 +70,21 @@
 /// Both are there when the controller looks, so the release may be written to what the client has closed.
 #[tokio::test]
 async fn a_release_that_came_after_its_client_closed_is_said_on_another_connection() {
-    let Standing { mut served, socket, mut other, streamer } = start().await;
-    served.hold().await;
-    served.say(streamer, SESSION, Body::release(cause::NORMAL)).await;
+    let Standing { mut controller, socket, mut other, streamer } = start().await;
+    controller.pause().await;
+    controller.streamer_sends(streamer, SESSION, Body::release(cause::NORMAL)).await;
     drop(socket);
-    served.go_on();
+    controller.resume();
     assert!(is_released(&mut other).await);
 }
 
 /// The streamer answers no set-up for a while, and says a release as the controller closes the connection for that.
 #[tokio::test]
 async fn a_release_on_a_connection_that_the_controller_closes_is_passed_on() {
-    let served = Served::start(1, |_| ()).await;
-    let mut viewer = served.viewer().await;
+    let controller = RunningController::start(1, |_| ()).await;
+    let mut viewer = controller.viewer().await;
     viewer.say(SESSION, set_up("free", None)).await.expect("sent");
-    let mut link = End::streamer(&served.streamers[0].listener).await.expect("it dials");
+    let mut link = End::streamer(&controller.streamers[0].listener).await.expect("it dials");
     while link.hear().await.expect("a set-up").session != SESSION {}
     link.say(SESSION, answer()).await.expect("sent");
     viewer.hear().await.expect("it plays");
