--- a/crates/lemontide-cli/tests/common/mod.rs
+++ b/crates/lemontide-cli/tests/common/mod.rs
@@ -46,7 +46,8 @@
             entries.push(list_entry(at, &listener, "in_service"));
             streamers.push(TestStreamer { listener, connections: Vec::new() });
         }
-        // Each controller has an address of its own: on a common one, another connection can take the port during a restart.
+        // Each controller has an address of its own: on a common one, another connection can take the port during a
+        // restart.
         let number = STARTED_CONTROLLERS.fetch_add(1, Ordering::Relaxed);
         let own_address = Ipv4Addr::new(127, 77, (number / 250) as u8, (number % 250) as u8 + 1);
         let free_port = std::net::TcpListener::bind((own_address, 0)).expect("a free port");
--- a/crates/lemontide-cli/tests/overlapping_attempts.rs
+++ b/crates/lemontide-cli/tests/overlapping_attempts.rs
@@ -1,4 +1,4 @@
-//! Issue 39: two attempts of one request out at once.
+//! Issue 39: two attempts of one request must not be open at the same time.
 
 mod common;
 
@@ -11,110 +11,121 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// The latency goal of the class that may be repeated, in seconds, and its deadline.
+/// The latency goal of the class whose requests can be repeated.
 const GOAL_S: f64 = 1.5;
+/// The deadline of that class.
 const DEADLINE_S: f64 = 5.0;
-/// An attempt without an answer is given up by then.
-const GIVEN_UP: Duration = Duration::from_millis(1000);
-/// Well before an attempt without an answer is given up.
-const BEFORE_GIVEN_UP: Duration = Duration::from_millis(300);
+/// An attempt without an answer is given up within this time.
+const GIVE_UP_TIME: Duration = Duration::from_millis(1000);
+/// Well below the time after which an attempt without an answer is given up.
+const TIME_BEFORE_GIVE_UP: Duration = Duration::from_millis(300);
 
-async fn start(streamers: usize) -> RunningController {
-    let class = |config: &mut serde_json::Value| {
+async fn start(streamer_count: usize) -> RunningController {
+    let set_class_times = |config: &mut serde_json::Value| {
         config["settings"]["classes"][0]["aim"] = json!(GOAL_S);
         config["settings"]["classes"][0]["hard_limit"] = json!(DEADLINE_S);
     };
-    RunningController::start(streamers, class).await
+    RunningController::start(streamer_count, set_class_times).await
 }
 
 async fn accept(listener: &TcpListener) -> TcpStream {
-    timeout(SOON, listener.accept()).await.expect("it dials").expect("accepted").0
+    timeout(SOON, listener.accept()).await.expect("dialled in time").expect("accepted").0
 }
 
-/// Whether a set-up of this session comes within the time.
-async fn set_up_comes(link: &mut Attended, session: u64, within: Duration) -> bool {
-    let comes = async {
-        while let Ok(message) = link.news().await {
+/// Whether a set-up of this session is received within the time.
+async fn receives_set_up(connection: &mut Attended, session: u64, within: Duration) -> bool {
+    let received = async {
+        while let Ok(message) = connection.news().await {
             if message.session == session && matches!(message.body, Body::SetUp(_)) {
                 return;
             }
         }
         std::future::pending().await
     };
-    timeout(within, comes).await.is_ok()
+    timeout(within, received).await.is_ok()
 }
 
-/// The end of the first attempt lies unread at its streamer, and the second one begins at another.
+/// The release of the first attempt is unread at its streamer. A second attempt at another streamer would then be open
+/// together with the first one.
 #[tokio::test]
-async fn no_second_attempt_while_the_end_of_the_first_is_unread() {
+async fn no_second_attempt_while_the_release_of_the_first_is_unread() {
     let controller = start(2).await;
     let mut viewer = controller.viewer().await;
     viewer.say(1, set_up("free", None)).await.expect("sent");
     let (first, second) = (&controller.streamers[0].listener, &controller.streamers[1].listener);
-    let (unread, other) = tokio::select! {
+    let (unread_socket, other_listener) = tokio::select! {
         socket = accept(first) => (socket, second),
         socket = accept(second) => (socket, first),
     };
-    sleep(GIVEN_UP).await;
-    let early = timeout(Duration::from_millis(10), other.accept()).await;
-    if let Ok(Ok((socket, _))) = early {
-        let mut link = End::of(socket).attend();
-        assert!(!set_up_comes(&mut link, 1, GIVEN_UP).await, "the first attempt may still be taken up");
+    sleep(GIVE_UP_TIME).await;
+    let early_connection = timeout(Duration::from_millis(10), other_listener.accept()).await;
+    if let Ok(Ok((socket, _))) = early_connection {
+        let mut connection = End::of(socket).attend();
+        assert!(
+            !receives_set_up(&mut connection, 1, GIVE_UP_TIME).await,
+            "the streamer can still accept the first attempt"
+        );
     }
-    // The streamer reads on, and passes the test behind the end.
-    let mut read = End::of(unread).attend();
-    assert!(set_up_comes(&mut read, 1, SOON).await);
-    let comes = async {
-        let mut link = End::of(accept(other).await).attend();
-        set_up_comes(&mut link, 1, SOON).await
+    // The streamer reads the release, and passes the test behind it.
+    let mut first_connection = End::of(unread_socket).attend();
+    assert!(receives_set_up(&mut first_connection, 1, SOON).await);
+    let at_other = async {
+        let mut connection = End::of(accept(other_listener).await).attend();
+        receives_set_up(&mut connection, 1, SOON).await
     };
     assert!(tokio::select! {
-        comes = comes => comes,
-        comes = set_up_comes(&mut read, 1, SOON) => comes,
+        is_received = at_other => is_received,
+        is_received = receives_set_up(&mut first_connection, 1, SOON) => is_received,
     });
 }
 
-/// The end is written on one connection, and the next attempt overtakes it on another to the same streamer.
+/// The release of the first attempt is written on one connection. A second attempt on another connection to the same
+/// streamer would overtake it.
 #[tokio::test]
-async fn no_second_attempt_overtakes_the_end_of_the_first_on_another_connection() {
+async fn no_second_attempt_overtakes_the_release_of_the_first_on_another_connection() {
     const REQUESTS: u64 = 6;
     let controller = start(1).await;
     let mut viewer = controller.viewer().await;
     for session in 1..=REQUESTS {
         viewer.say(session, set_up("free", None)).await.expect("sent");
     }
-    let mut unread = Vec::new();
-    let all = async {
+    let mut unread_sockets = Vec::new();
+    let accept_all = async {
         loop {
-            unread.push(accept(&controller.streamers[0].listener).await);
+            unread_sockets.push(accept(&controller.streamers[0].listener).await);
         }
     };
-    let _: Result<(), _> = timeout(GIVEN_UP * 2, all).await;
-    let mut attempts: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
-    for (number, socket) in unread.into_iter().enumerate() {
+    let _: Result<(), _> = timeout(GIVE_UP_TIME * 2, accept_all).await;
+    let mut connections_by_session: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
+    for (number, socket) in unread_sockets.into_iter().enumerate() {
         for message in End::of(socket).unread().expect("readable") {
             if matches!(message.body, Body::SetUp(_)) {
-                attempts.entry(message.session).or_default().push(number);
+                connections_by_session.entry(message.session).or_default().push(number);
             }
         }
     }
-    assert_eq!(attempts.len(), REQUESTS as usize, "each was sent: {attempts:?}");
-    let twice: Vec<_> = attempts.iter().filter(|(_, on)| on.len() > 1).collect();
-    assert!(twice.is_empty(), "sessions with several attempts, by connection: {twice:?}");
+    assert_eq!(connections_by_session.len(), REQUESTS as usize, "each was sent: {connections_by_session:?}");
+    let repeated: Vec<_> =
+        connections_by_session.iter().filter(|(_, connections)| connections.len() > 1).collect();
+    assert!(repeated.is_empty(), "sessions with several attempts, by connection: {repeated:?}");
 }
 
-/// The first attempt stood with its answer lost; its release comes once more on the connection of the second.
+/// The first attempt set the session up, but its answer was lost. Its release is received once more, on the connection
+/// of the second attempt, and must not be taken for the release of that one.
 #[tokio::test]
 async fn no_third_attempt_after_a_release_of_the_first() {
     let controller = start(1).await;
     let mut viewer = controller.viewer().await;
     viewer.say(1, set_up("free", None)).await.expect("sent");
-    let mut link = End::of(accept(&controller.streamers[0].listener).await).attend();
-    assert!(set_up_comes(&mut link, 1, SOON).await);
-    assert!(set_up_comes(&mut link, 1, SOON).await, "the end of the first is read");
-    link.say(1, Body::release(cause::NORMAL)).await.expect("sent");
-    assert!(!set_up_comes(&mut link, 1, BEFORE_GIVEN_UP).await, "the second attempt is out");
-    link.say(1, answer()).await.expect("sent");
-    let heard = timeout(SOON, viewer.hear()).await.expect("in time").expect("told");
-    assert!(matches!(heard.body, Body::Answer { .. }), "{heard:?}");
+    let mut connection = End::of(accept(&controller.streamers[0].listener).await).attend();
+    assert!(receives_set_up(&mut connection, 1, SOON).await);
+    assert!(receives_set_up(&mut connection, 1, SOON).await, "the release of the first attempt is read");
+    connection.say(1, Body::release(cause::NORMAL)).await.expect("sent");
+    assert!(
+        !receives_set_up(&mut connection, 1, TIME_BEFORE_GIVE_UP).await,
+        "the second attempt is still open"
+    );
+    connection.say(1, answer()).await.expect("sent");
+    let message = timeout(SOON, viewer.hear()).await.expect("in time").expect("received");
+    assert!(matches!(message.body, Body::Answer { .. }), "{message:?}");
 }
--- a/crates/lemontide-cli/tests/unanswered_requests.rs
+++ b/crates/lemontide-cli/tests/unanswered_requests.rs
@@ -1,4 +1,4 @@
-//! Issue 42: requests that were taken and never answered, as their connection went before they were.
+//! Issue 42: requests that were accepted and never answered, because their connection closed before the answer.
 
 mod common;
 
@@ -10,15 +10,15 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{sleep, timeout};
 
-/// What no message begins with: a length of no type.
-const UNREADABLE: [u8; 4] = [0, 0, 0, 0];
-/// Bad input is owed a close within this time of its connection.
-const CLOSED_WITHIN: Duration = Duration::from_secs(3);
+/// Bytes that no message begins with: the length is too small for a message type.
+const INVALID_BYTES: [u8; 4] = [0, 0, 0, 0];
+/// A connection with invalid input must be closed within this time.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
 const FIRST: u64 = 1;
 const SECOND: u64 = 2;
 
-/// How many final answers came for each session until the controller closed the connection, or said nothing more.
-async fn answers(client: &mut End) -> BTreeMap<u64, usize> {
+/// The number of final answers for each session, until the controller closes the connection or sends nothing more.
+async fn count_answers(client: &mut End) -> BTreeMap<u64, usize> {
     let mut answers = BTreeMap::new();
     while let Ok(Message { session, body }) = client.hear().await {
         if matches!(body, Body::Answer { .. } | Body::Release { .. }) {
@@ -28,36 +28,36 @@
     answers
 }
 
-/// A controller with two requests out at its streamer, on one connection.
-async fn with_two_requests() -> (RunningController, End, (usize, usize)) {
+/// A controller with two requests of one connection that were sent to its streamer.
+async fn start_with_two_requests() -> (RunningController, End, (usize, usize)) {
     let mut controller = RunningController::start(1, |_| ()).await;
     let mut client = controller.viewer().await;
     let mut streamer = (0, 0);
     for session in [FIRST, SECOND] {
         client.say(session, set_up("free", None)).await.expect("sent");
-        let (at, link, message) = controller.next_message().await.expect("sent on");
+        let (at, connection, message) = controller.next_message().await.expect("sent on");
         assert_eq!(message.session, session);
-        streamer = (at, link);
+        streamer = (at, connection);
     }
     (controller, client, streamer)
 }
 
 #[tokio::test]
-async fn requests_beside_unreadable_or_unfinished_input_are_answered_once_before_the_close() {
+async fn requests_before_invalid_or_incomplete_input_are_answered_once_before_the_close() {
     let message = bytes_of(Message { session: 3, body: set_up("free", None) });
-    for input in [&UNREADABLE[..], &message[..message.len() / 2]] {
-        let (_served, mut client, _) = with_two_requests().await;
+    for input in [&INVALID_BYTES[..], &message[..message.len() / 2]] {
+        let (_served, mut client, _) = start_with_two_requests().await;
         client.write(input).await.expect("sent");
-        let answered = timeout(CLOSED_WITHIN, answers(&mut client)).await.expect("closed in time");
+        let answered = timeout(CLOSE_TIMEOUT, count_answers(&mut client)).await.expect("closed in time");
         assert_eq!(answered, BTreeMap::from([(FIRST, 1), (SECOND, 1)]));
     }
 }
 
 #[tokio::test]
-async fn requests_beside_a_number_that_is_used_twice_are_answered_once_before_the_close() {
-    let (_served, mut client, _) = with_two_requests().await;
+async fn requests_before_a_reused_session_number_are_answered_once_before_the_close() {
+    let (_served, mut client, _) = start_with_two_requests().await;
     client.say(SECOND, set_up("free", None)).await.expect("sent");
-    let answered = timeout(CLOSED_WITHIN, answers(&mut client)).await.expect("closed in time");
+    let answered = timeout(CLOSE_TIMEOUT, count_answers(&mut client)).await.expect("closed in time");
     assert_eq!(answered, BTreeMap::from([(FIRST, 1), (SECOND, 1)]));
 }
 
@@ -67,18 +67,18 @@
     let mut client = controller.viewer().await;
     client.say(FIRST, set_up("free", None)).await.expect("sent");
     let mut socket = client.into_socket();
-    let (at, link, _) = controller.next_message().await.expect("sent on");
+    let (at, connection, _) = controller.next_message().await.expect("sent on");
     socket.shutdown().await.expect("closed by half");
-    // Long enough for the controller to have read the close.
+    // Long enough for the controller to read the close.
     sleep(Duration::from_millis(100)).await;
-    controller.streamer_sends((at, link), FIRST, answer()).await;
+    controller.streamer_sends((at, connection), FIRST, answer()).await;
     let mut client = End::of(socket);
-    let heard = loop {
-        let heard = timeout(SOON, client.hear()).await.expect("in time").expect("an answer");
-        if heard.body != Body::Progress {
-            break heard;
+    let answered = loop {
+        let message = timeout(SOON, client.hear()).await.expect("in time").expect("an answer");
+        if message.body != Body::Progress {
+            break message;
         }
     };
-    assert_eq!(heard, Message { session: FIRST, body: answer() });
-    assert!(answers(&mut client).await.is_empty(), "one answer, and a close");
+    assert_eq!(answered, Message { session: FIRST, body: answer() });
+    assert!(count_answers(&mut client).await.is_empty(), "exactly one answer, and then the close");
 }
--- a/crates/lemontide-cli/tests/unread_releases.rs
+++ b/crates/lemontide-cli/tests/unread_releases.rs
@@ -1,4 +1,4 @@
-//! Issue 39: releases that were written, and lost as a connection closed.
+//! Issue 39: releases that were written to a connection, and lost when it was closed.
 
 mod common;
 
@@ -10,43 +10,46 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A release is due so long after that of the streamer.
-const RELEASED_WITHIN: Duration = Duration::from_secs(1);
+/// How soon after the streamer's release the viewer must have it.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 const SESSION: u64 = 1;
-const OTHER: u64 = 2;
+const OTHER_SESSION: u64 = 2;
 
-/// A controller with a session that was set up over a socket of its own, another connection of the same client, and where
-/// the streamer said its answer.
-struct Standing {
+/// A controller with a session that plays, which was set up over a socket of its own.
+struct PlayingSession {
     controller: RunningController,
     socket: TcpStream,
+    /// Another connection of the same client.
     other: End,
+    /// The streamer that answered, and its connection.
     streamer: (usize, usize),
 }
 
-async fn answers(controller: &mut RunningController, session: u64) -> (usize, usize) {
-    let (at, link, message) = controller.next_message().await.expect("a set-up");
+/// Answers the next set-up, which must be of this session; returns the streamer and its connection.
+async fn answer_set_up(controller: &mut RunningController, session: u64) -> (usize, usize) {
+    let (at, connection, message) = controller.next_message().await.expect("a set-up");
     assert_eq!(message.session, session);
-    controller.streamer_sends((at, link), session, answer()).await;
-    (at, link)
+    controller.streamer_sends((at, connection), session, answer()).await;
+    (at, connection)
 }
 
-async fn start() -> Standing {
+async fn start_session() -> PlayingSession {
     let mut controller = RunningController::start(1, |_| ()).await;
     let mut other = controller.viewer().await;
-    other.say(OTHER, set_up("free", None)).await.expect("sent");
-    answers(&mut controller, OTHER).await;
-    other.hear().await.expect("it plays");
-    let mut socket = TcpStream::connect(controller.listen).await.expect("it listens");
-    let asked = bytes_of(Message { session: SESSION, body: set_up("free", None) });
-    socket.write_all(&asked).await.expect("sent");
-    let streamer = answers(&mut controller, SESSION).await;
-    let mut heard = [0; 256];
-    assert!(timeout(SOON, socket.read(&mut heard)).await.expect("in time").expect("it plays") > 0);
-    Standing { controller, socket, other, streamer }
+    other.say(OTHER_SESSION, set_up("free", None)).await.expect("sent");
+    answer_set_up(&mut controller, OTHER_SESSION).await;
+    other.hear().await.expect("the answer");
+    let mut socket = TcpStream::connect(controller.listen).await.expect("connected");
+    let request = bytes_of(Message { session: SESSION, body: set_up("free", None) });
+    socket.write_all(&request).await.expect("sent");
+    let streamer = answer_set_up(&mut controller, SESSION).await;
+    let mut buffer = [0; 256];
+    assert!(timeout(SOON, socket.read(&mut buffer)).await.expect("in time").expect("the answer") > 0);
+    PlayingSession { controller, socket, other, streamer }
 }
 
-async fn is_released(other: &mut End) -> bool {
+/// Whether the release of the session is received on this connection in time.
+async fn receives_release(other: &mut End) -> bool {
     let released = async {
         while let Ok(message) = other.hear().await {
             if message.session == SESSION && matches!(message.body, Body::Release { .. }) {
@@ -55,41 +58,43 @@
         }
         false
     };
-    timeout(RELEASED_WITHIN, released).await.unwrap_or(false)
+    timeout(RELEASE_TIMEOUT, released).await.unwrap_or(false)
 }
 
 #[tokio::test]
-async fn a_release_that_lay_unread_as_its_client_closed_is_said_on_another_connection() {
-    let Standing { mut controller, socket, mut other, streamer } = start().await;
+async fn a_release_that_was_unread_when_its_client_closed_is_sent_on_another_connection() {
+    let PlayingSession { mut controller, socket, mut other, streamer } = start_session().await;
     controller.streamer_sends(streamer, SESSION, Body::release(cause::NORMAL)).await;
-    timeout(SOON, socket.readable()).await.expect("in time").expect("the release is there");
+    timeout(SOON, socket.readable()).await.expect("in time").expect("the release has arrived");
     drop(socket);
-    assert!(is_released(&mut other).await);
+    assert!(receives_release(&mut other).await);
 }
 
-/// Both are there when the controller looks, so the release may be written to what the client has closed.
+/// The controller finds the streamer's release and the client's close at the same time, so it can write the release
+/// to a connection that the client has closed.
 #[tokio::test]
-async fn a_release_that_came_after_its_client_closed_is_said_on_another_connection() {
-    let Standing { mut controller, socket, mut other, streamer } = start().await;
+async fn a_release_received_after_its_client_closed_is_sent_on_another_connection() {
+    let PlayingSession { mut controller, socket, mut other, streamer } = start_session().await;
     controller.pause().await;
     controller.streamer_sends(streamer, SESSION, Body::release(cause::NORMAL)).await;
     drop(socket);
     controller.resume();
-    assert!(is_released(&mut other).await);
+    assert!(receives_release(&mut other).await);
 }
 
-/// The streamer answers no set-up for a while, and says a release as the controller closes the connection for that.
+/// The streamer does not answer a set-up, so the controller closes the connection; meanwhile the streamer sends a
+/// release on it.
 #[tokio::test]
 async fn a_release_on_a_connection_that_the_controller_closes_is_passed_on() {
     let controller = RunningController::start(1, |_| ()).await;
     let mut viewer = controller.viewer().await;
     viewer.say(SESSION, set_up("free", None)).await.expect("sent");
-    let mut link = End::streamer(&controller.streamers[0].listener).await.expect("it dials");
-    while link.hear().await.expect("a set-up").session != SESSION {}
-    link.say(SESSION, answer()).await.expect("sent");
-    viewer.hear().await.expect("it plays");
-    viewer.say(OTHER, set_up("free", None)).await.expect("sent");
-    while link.hear().await.is_ok() {}
-    link.say(SESSION, Body::release(cause::NORMAL)).await.expect("sent");
-    assert!(is_released(&mut viewer).await);
+    let mut connection = End::streamer(&controller.streamers[0].listener).await.expect("dialled");
+    while connection.hear().await.expect("a set-up").session != SESSION {}
+    connection.say(SESSION, answer()).await.expect("sent");
+    viewer.hear().await.expect("the answer");
+    viewer.say(OTHER_SESSION, set_up("free", None)).await.expect("sent");
+    while connection.hear().await.is_ok() {}
+    connection.say(SESSION, Body::release(cause::NORMAL)).await.expect("sent");
+    assert!(receives_release(&mut viewer).await);
 }
