--- a/crates/lemontide-cli/tests/crossings.rs
+++ b/crates/lemontide-cli/tests/crossings.rs
@@ -152,7 +152,9 @@
         late += usize::from(since > Duration::from_millis(100));
         very_late += usize::from(since > Duration::from_secs(1));
     }
-    println!("{VIEWERS} viewers left, {all} attempts: {after} arrived after that, {late} over 0.1 s, {very_late} over 1 s");
+    println!(
+        "{VIEWERS} viewers left, {all} attempts: {after} arrived after that, {late} over 0.1 s, {very_late} over 1 s"
+    );
     assert!(all > 0 && very_late == 0);
 }
 
--- a/crates/lemontide-platform/src/codec.rs
+++ b/crates/lemontide-platform/src/codec.rs
@@ -61,8 +61,8 @@
     /// The request is not valid.
     pub const INVALID: u8 = 111;
 
-    /// Whether a streamer that gives this cause refuses or fails a set-up. Any other cause may also end an existing
-    /// session, and may be repeated on another connection.
+    /// Whether a streamer that gives this cause refuses or fails a set-up. Any other cause can also end an existing
+    /// session, and can be repeated on another connection.
     pub fn ends_set_up(cause: u8) -> bool {
         [FULL, ERROR, NOT_SENT].contains(&cause)
     }
--- a/crates/lemontide-platform/tests/common/mod.rs
+++ b/crates/lemontide-platform/tests/common/mod.rs
@@ -14,7 +14,9 @@
 use serde_json::{json, Value as Json};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
+/// Number of streamers.
 pub const STREAMERS: usize = 4;
+/// The default viewers' connection.
 pub const VIEWERS: u64 = 1;
 
 /// Settings as the platform passes them: four streamers that hold every title, and three attempts.
@@ -25,10 +27,10 @@
         "classes": [class("free", "read_like"), class("paid", "non_idempotent")],
         "tenants": [{"name": "acme", "quota_per_s": 1000, "share": 1}],
         "family_info": {"kind_slots": [3000], "positions": STREAMERS, "lowest_rung": [0, 0], "top_by_class": [2, 2],
-            "class_scale": [1, 1], "class_seats": [0, 0], "live": [false, false], "join": 1, "rung_kb": [200, 400, 800], "worth_by_rung": [0.3, 0.6, 1.0],
-            "kb_per_weight": 1e7, "rack_link_kb": 1e8, "racks": 1, "seen_after": 1, "told_every": 3},
-        "policy_limits": {"may_probe": false, "try_limit": 3, "retry_after": true, "max_retry_after": 0.5, "dial_timeout": 0.25,
-            "streams_per_conn": 32},
+            "class_scale": [1, 1], "class_seats": [0, 0], "live": [false, false], "join": 1,
+            "rung_kb": [200, 400, 800], "worth_by_rung": [0.3, 0.6, 1.0], "kb_per_weight": 1e7, "rack_link_kb": 1e8, "racks": 1, "seen_after": 1, "told_every": 3},
+        "policy_limits": {"may_probe": false, "try_limit": 3, "retry_after": true, "max_retry_after": 0.5,
+            "dial_timeout": 0.25, "streams_per_conn": 32},
         "membership_mode": "pushed", "weight_source": "nominal",
         "report": {"how": "answers", "names": ["busy_reqs", "x0"]},
         "rules": {"ask_within": 10, "cold": 10, "cold_from": 0.5, "fall_multiple": 2.5, "fall": 1}
@@ -151,9 +153,9 @@
     }
 
     /// Sends a set-up on a viewers' connection; returns its session number.
-    pub fn request_on(&mut self, conn: u64, set_up: SetUp) -> u64 {
+    pub fn request_on(&mut self, connection_id: u64, set_up: SetUp) -> u64 {
         self.last_session += 1;
-        self.viewer_sends(conn, self.last_session, Body::SetUp(set_up));
+        self.viewer_sends(connection_id, self.last_session, Body::SetUp(set_up));
         self.last_session
     }
 
@@ -163,15 +165,15 @@
     }
 
     /// A viewer sends a message, and the dispatcher decides.
-    pub fn viewer_sends(&mut self, conn: u64, session: u64, body: Body) {
-        self.receive(conn, Message { session, body }, self.now);
+    pub fn viewer_sends(&mut self, connection_id: u64, session: u64, body: Body) {
+        self.receive(connection_id, Message { session, body }, self.now);
         while self.dispatcher.decide(self.now) {}
         self.perform_effects();
     }
 
     /// The dispatcher receives a message that was read on a viewers' connection, and decides nothing yet.
-    pub fn receive(&mut self, conn: u64, message: Message, read: Point) {
-        let heard = self.dispatcher.replies().take(conn, message, read);
+    pub fn receive(&mut self, connection_id: u64, message: Message, read: Point) {
+        let heard = self.dispatcher.replies().take(connection_id, message, read);
         self.dispatcher.viewer_said(self.now, heard);
     }
 
