--- a/crates/lemontide-platform/src/dispatcher.rs
+++ b/crates/lemontide-platform/src/dispatcher.rs
@@ -13,8 +13,8 @@
 
 pub use unanswered::InputEnd;
 
-use crate::codec::{cause, Body, Message, Note, SetUp};
-use crate::config::{Entry, Hosts};
+use crate::codec::{cause, Body, Message, SessionReport, SetUp};
+use crate::config::{ListEntry, ListUpdate};
 use crate::permit::Permit;
 use crate::replies::{Departure, PendingReply, ReceivedMessage, Replies};
 use crate::steps::{Outcome, Steps};
@@ -249,7 +249,7 @@
 }
 
 struct KnownStreamer {
-    entry: Entry,
+    entry: ListEntry,
     link_ids: Vec<u64>,
     /// Since when no connection to it comes up.
     unreachable_since: Option<Point>,
--- a/crates/lemontide-platform/src/dispatcher/attempts.rs
+++ b/crates/lemontide-platform/src/dispatcher/attempts.rs
@@ -261,7 +261,7 @@
         let waiting: Vec<_> =
             self.sessions.iter().filter_map(|(id, tracked)| Some((*id, waits(tracked)?))).collect();
         for (id, (session, streamer)) in waiting {
-            let state = self.streamers.get(&streamer).map(|known| known.entry.stage());
+            let state = self.streamers.get(&streamer).map(|known| known.entry.streamer_state());
             if state.is_none_or(|state| state == StreamerState::Gone) {
                 // The streamer closed its connection, and the list does not contain it any more or marks it as gone.
                 let attempt = self.sessions.get(&id).and_then(|tracked| tracked.attempt.as_ref());
@@ -351,7 +351,7 @@
             }
             // The viewer ended the session and is owed nothing.
             AttemptOutcome::Cancelled => {}
-            _ => self.release_to_viewer(now, tracked.conn, tracked.session, cause::BROKEN),
+            _ => self.release_to_viewer(now, tracked.conn, tracked.session, cause::FAILED),
         }
     }
 
@@ -382,7 +382,7 @@
                 self.answer_unserved(now, id, viewers::rejection(after), Outcome::Rejected);
             }
             for id in actions.failed.drain(..) {
-                self.answer_unserved(now, id, Body::release(cause::BROKEN), Outcome::Failed);
+                self.answer_unserved(now, id, Body::release(cause::FAILED), Outcome::Failed);
             }
             for id in actions.moved.drain(..) {
                 let Some(tracked) = self.remove(now, id) else { continue };
@@ -408,7 +408,7 @@
         self.remember_rejected(tracked.conn, tracked.session);
         tracing::debug!(
             target: "decision",
-            session = format!("{:016x}", tracked.session), lane = tracked.set_up.lane, shots = tracked.attempt_count, ?body
+            session = format!("{:016x}", tracked.session), lane = tracked.set_up.class, shots = tracked.attempt_count, ?body
         );
         let steps = Self::steps(&tracked, outcome, now);
         if let Some(reply) = tracked.reply.take() {
@@ -444,7 +444,7 @@
             // Guards against a request that waits for ever for an attempt at a streamer that is not known.
             return self.report_ended(now, id, AttemptOutcome::NotSent, Load::default());
         };
-        let (streamer, is_ready) = (streamer.clone(), known.entry.stage() == StreamerState::Ready);
+        let (streamer, is_ready) = (streamer.clone(), known.entry.streamer_state() == StreamerState::Ready);
         let link = self.best_link(&streamer);
         let Some(tracked) = self.sessions.get_mut(&id) else { return };
         let deadline = now + new_attempt.timeout;
@@ -457,9 +457,9 @@
         let set_up = SetUp {
             wait_ms: (new_attempt.timeout.seconds() * 1e3).max(0.0) as u64,
             rung: Some(tracked.rung),
-            figures: None,
+            details: None,
             tenant: String::new(),
-            retry: false,
+            is_retry: false,
             ..tracked.set_up.clone()
         };
         let permit = Permit::new();
@@ -467,7 +467,7 @@
         let outbound = OutboundMessage { message, permit: Some(permit.clone()) };
         tracing::debug!(
             target: "decision",
-            session = format!("{:016x}", tracked.session), lane = tracked.set_up.lane, shot = number,
+            session = format!("{:016x}", tracked.session), lane = tracked.set_up.class, shot = number,
             streamer = &*streamer, rung = tracked.rung, within_s = new_attempt.timeout.seconds()
         );
         // No link has the number 0: the attempt is not on one yet.
--- a/crates/lemontide-platform/src/dispatcher/connections.rs
+++ b/crates/lemontide-platform/src/dispatcher/connections.rs
@@ -191,7 +191,7 @@
         }
         let is_kept = known.link_ids.contains(&link);
         let unreachable_since = is_last.then(|| *known.unreachable_since.get_or_insert(now));
-        let is_gone = known.entry.stage() == StreamerState::Gone;
+        let is_gone = known.entry.streamer_state() == StreamerState::Gone;
         let can_redial = |streamer_link: &StreamerLink| {
             streamer_link.link.idle_since.is_none() && streamer_link.link.can_dial(now)
         };
@@ -235,9 +235,9 @@
     /// What a message of a streamer proves about attempts that were given up on its connection.
     fn evidence_of(message: &Message) -> Option<(Option<u64>, Evidence)> {
         match message.body {
-            Body::Tested { .. } => Some((None, Evidence::TestPassed { test: message.session })),
-            Body::Heard => Some((Some(message.session), Evidence::EndAcknowledged)),
-            Body::Release { cause, .. } if cause::ends_a_set_up(cause) => {
+            Body::TestResult { .. } => Some((None, Evidence::TestPassed { test: message.session })),
+            Body::Acknowledged => Some((Some(message.session), Evidence::EndAcknowledged)),
+            Body::Release { cause, .. } if cause::ends_set_up(cause) => {
                 Some((Some(message.session), Evidence::SetUpRefused))
             }
             Body::Release { .. } => Some((Some(message.session), Evidence::Released)),
@@ -294,18 +294,18 @@
                 self.on_attempt_answered(now, id, description, load)
             }
             // It may concern an earlier attempt, whose answer was lost: the outcome of this one is still awaited.
-            Body::Release { cause, .. } if waits && !is_first && !cause::ends_a_set_up(cause) => {}
+            Body::Release { cause, .. } if waits && !is_first && !cause::ends_set_up(cause) => {}
             Body::Release { cause, load, .. } if waits => {
                 let ending = match cause {
                     cause::FULL => AttemptOutcome::Refused,
                     cause::ERROR => AttemptOutcome::Errored,
-                    cause::MOOT => AttemptOutcome::NotSent,
-                    cause::BROKEN => AttemptOutcome::ConnectionLost,
+                    cause::NOT_SENT => AttemptOutcome::NotSent,
+                    cause::FAILED => AttemptOutcome::ConnectionLost,
                     // It may have run, and the process that reports it works: this outcome says nothing about the
                     // health of the streamer.
                     _ => AttemptOutcome::Unknown,
                 };
-                let is_refusal = cause::ends_a_set_up(cause);
+                let is_refusal = cause::ends_set_up(cause);
                 let proof = if is_refusal { Proof::SetUpRefused } else { Proof::Released };
                 self.attempt_over(now, id, ending, load, proof);
             }
@@ -322,13 +322,17 @@
                 }
                 self.end_session(now, id, ending, load);
             }
-            Body::Note(note) if plays => match note {
-                Note::Share(share) => {
+            Body::SessionReport(note) if plays => match note {
+                SessionReport::RateShare(share) => {
                     handle.shortfall_reported(&mut self.controller, now, share.clamp(0.0, 1.0))
                 }
-                Note::Rung(rung) => handle.rung_reported(&mut self.controller, now, rung),
-                Note::Link(full) => handle.load_reported(&mut self.controller, now, Load::of_link(full)),
-                Note::Rack(full) => handle.load_reported(&mut self.controller, now, Load::of_uplink(full)),
+                SessionReport::Rung(rung) => handle.rung_reported(&mut self.controller, now, rung),
+                SessionReport::LinkUtilization(full) => {
+                    handle.load_reported(&mut self.controller, now, Load::of_link(full))
+                }
+                SessionReport::UplinkUtilization(full) => {
+                    handle.load_reported(&mut self.controller, now, Load::of_uplink(full))
+                }
             },
             _ => {}
         }
@@ -421,7 +425,7 @@
         let Some(known) = self.streamers.get(&streamer_link.streamer) else { return };
         let dial = streamer_link.link.start_dial(now, self.settings.dial_timeout);
         let on = Connection { link, dial };
-        self.effects.push(Effect::Dial { on, address: known.entry.addr.clone() });
+        self.effects.push(Effect::Dial { on, address: known.entry.address.clone() });
     }
 
     /// Whether one more connection stays within the descriptors that are reserved for streamers. Guards against more
--- a/crates/lemontide-platform/src/dispatcher/list.rs
+++ b/crates/lemontide-platform/src/dispatcher/list.rs
@@ -5,21 +5,22 @@
 
 impl Dispatcher {
     /// Applies a change of the list. Attempts that wait for a streamer that drains or is gone are withdrawn at once.
-    pub fn update_list(&mut self, now: Point, hosts: &Hosts) {
-        let mut entries: Vec<StreamerEntry> = hosts.servers.iter().map(Entry::line).collect();
-        for entry in &hosts.servers {
+    pub fn update_list(&mut self, now: Point, hosts: &ListUpdate) {
+        let mut entries: Vec<StreamerEntry> =
+            hosts.streamers.iter().map(ListEntry::to_streamer_entry).collect();
+        for entry in &hosts.streamers {
             self.update_entry(now, entry);
         }
         if hosts.full {
             let is_listed =
-                |known: &KnownStreamer| hosts.servers.iter().any(|entry| entry.id == known.entry.id);
+                |known: &KnownStreamer| hosts.streamers.iter().any(|entry| entry.id == known.entry.id);
             let gone = self.streamers.values().filter(|known| !is_listed(known));
-            let gone: Vec<Entry> =
-                gone.map(|known| Entry { state: String::new(), ..known.entry.clone() }).collect();
+            let gone: Vec<ListEntry> =
+                gone.map(|known| ListEntry { state: String::new(), ..known.entry.clone() }).collect();
             for entry in &gone {
                 self.update_entry(now, entry);
             }
-            entries.extend(gone.iter().map(Entry::line));
+            entries.extend(gone.iter().map(ListEntry::to_streamer_entry));
         }
         self.controller.update_list(now, &entries, hosts.full);
         self.apply_actions(now);
@@ -33,9 +34,9 @@
     }
 
     /// Applies the new entry of one streamer.
-    pub(super) fn update_entry(&mut self, now: Point, entry: &Entry) {
+    pub(super) fn update_entry(&mut self, now: Point, entry: &ListEntry) {
         let Some(known) = self.streamers.get_mut(&*entry.id) else {
-            if entry.stage() != StreamerState::Gone {
+            if entry.streamer_state() != StreamerState::Gone {
                 let known =
                     KnownStreamer { entry: entry.clone(), link_ids: Vec::new(), unreachable_since: None };
                 self.streamers.insert(entry.id.as_str().into(), known);
@@ -43,13 +44,13 @@
             return;
         };
         let before = std::mem::replace(&mut known.entry, entry.clone());
-        if before.addr != entry.addr {
+        if before.address != entry.address {
             // The process at the old address is not the one that the list means.
             for link in known.link_ids.clone() {
                 self.close_link(now, link, ConnectionLoss::Refused, CloseReason::AddressChanged);
             }
         }
-        if let Some(started) = entry.started().filter(|_| before.started() != entry.started()) {
+        if let Some(started) = entry.started_at().filter(|_| before.started_at() != entry.started_at()) {
             // The streamer was started again: sessions of the old process are over.
             self.end_sessions_at(now, &entry.id, |since| since < started);
         }
@@ -58,7 +59,7 @@
     /// Withdraws attempts that wait for a streamer that gets nothing new any more.
     pub(super) fn withdraw_waiting_at(&mut self, now: Point, streamer: &str) {
         let Some(known) = self.streamers.get(streamer) else { return };
-        let state = known.entry.stage();
+        let state = known.entry.streamer_state();
         for link in known.link_ids.clone() {
             let Some(streamer_link) = self.links.get_mut(&link) else { continue };
             streamer_link.link.is_listed = state != StreamerState::Gone;
@@ -72,7 +73,7 @@
     /// Removes a streamer that is gone, once no session plays and no attempt is out there.
     pub(super) fn remove_if_gone(&mut self, now: Point, streamer: &str) {
         let Some(known) =
-            self.streamers.get(streamer).filter(|known| known.entry.stage() == StreamerState::Gone)
+            self.streamers.get(streamer).filter(|known| known.entry.streamer_state() == StreamerState::Gone)
         else {
             return;
         };
--- a/crates/lemontide-platform/src/dispatcher/unanswered.rs
+++ b/crates/lemontide-platform/src/dispatcher/unanswered.rs
@@ -77,7 +77,7 @@
         }
         self.apply_actions(now);
         if self.sessions.get(&id).is_some_and(|tracked| tracked.reply.is_some()) {
-            self.answer_unserved(now, id, Body::release(cause::BROKEN), Outcome::Failed);
+            self.answer_unserved(now, id, Body::release(cause::FAILED), Outcome::Failed);
         }
     }
 
@@ -85,7 +85,7 @@
     pub(super) fn answer_overdue(&mut self, now: Point) {
         for reply in self.replies.recover_dropped() {
             if self.viewer_connections.contains_key(&reply.conn()) {
-                self.answer(reply, Body::release(cause::BROKEN), None);
+                self.answer(reply, Body::release(cause::FAILED), None);
             } else {
                 reply.client_gone(Departure::Closed);
             }
--- a/crates/lemontide-platform/src/dispatcher/viewers.rs
+++ b/crates/lemontide-platform/src/dispatcher/viewers.rs
@@ -68,7 +68,7 @@
     /// Messages that were not sent when a connection ended. Releases are sent over another connection; a session whose
     /// set-up its viewer did not learn of is ended.
     pub fn on_unsent(&mut self, now: Point, all: Vec<Outgoing>) {
-        for Outgoing { message, stood, reply, .. } in all {
+        for Outgoing { message, ends_session: stood, reply, .. } in all {
             reply.into_iter().for_each(|reply| reply.client_gone(Departure::Closed));
             match message.body {
                 Body::Release { cause, .. } if stood => {
@@ -111,8 +111,8 @@
         viewer_connection.closes_if_idle = false;
         let session = message.session;
         match message.body {
-            Body::Test => self.send_to_viewer(conn, session, Body::Tested { passed: true }),
-            body @ (Body::SetUp(_) | Body::Unusable(_)) => {
+            Body::Test => self.send_to_viewer(conn, session, Body::TestResult { passed: true }),
+            body @ (Body::SetUp(_) | Body::Invalid(_)) => {
                 if matches!(&body, Body::SetUp(set_up) if set_up.plays_at().is_none()) {
                     tracing::trace!(target: "request", session = format!("{session:016x}"), conn, "read");
                 }
@@ -152,9 +152,13 @@
                     None => self.remember_untracked_end(session, UntrackedEnd::ByViewer),
                 }
             }
-            Body::Heard | Body::Progress | Body::Tested { .. } => {}
+            Body::Acknowledged | Body::Progress | Body::TestResult { .. } => {}
             // Only streamers and controllers send these.
-            Body::Answer { .. } | Body::Note(_) | Body::OtherNote | Body::Move | Body::Rung(_) => {
+            Body::Answer { .. }
+            | Body::SessionReport(_)
+            | Body::UnknownReport
+            | Body::Move
+            | Body::Rung(_) => {
                 self.close_when_answered(now, conn);
             }
         }
@@ -178,7 +182,7 @@
             (Body::SetUp(set_up), None) => {
                 self.hand_over(now, (conn, session), set_up, (read_at, read_delay))
             }
-            (Body::Unusable(why), Some(reply)) => {
+            (Body::Invalid(why), Some(reply)) => {
                 tracing::info!(target: "viewers", why, "set-up is not usable");
                 self.refuse(now, reply);
             }
@@ -248,7 +252,7 @@
             reply.client_gone(Departure::NumberReused);
             return self.close_when_answered(now, conn);
         }
-        self.answer(reply, Body::release(cause::UNUSABLE), None);
+        self.answer(reply, Body::release(cause::INVALID), None);
     }
 
     /// Remembers a session number that was rejected on a connection.
@@ -262,16 +266,17 @@
 
     /// The part of a set-up that the settings show to be unusable.
     pub(super) fn unusable_part(&self, set_up: &SetUp) -> Option<&'static str> {
-        let Some(figures) = &set_up.figures else { return Some("no figures") };
+        let Some(figures) = &set_up.details else { return Some("no figures") };
         let settings = &self.settings;
-        let is_known_class = settings.classes.iter().any(|(name, _)| *name == set_up.lane);
+        let is_known_class = settings.classes.iter().any(|(name, _)| *name == set_up.class);
         let is_known_tenant = settings.tenants.is_empty() || settings.tenants.contains(&set_up.tenant);
-        let has_cells = (1..=settings.cells).contains(&figures.copies) && figures.home < settings.cells;
+        let has_cells =
+            (1..=settings.cells).contains(&figures.replicas) && figures.first_cell < settings.cells;
         match () {
             () if !is_known_class => Some("no such class"),
             () if !is_known_tenant => Some("no such tenant"),
             () if !has_cells => Some("no such cells"),
-            () if figures.top >= settings.rungs => Some("no such rung"),
+            () if figures.max_rung >= settings.rungs => Some("no such rung"),
             () if set_up.title.is_empty() => Some("no title"),
             () if set_up.wait_ms == 0 => Some("no time to answer"),
             () => None,
@@ -281,21 +286,21 @@
     /// The request to the module for a set-up. `read` is when the set-up was read, and how long it may have waited
     /// unread before: its time runs from then.
     fn build_request<'a>(&self, id: u32, set_up: &'a SetUp, read: (Point, Span)) -> Request<'a> {
-        let figures = set_up.figures.clone().unwrap_or_default();
-        let class = self.settings.classes.iter().find(|(name, _)| *name == set_up.lane);
+        let figures = set_up.details.clone().unwrap_or_default();
+        let class = self.settings.classes.iter().find(|(name, _)| *name == set_up.class);
         // The time that the viewer states counts up to the maximum of the class: otherwise a deadline far ahead would
         // be kept for ever.
         let wait = Span::of((set_up.wait_ms as f64 / 1e3).min(class.map_or(0.0, |class| class.1.seconds())));
         Request {
             id,
-            class: &set_up.lane,
+            class: &set_up.class,
             tenant: &set_up.tenant,
             title: &set_up.title,
             deadline: (read.0 + wait) - ANSWER_MARGIN - read.1,
-            first_cell: figures.home,
-            replicas: figures.copies,
-            max_rung: figures.top,
-            is_retry: figures.again,
+            first_cell: figures.first_cell,
+            replicas: figures.replicas,
+            max_rung: figures.max_rung,
+            is_retry: figures.is_retry,
             expected_duration: None,
         }
     }
@@ -328,7 +333,7 @@
         match ended {
             Some(UntrackedEnd::ByStreamer(cause::CANCELLED)) => return,
             Some(UntrackedEnd::ByStreamer(why)) => {
-                let why = if why == cause::NORMAL { why } else { cause::BROKEN };
+                let why = if why == cause::NORMAL { why } else { cause::FAILED };
                 return self.release_to_viewer(now, conn, session, why);
             }
             Some(UntrackedEnd::ByViewer) => {
@@ -337,7 +342,7 @@
             None => {}
         }
         let Some((streamer, _)) = self.streamers.get_key_value(&*streamer) else {
-            return self.release_to_viewer(now, conn, session, cause::BROKEN);
+            return self.release_to_viewer(now, conn, session, cause::FAILED);
         };
         let streamer = streamer.clone();
         let id = self.next_id();
@@ -453,6 +458,6 @@
 
 /// The answer to a rejected request, with the time after which it may be repeated, if there is one.
 pub(super) fn rejection(after: Option<Span>) -> Body {
-    let stay_away_ms = after.map(|after| (after.seconds() * 1e3).round() as u64);
-    Body::Release { cause: cause::TURNED_BACK, stay_away_ms, load: Load::default() }
+    let retry_after_ms = after.map(|after| (after.seconds() * 1e3).round() as u64);
+    Body::Release { cause: cause::REJECTED, retry_after_ms, load: Load::default() }
 }
--- a/crates/lemontide-platform/src/replies.rs
+++ b/crates/lemontide-platform/src/replies.rs
@@ -82,7 +82,7 @@
 fn is_request(body: &Body) -> bool {
     match body {
         Body::SetUp(set_up) => set_up.plays_at().is_none(),
-        Body::Unusable(_) => true,
+        Body::Invalid(_) => true,
         _ => false,
     }
 }
--- a/crates/lemontide-platform/tests/unread.rs
+++ b/crates/lemontide-platform/tests/unread.rs
@@ -22,7 +22,7 @@
 fn release(session: u64) -> Outgoing {
     Outgoing {
         message: Message { session, body: Body::release(cause::NORMAL) },
-        stood: true,
+        ends_session: true,
         reply: None,
         steps: None,
     }
@@ -33,9 +33,9 @@
     let mut returned = Vec::new();
     while let Some(report) = reports.recv().await {
         match report {
-            Report::Received(_) | Report::InputOver { .. } => {}
-            Report::Gone { unsaid, .. } => {
-                returned.extend(unsaid.iter().map(|unsent| unsent.message.session))
+            Report::Received(_) | Report::InputEnded { .. } => {}
+            Report::Closed { unwritten, .. } => {
+                returned.extend(unwritten.iter().map(|unsent| unsent.message.session))
             }
             Report::Unread { unread } => returned.extend(unread.iter().map(|unsent| unsent.message.session)),
         }
@@ -50,7 +50,7 @@
         let (commands, receiver) = mpsc::channel(4);
         let (reports, reported) = mpsc::channel(4);
         drop(theirs);
-        commands.send(Command::Say(Box::new(release(session)))).await.expect("the connection takes it");
+        commands.send(Command::Send(Box::new(release(session)))).await.expect("the connection takes it");
         tokio::spawn(run(Clock::start(), 1, ours, receiver, reports, Replies::default()));
         assert_eq!(returned_sessions(reported).await, [session]);
     }
@@ -64,7 +64,7 @@
         let (commands, receiver) = mpsc::channel(4);
         let (reports, reported) = mpsc::channel(4);
         tokio::spawn(run(Clock::start(), 1, ours, receiver, reports, Replies::default()));
-        commands.send(Command::Say(Box::new(release(session)))).await.expect("the connection takes it");
+        commands.send(Command::Send(Box::new(release(session)))).await.expect("the connection takes it");
         let mut buffer = [0; 64];
         let read = tokio::time::timeout(Duration::from_secs(1), theirs.read(&mut buffer)).await;
         assert!(read.expect("in time").expect("read") > 0);
