--- a/src/control/policy.rs
+++ b/src/control/policy.rs
@@ -1,4 +1,4 @@
-//! What follows from the settings alone.
+//! Rules that follow from the settings alone.
 
 use super::*;
 
@@ -11,7 +11,7 @@
     /// After this time the next load report is overdue; where none comes by itself, the last one is old.
     pub(super) fn report_lifetime(&self) -> Span {
         if self.number_or("notes.every", 1.0) <= 0.0 {
-            return Span::of(STALE / 2.0);
+            return Span::of(REPORT_STALE_S / 2.0);
         }
         get_span(&self.settings, "notes.age") + get_span(&self.settings, "notes.every") * 1.5
     }
@@ -21,7 +21,7 @@
         get_flag(&self.settings, "looks.allowed") && get_text(&self.settings, "links.told") != Some("never")
     }
 
-    /// Whether anything besides short delivery reports how full links are: periodic reports, answers or probes.
+    /// Whether anything besides a shortfall reports the utilization of links: periodic reports, answers or probes.
     pub(super) fn load_is_reported(&self) -> bool {
         let by_answers = !matches!(get_text(&self.settings, "links.told"), Some("never" | "looks"));
         by_answers || self.probes_report_load() || self.number_or("notes.every", 1.0) > 0.0
--- a/src/control/session.rs
+++ b/src/control/session.rs
@@ -3,144 +3,154 @@
 use super::*;
 
 impl SessionHandle {
-    pub(super) fn find(self, on: &mut Controller) -> Option<&mut Session> {
-        on.sessions.get_mut(self.place).filter(|s| s.serial == self.serial)
+    pub(super) fn find(self, controller: &mut Controller) -> Option<&mut Session> {
+        controller.sessions.get_mut(self.slot).filter(|s| s.serial == self.serial)
     }
 
     /// The session plays.
-    pub fn playing(self, on: &mut Controller, now: Point) {
-        let Some(held) = self.find(on) else { return };
-        held.state = SessionState::Playing;
-        let at = held.streamer;
-        if let Some(streamer) = on.streamers.get_mut(at) {
-            streamer.add_evidence(now, GOOD);
+    pub fn playing(self, controller: &mut Controller, now: Point) {
+        let Some(session) = self.find(controller) else { return };
+        session.state = SessionState::Playing;
+        let streamer_index = session.streamer;
+        if let Some(streamer) = controller.streamers.get_mut(streamer_index) {
+            streamer.add_evidence(now, SUCCESS_LOG_ODDS);
         }
     }
 
     /// The rung in force, as the streamer reports it.
-    pub fn rung_reported(self, on: &mut Controller, now: Point, rung: usize) {
-        let Some(held) = self.find(on) else { return };
-        let (at, before, rung) = (held.streamer, held.rung, rung.min(held.max_rung).max(held.min_rung));
-        let (less, more) = (on.added_load(self.place, at, before), on.added_load(self.place, at, rung));
-        on.sessions[self.place].rung = rung;
-        on.record_change(now, at, more.0 - less.0, more.1 - less.1);
+    pub fn rung_reported(self, controller: &mut Controller, now: Point, rung: usize) {
+        let Some(session) = self.find(controller) else { return };
+        let (streamer_index, old_rung) = (session.streamer, session.rung);
+        let rung = rung.min(session.max_rung).max(session.min_rung);
+        let old_load = controller.added_load(self.slot, streamer_index, old_rung);
+        let new_load = controller.added_load(self.slot, streamer_index, rung);
+        controller.sessions[self.slot].rung = rung;
+        controller.record_change(now, streamer_index, new_load.0 - old_load.0, new_load.1 - old_load.1);
     }
 
     /// The streamer delivers only this share of the rates.
-    pub fn shortfall_reported(self, on: &mut Controller, now: Point, share: f64) {
-        let Some(held) = self.find(on) else { return };
-        let at = held.streamer;
-        if share >= BRIM || !on.streamers.contains(at) {
+    pub fn shortfall_reported(self, controller: &mut Controller, now: Point, share: f64) {
+        let Some(session) = self.find(controller) else { return };
+        let streamer_index = session.streamer;
+        if share >= MAX_UTILIZATION || !controller.streamers.contains(streamer_index) {
             return;
         }
-        let full = 1.0 / share.max(0.3);
-        // A link that is told to have room, and yet delivers short, stands behind an uplink told to be full.
-        let uplink = on.uplink_utilization(now, at);
-        let behind = uplink > FILL && uplink > on.link_utilization(now, at);
-        let load = if behind { Load::of_uplink(full) } else { Load::of_link(full) };
-        on.apply_load(now, at, load, get_span(&on.policy.settings, "notes.age"), 1.0);
+        let utilization = 1.0 / share.max(0.3);
+        // A link that delivers too little although it has spare rate is limited by its uplink, where that is
+        // reported to be full.
+        let uplink = controller.uplink_utilization(now, streamer_index);
+        let limited_by_uplink =
+            uplink > TARGET_UTILIZATION && uplink > controller.link_utilization(now, streamer_index);
+        let load = if limited_by_uplink { Load::of_uplink(utilization) } else { Load::of_link(utilization) };
+        let age = get_span(&controller.policy.settings, "notes.age");
+        controller.apply_load(now, streamer_index, load, age, 1.0);
     }
 
     /// The streamer reports the utilization of its link or its rack's uplink.
-    pub fn load_reported(self, on: &mut Controller, now: Point, load: Load) {
-        let Some(held) = self.find(on) else { return };
-        let (at, set_up) = (held.streamer, now - held.changed_at < BEAT);
-        let age = if set_up { Span::ZERO } else { get_span(&on.policy.settings, "notes.age") };
-        on.apply_load(now, at, load, age, 1.0);
+    pub fn load_reported(self, controller: &mut Controller, now: Point, load: Load) {
+        let Some(session) = self.find(controller) else { return };
+        let (streamer_index, just_changed) = (session.streamer, now - session.changed_at < TICK_INTERVAL);
+        let age =
+            if just_changed { Span::ZERO } else { get_span(&controller.policy.settings, "notes.age") };
+        controller.apply_load(now, streamer_index, load, age, 1.0);
     }
 
     /// An attempt got no answer in time, or its connection became unusable, and it may still run. This counts
-    /// against its streamer now, and not again when `attempt_ended` follows. True where another attempt may follow,
+    /// against its streamer now, and not again when `attempt_ended` follows. True where another attempt can follow,
     /// which must wait until this one is proven over; false where `attempt_ended` decides the session for good.
-    pub fn attempt_in_doubt(self, on: &mut Controller, now: Point) -> bool {
-        let Some(held) = self.find(on) else { return false };
-        let (at, lane, counted) =
-            (held.streamer, held.class, std::mem::replace(&mut held.failure_counted, true));
-        if let Some(streamer) = on.streamers.get_mut(at).filter(|_| !counted) {
-            streamer.add_evidence(now, BAD);
+    pub fn attempt_in_doubt(self, controller: &mut Controller, now: Point) -> bool {
+        let Some(session) = self.find(controller) else { return false };
+        let (streamer_index, class) = (session.streamer, session.class);
+        let counted_before = std::mem::replace(&mut session.failure_counted, true);
+        if let Some(streamer) = controller.streamers.get_mut(streamer_index).filter(|_| !counted_before) {
+            streamer.add_evidence(now, FAILURE_LOG_ODDS);
         }
-        !on.classes[lane].at_most_once && on.has_attempts_left(now, &on.sessions[self.place])
+        !controller.classes[class].at_most_once
+            && controller.has_attempts_left(now, &controller.sessions[self.slot])
     }
 
-    /// An attempt or its stream ended; `over` says that the session is finished with it.
+    /// An attempt or its stream ended, with the load that was reported; after a `terminal` end the session is over.
     pub fn attempt_ended(
         self,
-        on: &mut Controller,
+        controller: &mut Controller,
         now: Point,
-        ending: AttemptOutcome,
-        over: bool,
+        outcome: AttemptOutcome,
+        terminal: bool,
         load: Load,
     ) {
-        let Some(held) = self.find(on) else { return };
-        let (at, rung, lane, seated) = (held.streamer, held.rung, held.class, held.is_placed());
-        let finished = over || matches!(held.state, SessionState::Playing | SessionState::Left);
-        let (played, blamed) = (held.state == SessionState::Playing, held.first_error_at);
-        let counted = std::mem::take(&mut held.failure_counted);
-        if ending == AttemptOutcome::Errored {
-            held.first_error_at = Some(if blamed.is_none() { at } else { usize::MAX });
+        let Some(session) = self.find(controller) else { return };
+        let (streamer_index, rung, class) = (session.streamer, session.rung, session.class);
+        let was_placed = session.is_placed();
+        let is_finished = terminal || matches!(session.state, SessionState::Playing | SessionState::Left);
+        let (was_playing, first_error_at) = (session.state == SessionState::Playing, session.first_error_at);
+        let failure_counted = std::mem::take(&mut session.failure_counted);
+        if outcome == AttemptOutcome::Errored {
+            session.first_error_at =
+                Some(if first_error_at.is_none() { streamer_index } else { usize::MAX });
         }
-        held.may_have_run |= !matches!(
-            ending,
+        session.may_have_run |= !matches!(
+            outcome,
             AttemptOutcome::Refused | AttemptOutcome::NoConnection | AttemptOutcome::NotSent
         );
-        held.state = SessionState::Waiting;
-        if seated {
-            let (kb, count) = on.added_load(self.place, at, rung);
-            on.record_change(now, at, -kb, -count);
+        session.state = SessionState::Waiting;
+        if was_placed {
+            let (kb, count) = controller.added_load(self.slot, streamer_index, rung);
+            controller.record_change(now, streamer_index, -kb, -count);
         }
-        if let Some(streamer) = on.streamers.get_mut(at) {
-            match ending {
-                // A broken stream was held by a process that is no more: it restarts cold, if at all. A shot
-                // that broke on its way says nothing of it. Symptom: one reset, and a sound streamer unused.
-                AttemptOutcome::ConnectionLost if played => {
-                    streamer.add_evidence(now, BAD);
+        if let Some(streamer) = controller.streamers.get_mut(streamer_index) {
+            match outcome {
+                // The process that ran a broken stream is gone: the streamer restarts cold, if at all. A lost
+                // connection of an attempt is no sign of that: otherwise after one reset a healthy streamer
+                // stays unused.
+                AttemptOutcome::ConnectionLost if was_playing => {
+                    streamer.add_evidence(now, FAILURE_LOG_ODDS);
                     streamer.started_at = streamer.started_at.max(Some(now));
                 }
-                // A wish that fails at one streamer after the other is at fault itself: its first error is
-                // taken back. Symptom: some titles that nobody knows, and a third of the fleet condemned.
-                AttemptOutcome::Errored if blamed.is_some_and(|first| first != at) => {
-                    let first = blamed.and_then(|first| on.streamers.get_mut(first));
-                    first.into_iter().for_each(|streamer| streamer.add_evidence(now, -BAD));
+                // A request that fails at one streamer after the other is at fault itself, so the evidence of its
+                // first error is taken back: otherwise some unknown titles exclude a third of the fleet.
+                AttemptOutcome::Errored if first_error_at.is_some_and(|first| first != streamer_index) => {
+                    let first = first_error_at.and_then(|first| controller.streamers.get_mut(first));
+                    first.into_iter().for_each(|streamer| streamer.add_evidence(now, -FAILURE_LOG_ODDS));
                 }
-                _ if counted => {}
+                _ if failure_counted => {}
                 AttemptOutcome::Errored
                 | AttemptOutcome::TimedOut
                 | AttemptOutcome::NoConnection
                 | AttemptOutcome::ConnectionLost => {
-                    streamer.add_evidence(now, BAD);
+                    streamer.add_evidence(now, FAILURE_LOG_ODDS);
                 }
                 AttemptOutcome::Refused => streamer.full_until = now + Span::of(1.0),
                 _ => {}
             }
         }
-        // A streamer that sends a shot back means what it says. Symptom: shot after shot at full streamers.
-        let part = if ending == AttemptOutcome::Refused { 1.0 } else { ANSWER_PART };
-        on.apply_load(now, at, load, ANSWER_AGE, part);
-        if finished {
-            on.sessions.remove(self.place);
-        } else if on.sessions[self.place].may_have_run && on.classes[lane].at_most_once {
-            on.reject_or_fail(self.place);
+        // The load that comes with a refusal is taken as exact: otherwise attempt follows attempt at full streamers.
+        let weight = if outcome == AttemptOutcome::Refused { 1.0 } else { ANSWER_LOAD_WEIGHT };
+        controller.apply_load(now, streamer_index, load, ANSWER_LOAD_AGE, weight);
+        if is_finished {
+            controller.sessions.remove(self.slot);
+        } else if controller.sessions[self.slot].may_have_run && controller.classes[class].at_most_once {
+            controller.reject_or_fail(self.slot);
         } else {
-            on.place_session(now, self.place);
+            controller.place_session(now, self.slot);
         }
     }
 
     /// No further attempt: the session has its final answer now, or when the outstanding attempt ends.
-    pub fn stop_retrying(self, on: &mut Controller, now: Point) {
-        let Some(held) = self.find(on) else { return };
-        held.deadline = held.deadline.min(now);
-        if held.state == SessionState::Waiting {
-            on.reject_or_fail(self.place);
+    pub fn stop_retrying(self, controller: &mut Controller, now: Point) {
+        let Some(session) = self.find(controller) else { return };
+        session.deadline = session.deadline.min(now);
+        if session.state == SessionState::Waiting {
+            controller.reject_or_fail(self.slot);
         }
     }
 
     /// The viewer left; an outstanding attempt keeps its place until it ends.
-    pub fn viewer_left(self, on: &mut Controller) {
-        let Some(held) = self.find(on) else { return };
-        if held.state == SessionState::Waiting {
-            on.sessions.remove(self.place);
+    pub fn viewer_left(self, controller: &mut Controller) {
+        let Some(session) = self.find(controller) else { return };
+        if session.state == SessionState::Waiting {
+            controller.sessions.remove(self.slot);
         } else {
-            held.state = SessionState::Left;
+            session.state = SessionState::Left;
         }
     }
 }
