--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,40 +1,47 @@
-//! Points in time and spans between them, in whole microseconds; the two can't be mixed up.
+//! Points in time and durations, in whole microseconds, as two types that can't be mixed up.
 
 use std::ops::{Add, Mul, Sub};
 
+/// A moment, in microseconds since the clock's zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Point(i64);
 
+/// A duration, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(i64);
 
 impl Point {
+    /// The moment so many seconds after the clock's zero.
     pub fn at(seconds: f64) -> Self {
         Point((seconds * 1e6).round() as i64)
     }
 
-    /// Which turn of the given length this moment falls in, counted from the clock's zero.
+    /// The number of the turn of the given length that contains this moment, counted from the clock's zero.
     pub fn turn(self, length: Span) -> i64 {
         self.0.div_euclid(length.0.max(1))
     }
 
-    /// How far into its turn of the given length this moment is.
+    /// Time since the start of the turn of the given length that contains this moment.
     pub fn into_turn(self, length: Span) -> Span {
         Span(self.0.rem_euclid(length.0.max(1)))
     }
 }
 
 impl Span {
+    /// No time at all.
     pub const ZERO: Span = Span(0);
 
+    /// So many milliseconds.
     pub const fn of_millis(millis: i64) -> Self {
         Span(millis * 1000)
     }
 
+    /// So many seconds, rounded to microseconds.
     pub fn of(seconds: f64) -> Self {
         Span((seconds * 1e6).round() as i64)
     }
 
+    /// The duration in seconds.
     pub fn seconds(self) -> f64 {
         self.0 as f64 / 1e6
     }
--- a/src/control.rs
+++ b/src/control.rs
@@ -354,8 +354,7 @@
         let rate = |rung: usize| self.rate(class_index, rung) * self.shared_rate_part(session);
         let gain_per_kb = |rung: usize| session.gain * self.ladder.gains[rung] / rate(rung);
         let best_gain_per_kb = (min_rung..=session.max_rung).map(gain_per_kb).fold(0.0, f64::max);
-        let gain_to_price =
-            self.fleet.price_per_kb.map_or(1.0, |price| best_gain_per_kb / price.max(1e-12));
+        let gain_to_price = self.fleet.price_per_kb.map_or(1.0, |price| best_gain_per_kb / price.max(1e-12));
         let gain_loss = 1.0 - session.gain / class.gain;
         if gain_to_price < MIN_GAIN_TO_PRICE_RATIO && self.tenants.is_empty()
             || gain_to_price < 1.0
@@ -509,8 +508,8 @@
             let utilization = self.streamers[index].link.utilization().max(0.05);
             // A controller that gets reports from a small part of the fleet gets them from crowded streamers
             // more often, so these weigh less.
-            let weight = self.streamers[index].link.capacity_kb
-                / utilization.powf(1.0 - self.fleet.reporting_share);
+            let weight =
+                self.streamers[index].link.capacity_kb / utilization.powf(1.0 - self.fleet.reporting_share);
             weight_sum += weight;
             link_sum += weight * utilization;
             let uplink = self.reported_uplink_utilization(now, index);
@@ -537,8 +536,7 @@
         // own only. Otherwise it takes the whole fleet to grow.
         let catch_up_kb =
             trust * link_sum / weight_sum * links_kb / self.policy.controller_count() * CATCH_UP_RATIO;
-        let started_recently =
-            now - self.policy.started_at < get_span(&self.policy.settings, "cold.span");
+        let started_recently = now - self.policy.started_at < get_span(&self.policy.settings, "cold.span");
         let past_kb = if started_recently {
             self.fleet.own_rate_at_report.max(own_kb.min(catch_up_kb))
         } else {
@@ -654,9 +652,8 @@
         self.streamers[streamer_index].last_adjusted = now;
         let mut missing_kb = self.streamers[streamer_index].own_rate_kb * (1.0 - 1.0 / utilization);
         while missing_kb > 0.0 {
-            let can_step = |s: &Session| {
-                s.is_playing_at(streamer_index) && s.rung > s.min_rung && s.changed_at < now
-            };
+            let can_step =
+                |s: &Session| s.is_playing_at(streamer_index) && s.rung > s.min_rung && s.changed_at < now;
             let gain_per_kb = |s: &Session| self.step_cost_and_gain(s, s.rung).1;
             let candidates = self.sessions.iter().filter(|(_, s)| can_step(s));
             let cheapest = candidates.min_by(|a, b| gain_per_kb(a.1).total_cmp(&gain_per_kb(b.1)));
@@ -765,8 +762,8 @@
         // outnumber the controllers: otherwise a controller with more viewers than others downgrades in an empty
         // fleet.
         let (no_price_yet, session_count) = (self.fleet.price_per_kb.is_none(), self.sessions.len() as f64);
-        let utilization = self.estimate_fleet(now) * session_count
-            / (session_count + self.policy.controller_count());
+        let utilization =
+            self.estimate_fleet(now) * session_count / (session_count + self.policy.controller_count());
         for index in 0..self.streamers.capacity() {
             if self.streamers.contains(index) {
                 self.downgrade_sessions(now, index, now, if no_price_yet { utilization } else { 0.0 });
@@ -812,8 +809,8 @@
             now - reported_at > self.policy.report_lifetime() || reported_at <= streamer.last_adjusted
         };
         // Where load is never reported, the own records decide. Otherwise all sessions stay at their first rung.
-        let by_own_records = !self.policy.load_is_reported()
-            && now - streamer.last_adjusted > Span::of(MAX_UPGRADE_DELAY_S);
+        let by_own_records =
+            !self.policy.load_is_reported() && now - streamer.last_adjusted > Span::of(MAX_UPGRADE_DELAY_S);
         if !by_own_records && streamer.link.reported_at.is_none_or(is_used_up) {
             return;
         }
--- a/src/control/capacity.rs
+++ b/src/control/capacity.rs
@@ -83,11 +83,8 @@
         };
         // No report is old before the next one is due: otherwise, where reports are rare, links count as the mean.
         let old_s = (now - reported_at).seconds() - REPORT_STALE_S / 2.0;
-        let next_due_s = if old_s > 0.0 {
-            self.policy.report_lifetime().seconds() - REPORT_STALE_S / 2.0
-        } else {
-            0.0
-        };
+        let next_due_s =
+            if old_s > 0.0 { self.policy.report_lifetime().seconds() - REPORT_STALE_S / 2.0 } else { 0.0 };
         let staleness = ((old_s - next_due_s.max(0.0)) / REPORT_STALE_S).clamp(0.0, 1.0);
         link.utilization()
             + link.reported_utilization * self.fleet.growth_since_report
--- a/src/control/session.rs
+++ b/src/control/session.rs
@@ -50,8 +50,7 @@
     pub fn load_reported(self, controller: &mut Controller, now: Point, load: Load) {
         let Some(session) = self.find(controller) else { return };
         let (streamer_index, just_changed) = (session.streamer, now - session.changed_at < TICK_INTERVAL);
-        let age =
-            if just_changed { Span::ZERO } else { get_span(&controller.policy.settings, "notes.age") };
+        let age = if just_changed { Span::ZERO } else { get_span(&controller.policy.settings, "notes.age") };
         controller.apply_load(now, streamer_index, load, age, 1.0);
     }
 
@@ -85,8 +84,7 @@
         let (was_playing, first_error_at) = (session.state == SessionState::Playing, session.first_error_at);
         let failure_counted = std::mem::take(&mut session.failure_counted);
         if outcome == AttemptOutcome::Errored {
-            session.first_error_at =
-                Some(if first_error_at.is_none() { streamer_index } else { usize::MAX });
+            session.first_error_at = Some(if first_error_at.is_none() { streamer_index } else { usize::MAX });
         }
         session.may_have_run |= !matches!(
             outcome,
--- a/src/control/streamer.rs
+++ b/src/control/streamer.rs
@@ -47,26 +47,21 @@
         let turns_in_round = (policy.controller_count() / sharing).ceil() as i64;
         // Sends that are written late, clocks that are ahead, and a controller that restarted within its turn and
         // no longer knows what it sent would put the sends of two turns into one window.
-        let margin =
-            get_span(&policy.settings, "clocks.apart") + get_span(&policy.settings, "dial.timeout");
-        let is_open = now.into_turn(window * 2.0) < window - margin
-            && policy.started_at.turn(window * 2.0) < turn;
-        let has_turn = |number: f64| {
-            is_open && turn.rem_euclid(turns_in_round) as f64 == (number / sharing).floor()
-        };
+        let margin = get_span(&policy.settings, "clocks.apart") + get_span(&policy.settings, "dial.timeout");
+        let is_open =
+            now.into_turn(window * 2.0) < window - margin && policy.started_at.turn(window * 2.0) < turn;
+        let has_turn =
+            |number: f64| is_open && turn.rem_euclid(turns_in_round) as f64 == (number / sharing).floor();
         let own_sends = (own_budget / sharing).floor();
-        let is_own_turn =
-            has_turn(policy.number_or("me", 0.0)) && !policy.covered_turns.own_turns_lost;
+        let is_own_turn = has_turn(policy.number_or("me", 0.0)) && !policy.covered_turns.own_turns_lost;
         // What is left of the whole budget after the own turns is divided among the turns of missing controllers.
         let (spare_sends, round) =
             ((budget - sharing * own_sends).floor(), turn.div_euclid(turns_in_round) as f64);
         let part_of_spare =
             |n: f64| ((spare_sends + (n + round).rem_euclid(sharing)) / sharing).floor().max(0.0);
         let missing = policy.covered_turns.missing_controllers.iter().map(|n| f64::from(*n));
-        let covered_sends: f64 = missing
-            .filter(|n| now <= policy.covered_turns.until && has_turn(*n))
-            .map(part_of_spare)
-            .sum();
+        let covered_sends: f64 =
+            missing.filter(|n| now <= policy.covered_turns.until && has_turn(*n)).map(part_of_spare).sum();
         let limit = if is_own_turn { own_sends + covered_sends } else { covered_sends };
         let limit = if is_cold { limit } else { (own_budget / 2.0).max(1.0) };
         f64::from(sent) + 1.0 <= limit
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! lemontide: places video subscriptions on media servers and shapes their quality.
+//! lemontide: places video sessions on media servers and sets their quality.
 //! `control` makes every decision; `interface` has the types of its calls, `records` the state it keeps,
 //! `clock` points in time and durations, `random` a pseudo-random generator.
 
--- a/src/random.rs
+++ b/src/random.rs
@@ -1,18 +1,20 @@
-//! A multiply-with-carry generator: small, fast and the same on every machine.
+//! A multiply-with-carry random generator: small, fast and the same on every machine.
 
+/// A pseudo-random generator.
 pub struct Random {
     state: u64,
 }
 
 impl Random {
+    /// A generator that gives the same numbers for the same seed.
     pub fn from_seed(seed: u64) -> Self {
-        // Neither zero nor the largest state may start the sequence: both stay where they are.
+        // The sequence must start with neither zero nor the largest state: both never change.
         let state = (seed ^ (seed >> 32)) & 0x7fff_ffff;
-        let mut chance = Random { state: (state | 1) << 31 | 0x2545_f491 };
+        let mut random = Random { state: (state | 1) << 31 | 0x2545_f491 };
         for _ in 0..8 {
-            chance.next();
+            random.next();
         }
-        chance
+        random
     }
 
     fn next(&mut self) -> u32 {
