--- a/crates/lemontide-settings/tests/settings.rs
+++ b/crates/lemontide-settings/tests/settings.rs
@@ -4,12 +4,12 @@
 use lemontide_settings::parse_settings;
 use serde_json::{json, Value as Json};
 
-/// Usable settings of two lanes, as a controller is handed them.
-fn settings() -> Json {
-    let lane = |name: &str, effect: &str| json!({"name": name, "worth": 1, "aim": 1, "hard_limit": 3, "effect": effect});
+/// Valid settings with two classes, as a controller receives them.
+fn valid_settings() -> Json {
+    let class = |name: &str, effect: &str| json!({"name": name, "worth": 1, "aim": 1, "hard_limit": 3, "effect": effect});
     json!({
         "me": 0, "peers_total": 2, "zone": "a", "kinds": ["std"], "membership_mode": "pushed", "weight_source": "rough",
-        "classes": [lane("free", "read_like"), lane("paid", "non_idempotent")],
+        "classes": [class("free", "read_like"), class("paid", "non_idempotent")],
         "family_info": {"kind_slots": [30], "positions": 4, "lowest_rung": [0, 1], "top_by_class": [1, 1],
             "class_scale": [1, 1.5], "class_seats": [0, 2], "live": [true, false], "join": 0.2, "rung_kb": [200, 400],
             "worth_by_rung": [0.3, 1], "kb_per_weight": 1e4, "rack_link_kb": 1e5, "racks": 2, "seen_after": 1,
@@ -19,17 +19,17 @@
     })
 }
 
-/// The same with one place replaced; `Json::Null` takes it out.
-fn with(place: &str, value: Json) -> Json {
-    let mut settings = settings();
-    let (above, name) = place.rsplit_once('/').expect("a place");
-    settings.pointer_mut(above).expect("it is there")[name] = value;
+/// The same with the value at one path replaced; `Json::Null` removes it.
+fn with_value(path: &str, value: Json) -> Json {
+    let mut settings = valid_settings();
+    let (parent, name) = path.rsplit_once('/').expect("a path");
+    settings.pointer_mut(parent).expect("the parent exists")[name] = value;
     settings
 }
 
 #[test]
-fn usable_settings_are_spelled_out_and_unknown_ones_skipped() {
-    let parsed = parse_settings(&settings()).expect("usable");
+fn valid_settings_are_parsed_and_unknown_ones_skipped() {
+    let parsed = parse_settings(&valid_settings()).expect("valid");
     assert_eq!(
         (get_number(&parsed, "lane_seats.1"), get_number(&parsed, "lane_scale.1")),
         (Some(2.0), Some(1.5))
@@ -41,27 +41,28 @@
     assert!(get_flag(&parsed, "lane_live.0") && !get_flag(&parsed, "lane_live.1"));
     assert!(
         !get_flag(&parsed, "looks.allowed") && !get_flag(&parsed, "list.on_request"),
-        "an absent yes is a no"
+        "an absent flag is false"
     );
 }
 
 #[test]
-fn how_links_are_told_of_is_read_from_the_report() {
-    for (how, names, told) in [
+fn how_link_load_is_reported_follows_from_the_report_settings() {
+    for (how, names, reported_by) in [
         ("answers", json!(["x1", "cpu_share"]), "answers"),
         ("answers", json!(["busy_reqs"]), "never"),
         ("probe", json!(["x0"]), "looks"),
         ("none", json!([]), "never"),
     ] {
-        let parsed = parse_settings(&with("/report", json!({"how": how, "names": names}))).expect("usable");
-        assert_eq!(get_text(&parsed, "links.told"), Some(told), "{how}");
+        let parsed =
+            parse_settings(&with_value("/report", json!({"how": how, "names": names}))).expect("valid");
+        assert_eq!(get_text(&parsed, "links.told"), Some(reported_by), "{how}");
     }
 }
 
-/// What could not be read was left out without a word, and the module guessed.
+/// Guards against settings that are silently ignored when they cannot be read, so that a default takes their place.
 #[test]
-fn what_can_not_be_used_is_named_with_its_remedy() {
-    for (place, value, named) in [
+fn errors_name_the_setting_and_the_remedy() {
+    for (path, value, message) in [
         ("/rules/cold", Json::Null, "rules.cold: it is missing; give a number"),
         ("/rules/fall", json!("1"), "rules.fall: not usable; give a number"),
         ("/family_info/rung_kb", json!([200, -1]), "family_info.rung_kb.1: not usable; give"),
@@ -79,8 +80,8 @@
         ("/policy_limits/retry_after", json!(true), "policy_limits.max_retry_after: it is missing beside"),
         ("/report/how", json!("rumour"), "report.how: missing or not known; give"),
     ] {
-        let error = parse_settings(&with(place, value)).expect_err(place);
-        assert!(error.starts_with(named), "{error}");
+        let error = parse_settings(&with_value(path, value)).expect_err(path);
+        assert!(error.starts_with(message), "{error}");
     }
     assert!(parse_settings(&json!([])).is_err());
 }
