--- a/src/control/streamer.rs
+++ b/src/control/streamer.rs
@@ -8,8 +8,8 @@
         self.failure_log_odds =
             (self.failure_log_odds_now(now) + log_odds).clamp(0.0, 2.0 * EXCLUDED_LOG_ODDS);
         self.failure_log_odds_at = now;
-        // Own successes outweigh reports of others: otherwise a streamer that serves comes last for as long as
-        // one controller lies about it.
+        // Own successes outweigh reports of others: otherwise a streamer that serves is used last for as long as
+        // one controller reports falsely that it fails.
         if log_odds < 0.0 {
             self.peer_log_odds *= 0.5;
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: settings, wishes and lists in a few words.
+//! Settings, requests and lists that the tests share.
 #![allow(dead_code)] // each test program uses its own part
 
 use lemontide::clock::{Point, Span};
@@ -8,13 +8,16 @@
 pub const FREE: &str = "free";
 pub const PAID: &str = "paid";
 pub const STREAMERS: usize = 6;
-pub const COPIES: usize = 3;
-pub const COLD: f64 = 10.0;
+/// Number of cells in a row that hold a title.
+pub const REPLICAS: usize = 3;
+/// Warm-up of a cold streamer.
+pub const WARM_UP_S: f64 = 10.0;
 
-/// Two lanes, five rungs, links of 10,000 kB a second; the paid lane has a floor, the free one seats.
-pub fn sheet(me: usize, controllers: usize, more: &[(&str, f64)]) -> ControllerSettings {
-    let mut sheet = ControllerSettings::new();
-    let mut put = |name: String, value| sheet.insert(name, value);
+/// Two classes, five rungs, links of 10,000 kB a second. The free class can be repeated and starts at rung 0, the paid
+/// one is set up at most once and starts at rung 1.
+pub fn controller_settings(me: usize, controllers: usize, extra: &[(&str, f64)]) -> ControllerSettings {
+    let mut settings = ControllerSettings::new();
+    let mut put = |name: String, value| settings.insert(name, value);
     for (i, (name, gain)) in [(FREE, 1.0), (PAID, 3.0)].iter().enumerate() {
         put(format!("lanes.{i}.name"), SettingValue::Text((*name).to_owned()));
         put(format!("lanes.{i}.repeat"), SettingValue::Text((*name).to_owned()));
@@ -31,7 +34,7 @@
     put("zone".to_owned(), SettingValue::Text("here".to_owned()));
     put("kinds.0".to_owned(), SettingValue::Text("std".to_owned()));
     put("retry_after.allowed".to_owned(), SettingValue::Flag(true));
-    let figures = [
+    let numbers = [
         ("me", me as f64),
         ("controllers", controllers as f64),
         ("cells", STREAMERS as f64),
@@ -39,53 +42,62 @@
         ("link.kb_per_weight", 10_000.0),
         ("notes.age", 1.0),
         ("notes.every", 3.0),
-        ("cold.span", COLD),
+        ("cold.span", WARM_UP_S),
         ("cold.from", 0.5),
         ("cold.multiple", 2.5),
         ("cold.window", 1.0),
         ("shots.most", 3.0),
         ("retry_after.longest", 0.5),
     ];
-    for (name, figure) in figures.iter().chain(more) {
-        put((*name).to_owned(), SettingValue::Number(*figure));
+    for (name, number) in numbers.iter().chain(extra) {
+        put((*name).to_owned(), SettingValue::Number(*number));
     }
-    sheet
+    settings
 }
 
-pub fn line(cell: usize, stage: StreamerState, started: Option<Point>) -> StreamerEntry {
+/// Entry of the streamer `s{cell}`.
+pub fn entry(cell: usize, state: StreamerState, started_at: Option<Point>) -> StreamerEntry {
     let (streamer, zone, kind) = (format!("s{cell}"), "here".to_owned(), "std".to_owned());
-    StreamerEntry { streamer, zone, kind, cell, state: stage, weight: 1.0, started_at: started }
+    StreamerEntry { streamer, zone, kind, cell, state: state, weight: 1.0, started_at: started_at }
 }
 
+/// The list of all streamers, ready and long started.
 pub fn fleet() -> Vec<StreamerEntry> {
-    (0..STREAMERS).map(|cell| line(cell, StreamerState::Ready, None)).collect()
+    (0..STREAMERS).map(|cell| entry(cell, StreamerState::Ready, None)).collect()
 }
 
-/// A wish for a title that lies on streamer `home` and the two after it.
-pub fn wish<'a>(id: u32, lane: &'a str, title: &'a str, home: usize, cut_off: Point) -> Request<'a> {
+/// A request for a title that is held by the streamer in cell `first_cell` and the two after it.
+pub fn request<'a>(
+    id: u32,
+    class: &'a str,
+    title: &'a str,
+    first_cell: usize,
+    deadline: Point,
+) -> Request<'a> {
     Request {
         id,
-        class: lane,
+        class: class,
         tenant: "",
         title,
-        deadline: cut_off,
-        first_cell: home,
-        replicas: COPIES,
+        deadline: deadline,
+        first_cell: first_cell,
+        replicas: REPLICAS,
         max_rung: 4,
         is_retry: false,
         expected_duration: None,
     }
 }
 
-pub fn holds(streamer: &str, home: usize) -> bool {
+/// Whether a streamer holds the titles of this first cell.
+pub fn holds(streamer: &str, first_cell: usize) -> bool {
     let cell: usize = streamer[1..].parse().expect("streamers are named s0, s1 and so on");
-    (cell + STREAMERS - home) % STREAMERS < COPIES
+    (cell + STREAMERS - first_cell) % STREAMERS < REPLICAS
 }
 
-/// A lone controller that knows the whole fleet, at second 100.
-pub fn lone(more: &[(&str, f64)]) -> (Controller, Point) {
+/// The only controller of a fleet, with the whole list, at second 100.
+pub fn single_controller(extra: &[(&str, f64)]) -> (Controller, Point) {
     let now = Point::at(100.0);
-    let mut controller = Controller::new(now, 7, &sheet(0, 1, more));
+    let mut controller = Controller::new(now, 7, &controller_settings(0, 1, extra));
     controller.update_list(now, &fleet(), true);
     controller.actions.clear();
     (controller, now)
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,5 @@
-//! A slow, plain model of the six rules beside the module, on generated days: the two must agree on what is
-//! allowed. Two controllers that share nothing meet the same streamers.
+//! A slow, simple model of the six rules runs next to the decision module on generated sequences of events: both must
+//! agree on what is allowed. Two controllers that share nothing use the same streamers.
 
 mod common;
 
@@ -11,24 +11,26 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const SEATS: usize = 2;
-const MOST: u32 = 3;
-const RATION: (f64, f64, f64) = (2.0, 0.3, 5.0);
+const MAX_SESSIONS_PER_TITLE: usize = 2;
+const MAX_ATTEMPTS: u32 = 3;
+/// Least number of retries, retries per request, and window in seconds.
+const RETRY_BUDGET: (f64, f64, f64) = (2.0, 0.3, 5.0);
 
+/// One event; `pick` chooses among the sessions or probes that it can concern.
 #[derive(Clone, Debug)]
 enum Step {
-    Wish { to: usize, paid: bool, title: usize, patience: f64 },
-    End { pick: usize, ending: AttemptOutcome },
-    Play { pick: usize },
-    Leave { pick: usize },
-    Stage { cell: usize, stage: StreamerState, restarted: bool },
-    Full { pick: usize, full: f64 },
-    Look { pick: usize, sound: bool, full: f64 },
-    Pass { seconds: f64 },
+    Request { controller: usize, at_most_once: bool, title: usize, patience: f64 },
+    EndAttempt { pick: usize, outcome: AttemptOutcome },
+    StartPlaying { pick: usize },
+    ViewerLeaves { pick: usize },
+    ListChange { cell: usize, state: StreamerState, restarted: bool },
+    ReportLoad { pick: usize, utilization: f64 },
+    FinishProbe { pick: usize, succeeded: bool, utilization: f64 },
+    PassTime { seconds: f64 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let ending = prop_oneof![
+    let outcome = prop_oneof![
         Just(AttemptOutcome::Errored),
         Just(AttemptOutcome::Refused),
         Just(AttemptOutcome::NoConnection),
@@ -37,289 +39,348 @@
         Just(AttemptOutcome::Unknown),
     ];
     let ready = Just(StreamerState::Ready);
-    let stage = prop_oneof![3 => ready, 1 => Just(StreamerState::Draining), 1 => Just(StreamerState::Gone)];
+    let state = prop_oneof![3 => ready, 1 => Just(StreamerState::Draining), 1 => Just(StreamerState::Gone)];
     prop_oneof![
         6 => (0..2usize, any::<bool>(), 0..4usize, 0.2..4.0)
-            .prop_map(|(to, paid, title, patience)| Step::Wish { to, paid, title, patience }),
-        3 => (any::<usize>(), ending).prop_map(|(pick, ending)| Step::End { pick, ending }),
-        3 => any::<usize>().prop_map(|pick| Step::Play { pick }),
-        1 => any::<usize>().prop_map(|pick| Step::Leave { pick }),
-        1 => (0..STREAMERS, stage, any::<bool>()).prop_map(|(cell, stage, restarted)| Step::Stage {
-            cell, stage, restarted
+            .prop_map(|(controller, at_most_once, title, patience)| Step::Request { controller, at_most_once, title, patience }),
+        3 => (any::<usize>(), outcome).prop_map(|(pick, outcome)| Step::EndAttempt { pick, outcome }),
+        3 => any::<usize>().prop_map(|pick| Step::StartPlaying { pick }),
+        1 => any::<usize>().prop_map(|pick| Step::ViewerLeaves { pick }),
+        1 => (0..STREAMERS, state, any::<bool>()).prop_map(|(cell, state, restarted)| Step::ListChange {
+            cell, state, restarted
         }),
-        2 => (any::<usize>(), 0.0..1.6).prop_map(|(pick, full)| Step::Full { pick, full }),
+        2 => (any::<usize>(), 0.0..1.6).prop_map(|(pick, utilization)| Step::ReportLoad { pick, utilization }),
         4 => (any::<usize>(), any::<bool>(), 0.0..1.6)
-            .prop_map(|(pick, sound, full)| Step::Look { pick, sound, full }),
-        3 => (0.01..1.5).prop_map(|seconds| Step::Pass { seconds }),
+            .prop_map(|(pick, succeeded, utilization)| Step::FinishProbe { pick, succeeded, utilization }),
+        3 => (0.01..1.5).prop_map(|seconds| Step::PassTime { seconds }),
     ]
 }
 
-/// The first controller may look at streamers, the second may not. On a fleet of another shape the free lane is live,
-/// the list comes on request, no notes come, and looks alone tell of links.
-fn settings(me: usize, other_shape: bool, more: &[(&str, f64)]) -> ControllerSettings {
-    let shape = [("ladder.join", 0.2), ("notes.every", 0.0), ("list.ask_within", 5.0)];
-    let shape = if other_shape { &shape[..] } else { &[] };
-    let mut sheet = sheet(me, 2, &[more, shape].concat());
-    sheet.insert("looks.allowed".to_owned(), SettingValue::Flag(me == 0));
+/// The first controller can probe streamers, the second can't. In the alternative fleet the free class is live, the list
+/// is available on request, no load reports come by themselves, and only probes report the load of links.
+fn model_settings(number: usize, alternative_fleet: bool, extra: &[(&str, f64)]) -> ControllerSettings {
+    let fleet_settings = [("ladder.join", 0.2), ("notes.every", 0.0), ("list.ask_within", 5.0)];
+    let fleet_settings = if alternative_fleet { &fleet_settings[..] } else { &[] };
+    let mut settings = controller_settings(number, 2, &[extra, fleet_settings].concat());
+    settings.insert("looks.allowed".to_owned(), SettingValue::Flag(number == 0));
     for name in ["lane_live.0", "list.on_request"] {
-        sheet.insert(name.to_owned(), SettingValue::Flag(other_shape));
+        settings.insert(name.to_owned(), SettingValue::Flag(alternative_fleet));
     }
-    let told = if other_shape { "looks" } else { "answers" };
-    sheet.insert("links.told".to_owned(), SettingValue::Text(told.to_owned()));
-    sheet
+    let reported_by = if alternative_fleet { "looks" } else { "answers" };
+    settings.insert("links.told".to_owned(), SettingValue::Text(reported_by.to_owned()));
+    settings
 }
 
-/// What the model knows of one subscription.
+/// What the model knows of one session.
 #[derive(Default)]
-struct Case {
-    to: usize,
+struct ModelSession {
+    controller: usize,
     handle: Option<SessionHandle>,
-    paid: bool,
+    at_most_once: bool,
     title: usize,
-    cut_off: Point,
-    shots: u32,
-    ran: bool,
-    /// Until when its shot is out, and whether it plays.
-    out: Option<Point>,
-    plays: bool,
-    answered: u32,
-    gone: bool,
-    /// Until when it may wait for looks.
-    waits: Point,
+    deadline: Point,
+    attempts: u32,
+    may_have_run: bool,
+    /// Until when its attempt is outstanding.
+    outstanding_until: Option<Point>,
+    is_playing: bool,
+    /// Final answers that it got.
+    answers: u32,
+    /// The viewer left, or its stream ended: it gets no answer.
+    is_over: bool,
+    /// Until when it can wait for probes.
+    can_wait_until: Point,
 }
 
-impl Case {
-    fn seated(&self) -> bool {
-        self.out.is_some() || self.plays
+impl ModelSession {
+    fn is_placed(&self) -> bool {
+        self.outstanding_until.is_some() || self.is_playing
     }
 }
 
 struct Model {
     now: Point,
     controllers: Vec<Controller>,
-    cases: BTreeMap<u32, Case>,
+    sessions: BTreeMap<u32, ModelSession>,
     ready: Vec<bool>,
-    started: Vec<Option<Point>>,
-    taken: Vec<Vec<Point>>,
-    further: Vec<Vec<Point>>,
-    /// Sends to streamers while they were cold, by both controllers.
-    cold: Vec<Vec<Point>>,
-    /// Looks under way, by controller.
-    looks: Vec<(usize, Arc<str>)>,
+    started_at: Vec<Option<Point>>,
+    requests: Vec<Vec<Point>>,
+    retries: Vec<Vec<Point>>,
+    /// Sends of both controllers to each streamer while it was cold.
+    cold_sends: Vec<Vec<Point>>,
+    /// Outstanding probes, with their controller.
+    probes: Vec<(usize, Arc<str>)>,
 }
 
 impl Model {
-    fn new(other_shape: bool) -> Model {
+    fn new(alternative_fleet: bool) -> Model {
         let now = Point::at(1000.0);
-        let more = [
-            ("lane_seats.0", SEATS as f64),
-            ("shots.most", f64::from(MOST)),
-            ("ration.floor", RATION.0),
-            ("ration.share", RATION.1),
-            ("ration.window", RATION.2),
+        let extra = [
+            ("lane_seats.0", MAX_SESSIONS_PER_TITLE as f64),
+            ("shots.most", f64::from(MAX_ATTEMPTS)),
+            ("ration.floor", RETRY_BUDGET.0),
+            ("ration.share", RETRY_BUDGET.1),
+            ("ration.window", RETRY_BUDGET.2),
         ];
-        let mut controllers: Vec<_> =
-            (0..2).map(|me| Controller::new(now, me as u64, &settings(me, other_shape, &more))).collect();
+        let mut controllers: Vec<_> = (0..2)
+            .map(|number| {
+                Controller::new(now, number as u64, &model_settings(number, alternative_fleet, &extra))
+            })
+            .collect();
         for controller in &mut controllers {
             controller.update_list(now, &fleet(), true);
         }
         Model {
             now,
             controllers,
-            cases: BTreeMap::new(),
+            sessions: BTreeMap::new(),
             ready: vec![true; STREAMERS],
-            started: vec![None; STREAMERS],
-            taken: vec![Vec::new(); 2],
-            further: vec![Vec::new(); 2],
-            cold: vec![Vec::new(); STREAMERS],
-            looks: Vec::new(),
+            started_at: vec![None; STREAMERS],
+            requests: vec![Vec::new(); 2],
+            retries: vec![Vec::new(); 2],
+            cold_sends: vec![Vec::new(); STREAMERS],
+            probes: Vec::new(),
         }
     }
 
-    /// Whether the model would let this case have a shot, whatever the streamer.
-    fn may_shoot(&self, case: &Case) -> bool {
-        let (floor, share, window) = RATION;
+    /// Whether the model allows this session an attempt, at whatever streamer.
+    fn allows_attempt(&self, session: &ModelSession) -> bool {
+        let (min_retries, share, window) = RETRY_BUDGET;
         let recent =
             |times: &[Point]| times.iter().filter(|t| (self.now - **t).seconds() <= window).count() as f64;
-        let mates =
-            self.cases.values().filter(|c| c.to == case.to && c.title == case.title && !c.paid && c.seated());
-        case.out.is_none()
-            && !case.plays
-            && case.answered == 0
-            && case.shots < MOST
-            && !(case.paid && case.ran)
-            && (case.paid || mates.count() < SEATS)
-            && (case.shots == 0
-                || recent(&self.further[case.to]) < floor + share * recent(&self.taken[case.to]))
+        let same_title = self.sessions.values().filter(|s| {
+            s.controller == session.controller && s.title == session.title && !s.at_most_once && s.is_placed()
+        });
+        session.outstanding_until.is_none()
+            && !session.is_playing
+            && session.answers == 0
+            && session.attempts < MAX_ATTEMPTS
+            && !(session.at_most_once && session.may_have_run)
+            && (session.at_most_once || same_title.count() < MAX_SESSIONS_PER_TITLE)
+            && (session.attempts == 0
+                || recent(&self.retries[session.controller])
+                    < min_retries + share * recent(&self.requests[session.controller]))
     }
 
-    /// Checks and carries out what a controller wants done.
-    fn obey(&mut self, to: usize) {
-        let results = std::mem::take(&mut self.controllers[to].actions);
-        for (id, rung) in &results.rung_changes {
-            let case = &self.cases[id];
-            assert!(*rung <= 4 && *rung >= usize::from(case.paid), "rung {rung} is off the terms");
+    /// Checks and carries out the actions of a controller.
+    fn check_actions(&mut self, controller: usize) {
+        let actions = std::mem::take(&mut self.controllers[controller].actions);
+        for (id, rung) in &actions.rung_changes {
+            let session = &self.sessions[id];
+            assert!(
+                *rung <= 4 && *rung >= usize::from(session.at_most_once),
+                "rung {rung} is outside the class's rungs"
+            );
         }
-        for shot in &results.attempts {
+        for attempt in &actions.attempts {
+            assert!(
+                actions.rung_changes.iter().any(|(id, _)| *id == attempt.session),
+                "an attempt without its rung"
+            );
+            let cell: usize = attempt.streamer[1..].parse().expect("a streamer of the fleet");
+            assert!(self.ready[cell], "sent to {} after the list had it draining or gone", attempt.streamer);
+            assert!(
+                holds(&attempt.streamer, self.sessions[&attempt.session].title),
+                "the streamer does not hold the title"
+            );
             assert!(
-                results.rung_changes.iter().any(|(id, _)| *id == shot.session),
-                "a shot without its rung"
+                self.allows_attempt(&self.sessions[&attempt.session]),
+                "an attempt that the rules forbid"
             );
-            let cell: usize = shot.streamer[1..].parse().expect("a streamer of the fleet");
-            assert!(self.ready[cell], "sent to {} after it was told to drain", shot.streamer);
-            assert!(holds(&shot.streamer, self.cases[&shot.session].title), "the title is not there");
-            assert!(self.may_shoot(&self.cases[&shot.session]), "a shot that the rules forbid");
-            if self.started[cell].is_some_and(|s| (self.now - s).seconds() < COLD) {
-                self.cold[cell].push(self.now);
+            if self.started_at[cell].is_some_and(|s| (self.now - s).seconds() < WARM_UP_S) {
+                self.cold_sends[cell].push(self.now);
             }
             let now = self.now;
-            let case = self.cases.get_mut(&shot.session).expect("known");
-            assert!(shot.timeout > Span::ZERO && now + shot.timeout <= case.cut_off, "past the cut-off");
-            if case.shots > 0 {
-                self.further[to].push(now);
+            let session = self.sessions.get_mut(&attempt.session).expect("known");
+            assert!(
+                attempt.timeout > Span::ZERO && now + attempt.timeout <= session.deadline,
+                "past the deadline"
+            );
+            if session.attempts > 0 {
+                self.retries[controller].push(now);
             }
-            case.shots += 1;
-            case.out = Some(now + shot.timeout);
+            session.attempts += 1;
+            session.outstanding_until = Some(now + attempt.timeout);
         }
-        for (id, after) in &results.rejected {
-            let case = self.cases.get_mut(id).expect("known");
+        for (id, retry_after) in &actions.rejected {
+            let session = self.sessions.get_mut(id).expect("known");
             assert!(
-                !(case.paid && case.ran) && case.out.is_none() && !case.plays,
-                "a turn-back that may lie"
+                !(session.at_most_once && session.may_have_run)
+                    && session.outstanding_until.is_none()
+                    && !session.is_playing,
+                "rejected although an attempt may have run"
             );
-            assert!(after.is_some(), "no word on when to come again");
-            case.answered += 1;
+            assert!(retry_after.is_some(), "rejected without a time to retry after");
+            session.answers += 1;
         }
-        for id in &results.failed {
-            let case = self.cases.get_mut(id).expect("known");
-            assert!(case.out.is_none() && !case.plays, "scrapped with a shot out");
-            assert!(case.paid && case.ran, "scrapped though it could be turned back");
-            case.answered += 1;
+        for id in &actions.failed {
+            let session = self.sessions.get_mut(id).expect("known");
+            assert!(
+                session.outstanding_until.is_none() && !session.is_playing,
+                "failed with an attempt outstanding"
+            );
+            assert!(session.at_most_once && session.may_have_run, "failed although it could be rejected");
+            session.answers += 1;
         }
-        self.looks.extend(results.probes.into_iter().map(|streamer| (to, streamer)));
-        // Who waits for a look is answered within some beats; else an answer is owed at once: whoever has no shot out
-        // and does not play was answered just now.
-        for (id, case) in self.cases.iter().filter(|(_, c)| c.to == to && !c.gone) {
-            let waits = to == 0 && case.shots == 0 && case.answered == 0 && self.now < case.waits;
-            let owed = u32::from(!case.seated() && !waits);
-            assert_eq!(owed, case.answered, "subscription {id} lacks its one answer");
+        self.probes.extend(actions.probes.into_iter().map(|streamer| (controller, streamer)));
+        // A session that waits for a probe is answered within some ticks. Any other one without an outstanding attempt
+        // or a stream must have its final answer by now.
+        for (id, session) in self.sessions.iter().filter(|(_, s)| s.controller == controller && !s.is_over) {
+            let can_wait = controller == 0
+                && session.attempts == 0
+                && session.answers == 0
+                && self.now < session.can_wait_until;
+            let expected = u32::from(!session.is_placed() && !can_wait);
+            assert_eq!(expected, session.answers, "session {id} lacks its one answer");
         }
     }
 
-    fn end(&mut self, id: u32, ending: AttemptOutcome) {
-        let case = self.cases.get_mut(&id).expect("known");
-        let (to, over) = (case.to, case.plays || case.gone);
-        (case.out, case.plays, case.gone) = (None, false, over);
-        case.ran |= !matches!(
-            ending,
+    fn end_attempt(&mut self, id: u32, outcome: AttemptOutcome) {
+        let session = self.sessions.get_mut(&id).expect("known");
+        let (controller, is_over) = (session.controller, session.is_playing || session.is_over);
+        (session.outstanding_until, session.is_playing, session.is_over) = (None, false, is_over);
+        session.may_have_run |= !matches!(
+            outcome,
             AttemptOutcome::Refused | AttemptOutcome::NoConnection | AttemptOutcome::NotSent
         );
-        if let Some(handle) = case.handle {
-            handle.attempt_ended(&mut self.controllers[to], self.now, ending, over, Load::default());
-            self.obey(to);
-            // The same news again finds nobody, or a shot that is not out: it must do no harm.
-            if self.cases[&id].answered > 0 || over {
-                handle.attempt_ended(&mut self.controllers[to], self.now, ending, true, Load::of_link(0.5));
-                handle.viewer_left(&mut self.controllers[to]);
+        if let Some(handle) = session.handle {
+            handle.attempt_ended(
+                &mut self.controllers[controller],
+                self.now,
+                outcome,
+                is_over,
+                Load::default(),
+            );
+            self.check_actions(controller);
+            // The same report again concerns no session, or no outstanding attempt, and must have no effect.
+            if self.sessions[&id].answers > 0 || is_over {
+                handle.attempt_ended(
+                    &mut self.controllers[controller],
+                    self.now,
+                    outcome,
+                    true,
+                    Load::of_link(0.5),
+                );
+                handle.viewer_left(&mut self.controllers[controller]);
             }
         }
     }
 
-    /// Lets time go by in beats: shots run out, controllers are woken.
-    fn pass(&mut self, until: Point) {
+    /// Advances time in ticks, with timeouts of attempts and ticks of the controllers.
+    fn pass_time(&mut self, until: Point) {
         while self.now < until {
-            let beat = until.min(self.now + seconds(0.25));
+            let tick = until.min(self.now + seconds(0.25));
             loop {
-                let due = self.cases.iter().filter_map(|(id, c)| Some((c.out?, *id))).min();
-                let Some((at, id)) = due.filter(|(at, _)| *at <= beat) else { break };
+                let due = self.sessions.iter().filter_map(|(id, s)| Some((s.outstanding_until?, *id))).min();
+                let Some((at, id)) = due.filter(|(at, _)| *at <= tick) else { break };
                 self.now = self.now.max(at);
-                self.end(id, AttemptOutcome::TimedOut);
+                self.end_attempt(id, AttemptOutcome::TimedOut);
             }
-            self.now = beat;
-            for to in 0..2 {
-                self.controllers[to].tick(self.now);
-                self.obey(to);
+            self.now = tick;
+            for controller in 0..2 {
+                self.controllers[controller].tick(self.now);
+                self.check_actions(controller);
             }
         }
     }
 
-    fn pick(&self, pick: usize, wanted: impl Fn(&Case) -> bool) -> Option<u32> {
-        let ids: Vec<u32> = self.cases.iter().filter(|(_, c)| wanted(c)).map(|(id, _)| *id).collect();
+    fn pick(&self, pick: usize, wanted: impl Fn(&ModelSession) -> bool) -> Option<u32> {
+        let ids: Vec<u32> = self.sessions.iter().filter(|(_, s)| wanted(s)).map(|(id, _)| *id).collect();
         (!ids.is_empty()).then(|| ids[pick % ids.len()])
     }
 
-    fn play(&mut self, step: &Step) {
+    fn run(&mut self, step: &Step) {
         match *step {
-            Step::Wish { to, paid, title, patience } => {
-                let id = self.cases.len() as u32;
-                let (lane, cut_off) = (if paid { PAID } else { FREE }, self.now + seconds(patience));
-                let waits = self.now + seconds(2.0);
-                let case = Case { to, paid, title, cut_off, waits, ..Case::default() };
-                self.taken[to].push(self.now);
-                self.cases.insert(id, case);
+            Step::Request { controller, at_most_once, title, patience } => {
+                let id = self.sessions.len() as u32;
+                let (class, deadline) =
+                    (if at_most_once { PAID } else { FREE }, self.now + seconds(patience));
+                let can_wait_until = self.now + seconds(2.0);
+                let session = ModelSession {
+                    controller,
+                    at_most_once,
+                    title,
+                    deadline,
+                    can_wait_until,
+                    ..ModelSession::default()
+                };
+                self.requests[controller].push(self.now);
+                self.sessions.insert(id, session);
                 let name = format!("t{title}");
-                let handle = self.controllers[to].submit(self.now, &wish(id, lane, &name, title, cut_off));
-                self.cases.get_mut(&id).expect("just entered").handle = Some(handle);
-                self.obey(to);
+                let handle = self.controllers[controller]
+                    .submit(self.now, &request(id, class, &name, title, deadline));
+                self.sessions.get_mut(&id).expect("just inserted").handle = Some(handle);
+                self.check_actions(controller);
             }
-            Step::End { pick, ending } => {
-                if let Some(id) = self.pick(pick, Case::seated) {
-                    self.end(id, ending);
+            Step::EndAttempt { pick, outcome } => {
+                if let Some(id) = self.pick(pick, ModelSession::is_placed) {
+                    self.end_attempt(id, outcome);
                 }
             }
-            Step::Play { pick } => {
-                if let Some(id) = self.pick(pick, |c| c.out.is_some() && !c.gone) {
-                    let case = self.cases.get_mut(&id).expect("known");
-                    (case.out, case.plays) = (None, true);
-                    case.handle.expect("taken").playing(&mut self.controllers[case.to], self.now);
+            Step::StartPlaying { pick } => {
+                if let Some(id) = self.pick(pick, |s| s.outstanding_until.is_some() && !s.is_over) {
+                    let session = self.sessions.get_mut(&id).expect("known");
+                    (session.outstanding_until, session.is_playing) = (None, true);
+                    session
+                        .handle
+                        .expect("submitted")
+                        .playing(&mut self.controllers[session.controller], self.now);
                 }
             }
-            Step::Leave { pick } => {
-                if let Some(id) = self.pick(pick, |c| c.out.is_some() && !c.gone) {
-                    let case = self.cases.get_mut(&id).expect("known");
-                    case.gone = true;
-                    case.handle.expect("taken").viewer_left(&mut self.controllers[case.to]);
+            Step::ViewerLeaves { pick } => {
+                if let Some(id) = self.pick(pick, |s| s.outstanding_until.is_some() && !s.is_over) {
+                    let session = self.sessions.get_mut(&id).expect("known");
+                    session.is_over = true;
+                    session.handle.expect("submitted").viewer_left(&mut self.controllers[session.controller]);
                 }
             }
-            Step::Stage { cell, stage, restarted } => {
-                self.ready[cell] = stage == StreamerState::Ready;
+            Step::ListChange { cell, state, restarted } => {
+                self.ready[cell] = state == StreamerState::Ready;
                 if restarted {
-                    self.started[cell] = Some(self.now);
-                    self.cold[cell].clear();
+                    self.started_at[cell] = Some(self.now);
+                    self.cold_sends[cell].clear();
                 }
-                for to in 0..2 {
-                    let lines = [line(cell, stage, self.started[cell])];
-                    self.controllers[to].update_list(self.now, &lines, false);
-                    self.obey(to);
+                for controller in 0..2 {
+                    let entries = [entry(cell, state, self.started_at[cell])];
+                    self.controllers[controller].update_list(self.now, &entries, false);
+                    self.check_actions(controller);
                 }
             }
-            Step::Full { pick, full } => {
-                if let Some(id) = self.pick(pick, |c| c.plays) {
-                    let to = self.cases[&id].to;
-                    let handle = self.cases[&id].handle.expect("taken");
-                    handle.load_reported(&mut self.controllers[to], self.now, Load::of_link(full));
-                    handle.shortfall_reported(&mut self.controllers[to], self.now, 1.0 / full.max(1.0));
-                    self.obey(to);
+            Step::ReportLoad { pick, utilization } => {
+                if let Some(id) = self.pick(pick, |s| s.is_playing) {
+                    let controller = self.sessions[&id].controller;
+                    let handle = self.sessions[&id].handle.expect("submitted");
+                    handle.load_reported(
+                        &mut self.controllers[controller],
+                        self.now,
+                        Load::of_link(utilization),
+                    );
+                    handle.shortfall_reported(
+                        &mut self.controllers[controller],
+                        self.now,
+                        1.0 / utilization.max(1.0),
+                    );
+                    self.check_actions(controller);
                 }
             }
-            Step::Look { pick, sound, full } if !self.looks.is_empty() => {
-                let (to, streamer) = self.looks.swap_remove(pick % self.looks.len());
-                let load = if sound { Load::of_link(full) } else { Load::default() };
-                self.controllers[to].probe_finished(self.now, &streamer, sound, load);
-                self.obey(to);
+            Step::FinishProbe { pick, succeeded, utilization } if !self.probes.is_empty() => {
+                let (controller, streamer) = self.probes.swap_remove(pick % self.probes.len());
+                let load = if succeeded { Load::of_link(utilization) } else { Load::default() };
+                self.controllers[controller].probe_finished(self.now, &streamer, succeeded, load);
+                self.check_actions(controller);
             }
-            Step::Look { .. } => {}
-            Step::Pass { seconds: s } => self.pass(self.now + seconds(s)),
+            Step::FinishProbe { .. } => {}
+            Step::PassTime { seconds: s } => self.pass_time(self.now + seconds(s)),
         }
     }
 
-    /// Rule 4 as a budget: in no window did both controllers together send a cold streamer too much.
-    fn check_cold(&self) {
-        let budget = 30.0 / COLD * 0.5 * 2.5 * 1.0;
-        for sends in &self.cold {
+    /// Rule 4 as a budget: in no window do both controllers together send more to a cold streamer than it allows.
+    fn check_cold_budget(&self) {
+        let budget = 30.0 / WARM_UP_S * 0.5 * 2.5 * 1.0;
+        for sends in &self.cold_sends {
             for first in sends {
                 let window = sends.iter().filter(|t| *t >= first && (**t - *first).seconds() < 1.0);
-                assert!((window.count() as f64) <= budget, "a cold streamer was pushed over");
+                assert!((window.count() as f64) <= budget, "a cold streamer got more than its budget");
             }
         }
     }
@@ -335,14 +396,14 @@
 
     #[test]
     fn module_and_model_agree_on_what_is_allowed(
-        other_shape in any::<bool>(),
+        alternative_fleet in any::<bool>(),
         steps in prop::collection::vec(step(), 1..120),
     ) {
-        let mut model = Model::new(other_shape);
+        let mut model = Model::new(alternative_fleet);
         for step in &steps {
-            model.play(step);
+            model.run(step);
         }
-        model.pass(model.now + seconds(10.0));
-        model.check_cold();
+        model.pass_time(model.now + seconds(10.0));
+        model.check_cold_budget();
     }
 }
