--- a/src/control.rs
+++ b/src/control.rs
@@ -59,7 +59,8 @@
 /// Sequential test of a streamer: what a success and a failure add to the log odds that it is failing.
 const SUCCESS_LOG_ODDS: f64 = -1.0;
 const FAILURE_LOG_ODDS: f64 = 2.5;
-/// Log odds from which a streamer is suspect: it is used only after all others.
+/// Log odds from which a streamer is suspect, half of it for classes that are set up at most once: it is used only after
+/// all others.
 const SUSPECT_LOG_ODDS: f64 = 2.0;
 /// Log odds from which a streamer is excluded: it gets no attempts.
 const EXCLUDED_LOG_ODDS: f64 = 4.5;
@@ -327,7 +328,7 @@
             probes: 0,
             may_have_run: false,
             failure_counted: false,
-            first_error_at: None,
+            first_error_streamer: None,
             upgrade_not_before: now + Span::of(self.random.uniform(MIN_UPGRADE_DELAY_S, MAX_UPGRADE_DELAY_S)),
             changed_at: now,
         });
@@ -489,9 +490,9 @@
         worthwhile.last().unwrap_or(session.min_rung)
     }
 
-    /// Estimates the utilization of the fleet, which it returns, and the gain per kB that a step to a higher rung
-    /// must earn: that of the last steps taken when the own sessions are upgraded, best steps first, up to the
-    /// rate that the fleet leaves them.
+    /// Estimates the utilization of the fleet, which it returns, and its price: the gain per kB that a step to a higher
+    /// rung must earn. The own sessions are upgraded by calculation, best steps first, up to the rate that the fleet
+    /// leaves them; the price is that of the first step beyond it, or 0 where all steps are within it.
     fn estimate_fleet(&mut self, now: Point) -> f64 {
         let own_kb: f64 = self.streamers.iter().map(|(_, s)| s.own_rate_kb).sum();
         let lifetime = self.policy.report_lifetime();
@@ -779,7 +780,7 @@
         let retention = get_span(&self.policy.settings, "cold.span").max(Span::of(2.0 * REPORT_STALE_S));
         let sessions = &self.sessions;
         let is_used = |index: usize| {
-            sessions.iter().any(|(_, s)| s.streamer == index || s.first_error_at == Some(index))
+            sessions.iter().any(|(_, s)| s.streamer == index || s.first_error_streamer == Some(index))
         };
         let count_before = self.streamers.len();
         self.streamers.retain(|index, s| {
--- a/src/control/session.rs
+++ b/src/control/session.rs
@@ -81,10 +81,12 @@
         let (streamer_index, rung, class) = (session.streamer, session.rung, session.class);
         let was_placed = session.is_placed();
         let is_finished = terminal || matches!(session.state, SessionState::Playing | SessionState::Left);
-        let (was_playing, first_error_at) = (session.state == SessionState::Playing, session.first_error_at);
+        let (was_playing, first_error_streamer) =
+            (session.state == SessionState::Playing, session.first_error_streamer);
         let failure_counted = std::mem::take(&mut session.failure_counted);
         if outcome == AttemptOutcome::Errored {
-            session.first_error_at = Some(if first_error_at.is_none() { streamer_index } else { usize::MAX });
+            session.first_error_streamer =
+                Some(if first_error_streamer.is_none() { streamer_index } else { usize::MAX });
         }
         session.may_have_run |= !matches!(
             outcome,
@@ -106,8 +108,10 @@
                 }
                 // A request that fails at one streamer after the other is at fault itself, so the evidence of its
                 // first error is taken back: otherwise some unknown titles exclude a third of the fleet.
-                AttemptOutcome::Errored if first_error_at.is_some_and(|first| first != streamer_index) => {
-                    let first = first_error_at.and_then(|first| controller.streamers.get_mut(first));
+                AttemptOutcome::Errored
+                    if first_error_streamer.is_some_and(|first| first != streamer_index) =>
+                {
+                    let first = first_error_streamer.and_then(|first| controller.streamers.get_mut(first));
                     first.into_iter().for_each(|streamer| streamer.add_evidence(now, -FAILURE_LOG_ODDS));
                 }
                 _ if failure_counted => {}
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -100,13 +100,17 @@
     Errored,
     /// The streamer refused it without starting anything.
     Refused,
+    /// No answer came within the timeout.
     TimedOut,
     /// There was no connection, so nothing was sent.
     NoConnection,
     /// The connection broke after the attempt was sent.
     ConnectionLost,
+    /// It was cancelled, as when the viewer leaves.
     Cancelled,
+    /// It was dropped before it was sent.
     NotSent,
+    /// Nothing is known of how it ended.
     Unknown,
 }
 
--- a/src/records.rs
+++ b/src/records.rs
@@ -208,7 +208,7 @@
     /// The outstanding attempt counts against its streamer already.
     pub failure_counted: bool,
     /// The streamer of the first error; `usize::MAX` from the second on.
-    pub first_error_at: Option<usize>,
+    pub first_error_streamer: Option<usize>,
     pub upgrade_not_before: Point,
     pub changed_at: Point,
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -15,7 +15,7 @@
 
 /// Two classes, five rungs, links of 10,000 kB a second. The free class can be repeated and starts at rung 0, the paid
 /// one is set up at most once and starts at rung 1.
-pub fn controller_settings(me: usize, controllers: usize, extra: &[(&str, f64)]) -> ControllerSettings {
+pub fn controller_settings(number: usize, controllers: usize, extra: &[(&str, f64)]) -> ControllerSettings {
     let mut settings = ControllerSettings::new();
     let mut put = |name: String, value| settings.insert(name, value);
     for (i, (name, gain)) in [(FREE, 1.0), (PAID, 3.0)].iter().enumerate() {
@@ -35,7 +35,7 @@
     put("kinds.0".to_owned(), SettingValue::Text("std".to_owned()));
     put("retry_after.allowed".to_owned(), SettingValue::Flag(true));
     let numbers = [
-        ("me", me as f64),
+        ("me", number as f64),
         ("controllers", controllers as f64),
         ("cells", STREAMERS as f64),
         ("kind_streams.0", 30.0),
@@ -58,7 +58,7 @@
 /// Entry of the streamer `s{cell}`.
 pub fn entry(cell: usize, state: StreamerState, started_at: Option<Point>) -> StreamerEntry {
     let (streamer, zone, kind) = (format!("s{cell}"), "here".to_owned(), "std".to_owned());
-    StreamerEntry { streamer, zone, kind, cell, state: state, weight: 1.0, started_at: started_at }
+    StreamerEntry { streamer, zone, kind, cell, state, weight: 1.0, started_at }
 }
 
 /// The list of all streamers, ready and long started.
@@ -76,11 +76,11 @@
 ) -> Request<'a> {
     Request {
         id,
-        class: class,
+        class,
         tenant: "",
         title,
-        deadline: deadline,
-        first_cell: first_cell,
+        deadline,
+        first_cell,
         replicas: REPLICAS,
         max_rung: 4,
         is_retry: false,
