--- a/crates/lemontide-cli/src/measure/shedding.rs
+++ b/crates/lemontide-cli/src/measure/shedding.rs
@@ -3,7 +3,7 @@
 
 use super::rig::{roomy_day, write_list, Process};
 use crate::Outcome;
-use lemontide_front::settings::{Settings, Shedding};
+use lemontide_front::settings::{Settings, SheddingSettings};
 use lemontide_standin::crowd;
 use lemontide_standin::day::Day;
 use lemontide_standin::judge::judge;
@@ -129,19 +129,19 @@
     fn settings(&self, variant: Variant, tap: Option<PathBuf>) -> Settings {
         let list = self.folder.path().join("list.json");
         let mut settings = self.day.settings(0, &list, tap, 1);
-        settings.retry_after.longest_s = 1.0;
+        settings.retry_after.max_s = 1.0;
         match variant {
             Variant::None => {}
-            Variant::Newest => settings.limits.waiting = 64,
+            Variant::Newest => settings.limits.max_waiting_requests = 64,
             Variant::Sheds => {
-                settings.shedding = Some(Shedding {
-                    delay_s: 0.1,
-                    cores: self.allowance,
+                settings.shedding = Some(SheddingSettings {
+                    max_delay_s: 0.1,
+                    cpu_cores: self.allowance,
                     memory_bytes: 2e9,
-                    files: 1e6,
-                    lane_shares: Vec::new(),
-                    hold_s: 0.05,
-                    lane_waiting: None,
+                    open_files: 1e6,
+                    class_shares: Vec::new(),
+                    max_hold_s: 0.05,
+                    max_waiting_per_class: None,
                 });
             }
         }
@@ -247,8 +247,8 @@
     let cost = |full: bool, hinted: bool| -> Result<f64, Failed> {
         let mut settings = rig.settings(Variant::Sheds, None);
         if let Some(shedding) = &mut settings.shedding {
-            shedding.cores = 64.0;
-            shedding.delay_s = 10.0;
+            shedding.cpu_cores = 64.0;
+            shedding.max_delay_s = 10.0;
             if full {
                 shedding.memory_bytes = 1.0;
             }
@@ -392,7 +392,7 @@
     day.lanes[0].lane.gain = args.gain;
     day.lanes.push(free);
     for lane in &mut day.lanes {
-        (lane.lane.latency_goal_s, lane.lane.cut_off_s) = (GOAL_S, CUT_OFF_S);
+        (lane.lane.latency_goal_s, lane.lane.deadline_s) = (GOAL_S, CUT_OFF_S);
     }
     let clock = Clock::start();
     let fleet = runtime.block_on(Fleet::start(&day, clock, Tap::disabled(clock), None))?;
--- a/crates/lemontide-front/src/front.rs
+++ b/crates/lemontide-front/src/front.rs
@@ -49,19 +49,20 @@
     pub async fn start(settings: Settings) -> io::Result<Front> {
         let clock = Clock::start();
         let tap = match &settings.tap {
-            Some(path) => Tap::open(path, clock, &format!("controller:{}", settings.me))?,
+            Some(path) => Tap::open(path, clock, &format!("controller:{}", settings.own_number))?,
             None => Tap::disabled(clock),
         };
-        tap.record(TapEvent::ControllerStarted { controller: settings.me });
+        tap.record(TapEvent::ControllerStarted { controller: settings.own_number });
         let listener = http::listen(settings.listen)?;
         let address = listener.local_addr()?;
-        let seed = settings.seed.unwrap_or_else(rand::random);
+        let seed = settings.rng_seed.unwrap_or_else(rand::random);
         let (reports, reported) = mpsc::channel(REPORTS_MOST);
         let guard = Guard::new(&settings, clock, seed).map(Arc::new);
         let order = if guard.is_some() { QueueDiscipline::ByRank } else { QueueDiscipline::Fifo };
-        let most = settings.limits.waiting;
-        let lane_most = settings.shedding.as_ref().and_then(|limits| limits.lane_waiting).unwrap_or(most);
-        let room = Arc::new(Waiting::new(order, most, lane_most, settings.lanes.len()));
+        let most = settings.limits.max_waiting_requests;
+        let lane_most =
+            settings.shedding.as_ref().and_then(|limits| limits.max_waiting_per_class).unwrap_or(most);
+        let room = Arc::new(Waiting::new(order, most, lane_most, settings.classes.len()));
         let hall = Arc::new(Hall::new(clock, http::stack(&settings).bounds));
         let (stop, stopped) = watch::channel(false);
         let mut source = ListFile::new(settings.list.clone());
@@ -77,14 +78,14 @@
         let links = Links {
             clock,
             tap: tap.clone(),
-            me: settings.me as u32,
+            me: settings.own_number as u32,
             run: rand::random(),
             dial_timeout: Duration::from_secs_f64(settings.links.dial_timeout_s),
             reports: reports.clone(),
         };
         let (heard, asked_of_gossip) = match &settings.gossip {
             Some(terms) => {
-                let number = settings.together.as_ref().map(|_| settings.me as u32);
+                let number = settings.coordination.as_ref().map(|_| settings.own_number as u32);
                 let (heard, views) =
                     gossip::start(terms, clock, tap.clone(), seed, number, stopped.clone(), reports.clone())
                         .await?;
@@ -107,7 +108,7 @@
             .enable_all()
             .build()?;
         let runtime = links_run.handle().clone();
-        let stop_within = settings.limits.stop_s;
+        let stop_within = settings.limits.stop_timeout_s;
         let decides = std::thread::Builder::new().name("decides".into()).spawn(move || {
             let Ok(own) = tokio::runtime::Builder::new_current_thread().enable_time().build() else {
                 return tracing::error!("no timers for the deciding thread");
@@ -116,7 +117,7 @@
                 Point::at(clock.now()),
                 seed,
                 &settings.controller_settings(),
-                settings.terms(),
+                settings.driver_settings(),
             );
             let mut decider = Decider {
                 driver,
--- a/crates/lemontide-front/src/gossip.rs
+++ b/crates/lemontide-front/src/gossip.rs
@@ -2,7 +2,7 @@
 //! in `lemontide-gossip`; what to make of it, in the decision module.
 
 use crate::events::Happened;
-use crate::settings::{read_json, Gossip};
+use crate::settings::{read_json, GossipSettings};
 use lemontide::clock::{Point, Span};
 use lemontide_gossip::authentication::{AllowedNetworks, Keyring, OwnKey};
 use lemontide_gossip::membership::Timing;
@@ -50,29 +50,35 @@
 }
 
 /// Reads the secret and the ring. Errors name the file and the remedy.
-fn keys(terms: &Gossip) -> io::Result<(OwnKey, Keyring)> {
+fn keys(terms: &GossipSettings) -> io::Result<(OwnKey, Keyring)> {
     let wrong = |file: &Path, what: &str| io::Error::other(format!("{}: {what}", file.display()));
-    let secret = std::fs::read_to_string(&terms.secret).map_err(|e| wrong(&terms.secret, &e.to_string()))?;
-    let secret = key(&secret).ok_or_else(|| wrong(&terms.secret, "a secret key is 64 hex digits"))?;
-    let listed: BTreeMap<String, Vec<String>> = read_json(&terms.keys).map_err(io::Error::other)?;
+    let secret = std::fs::read_to_string(&terms.secret_key_file)
+        .map_err(|e| wrong(&terms.secret_key_file, &e.to_string()))?;
+    let secret =
+        key(&secret).ok_or_else(|| wrong(&terms.secret_key_file, "a secret key is 64 hex digits"))?;
+    let listed: BTreeMap<String, Vec<String>> =
+        read_json(&terms.public_keys_file).map_err(io::Error::other)?;
     let mut ring = Keyring::default();
     for (name, publics) in &listed {
         for (i, public) in publics.iter().enumerate() {
             let at = format!("at {name}[{i}]: ");
-            let public =
-                key(public).ok_or_else(|| wrong(&terms.keys, &(at.clone() + "a key is 64 hex digits")))?;
-            ring.add(name, &public).map_err(|what| wrong(&terms.keys, &(at + what)))?;
+            let public = key(public)
+                .ok_or_else(|| wrong(&terms.public_keys_file, &(at.clone() + "a key is 64 hex digits")))?;
+            ring.add(name, &public).map_err(|what| wrong(&terms.public_keys_file, &(at + what)))?;
         }
     }
     if !ring.contains(&terms.name) {
-        return Err(wrong(&terms.keys, &format!("it has no key of {}; list this instance, too", terms.name)));
+        return Err(wrong(
+            &terms.public_keys_file,
+            &format!("it has no key of {}; list this instance, too", terms.name),
+        ));
     }
     Ok((OwnKey::new(&secret), ring))
 }
 
 /// Starts to gossip. What was seen goes in by the first sender; the second takes questions of operators.
 pub async fn start(
-    terms: &Gossip,
+    terms: &GossipSettings,
     clock: Clock,
     tap: Tap,
     seed: u64,
@@ -90,7 +96,7 @@
             number,
             own_key: own,
             keyring: ring,
-            allowed_networks: AllowedNetworks::new(&terms.networks),
+            allowed_networks: AllowedNetworks::new(&terms.allowed_networks),
             seeds: terms.seeds.clone(),
             timing: Timing {
                 probe_period: Span::of(terms.period_s),
@@ -114,7 +120,7 @@
 async fn run(
     mut node: Node,
     socket: UdpSocket,
-    terms: Gossip,
+    terms: GossipSettings,
     clock: Clock,
     tap: Tap,
     mut hears: mpsc::Receiver<Heard>,
--- a/crates/lemontide-front/src/guard.rs
+++ b/crates/lemontide-front/src/guard.rs
@@ -48,30 +48,34 @@
     /// None where the settings don't ask for one.
     pub fn new(settings: &Settings, clock: Clock, seed: u64) -> Option<Guard> {
         let limits = settings.shedding.as_ref()?;
-        let share = |i: usize| limits.lane_shares.get(i).copied().unwrap_or(0.0);
-        let lane = |(i, lane): (usize, &crate::settings::Lane)| Class {
+        let share = |i: usize| limits.class_shares.get(i).copied().unwrap_or(0.0);
+        let lane = |(i, lane): (usize, &crate::settings::ClassSettings)| Class {
             gain: lane.gain,
             mean_cost: 1.0,
             reserved_share: share(i),
         };
-        let here = settings.controllers.max(1) as f64;
+        let here = settings.controller_count.max(1) as f64;
         let terms = LoadShedderSettings {
-            classes: settings.lanes.iter().enumerate().map(lane).collect(),
+            classes: settings.classes.iter().enumerate().map(lane).collect(),
             tenant_quotas: settings.tenants.iter().map(|t| (t.name.clone(), t.quota_per_s / here)).collect(),
-            max_retry_after: Span::of(settings.retry_after.longest_s),
-            max_hold: Span::of(limits.hold_s),
-            max_delay: Span::of(limits.delay_s),
+            max_retry_after: Span::of(settings.retry_after.max_s),
+            max_hold: Span::of(limits.max_hold_s),
+            max_delay: Span::of(limits.max_delay_s),
         };
         Some(Guard {
             clock,
             keeper: Mutex::new(LoadShedder::new(Point::at(clock.now()), terms, seed)),
-            lanes: settings.lanes.iter().map(|lane| (lane.name.clone(), Span::of(lane.cut_off_s))).collect(),
-            delay_s: limits.delay_s,
-            cores: limits.cores,
+            lanes: settings
+                .classes
+                .iter()
+                .map(|lane| (lane.name.clone(), Span::of(lane.deadline_s)))
+                .collect(),
+            delay_s: limits.max_delay_s,
+            cores: limits.cpu_cores,
             memory_bytes: limits.memory_bytes,
-            files: limits.files,
-            held_most: settings.limits.held as f64,
-            tells_waits: settings.retry_after.allowed && settings.retry_after.longest_s > 0.0,
+            files: limits.open_files,
+            held_most: settings.limits.max_sessions as f64,
+            tells_waits: settings.retry_after.allowed && settings.retry_after.max_s > 0.0,
             waited_us: AtomicU64::new(0),
             in_hand: AtomicUsize::new(0),
             at_the_door: AtomicU64::new(0),
--- a/crates/lemontide-front/src/http.rs
+++ b/crates/lemontide-front/src/http.rs
@@ -76,14 +76,14 @@
     let limits = &settings.limits;
     Stack {
         bounds: ConnectionLimits {
-            max_connections: limits.connections,
-            max_per_network: limits.per_network,
+            max_connections: limits.max_connections,
+            max_per_network: limits.max_connections_per_network,
             prefix_bits_v4: limits.network_bits_v4,
             prefix_bits_v6: limits.network_bits_v6,
         },
-        request: Duration::from_secs_f64(limits.request_s),
-        idle: Duration::from_secs_f64(limits.idle_s),
-        write: Duration::from_secs_f64(limits.write_s),
+        request: Duration::from_secs_f64(limits.request_timeout_s),
+        idle: Duration::from_secs_f64(limits.idle_timeout_s),
+        write: Duration::from_secs_f64(limits.write_timeout_s),
     }
 }
 
@@ -96,8 +96,9 @@
     stopped: watch::Receiver<bool>,
     gossip: Option<mpsc::Sender<oneshot::Sender<GossipView>>>,
 ) {
-    let allowed = settings.retry_after.allowed && settings.retry_after.longest_s > 0.0;
-    let lanes = settings.lanes.iter().map(|lane| (lane.name.clone(), lane.cut_off_s, lane.live)).collect();
+    let allowed = settings.retry_after.allowed && settings.retry_after.max_s > 0.0;
+    let lanes =
+        settings.classes.iter().map(|lane| (lane.name.clone(), lane.deadline_s, lane.is_live)).collect();
     let Before { clock, room, guard, hall } = before;
     let serving = Serving {
         clock,
@@ -106,10 +107,10 @@
         hall: hall.clone(),
         reports,
         ids: Arc::new(AtomicU32::new(1)),
-        me: settings.me,
-        body_bytes: settings.limits.body_bytes,
-        request: Duration::from_secs_f64(settings.limits.request_s),
-        retry_after: allowed.then_some(settings.retry_after.longest_s),
+        me: settings.own_number,
+        body_bytes: settings.limits.max_body_bytes,
+        request: Duration::from_secs_f64(settings.limits.request_timeout_s),
+        retry_after: allowed.then_some(settings.retry_after.max_s),
         lanes: Arc::new(lanes),
         gossip,
     };
--- a/crates/lemontide-front/src/settings.rs
+++ b/crates/lemontide-front/src/settings.rs
@@ -1,5 +1,5 @@
-//! What the operators state, as JSON with a published schema. Read once at start and checked; an error names
-//! the file, the path in it and the remedy. Nothing is decided here: the module gets it all as a plain map.
+//! The settings file of a controller, as JSON with a published schema. It is read and checked once at start; an error
+//! names the file, the path of the value and how to fix it. The decision module gets the values as a flat map.
 
 use crate::core::{Shared, Terms};
 use lemontide::clock::Span;
@@ -16,344 +16,422 @@
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where players are served; port 0 takes a free one, which is printed at start.
+    /// Address that the controller listens on for players. With port 0 the system picks a free port, which is printed
+    /// at start.
     pub listen: SocketAddr,
-    /// This controller's number, from 0, and how many there are.
-    pub me: usize,
-    pub controllers: usize,
-    /// Seed of chance; without one it is taken from the system.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub seed: Option<u64>,
-    /// The zone that it stands in.
+    /// This controller's number, from 0, and the number of controllers.
+    #[serde(rename = "me")]
+    pub own_number: usize,
+    #[serde(rename = "controllers")]
+    pub controller_count: usize,
+    /// Seed of the random number generator; taken from the system if absent.
+    #[serde(rename = "seed", default, skip_serializing_if = "Option::is_none")]
+    pub rng_seed: Option<u64>,
+    /// The zone that the controller runs in.
     pub zone: String,
     /// The file with the list of streamers; it is read again whenever it changes.
     pub list: PathBuf,
-    /// Where each title lies.
-    pub titles: BTreeMap<String, Place>,
-    pub lanes: Vec<Lane>,
+    /// The cells that hold each title.
+    pub titles: BTreeMap<String, TitlePlacement>,
+    #[serde(rename = "lanes")]
+    pub classes: Vec<ClassSettings>,
     #[serde(default)]
-    pub tenants: Vec<Tenant>,
-    /// What traffic past a tenant's share earns, as a part of its gain.
+    pub tenants: Vec<TenantSettings>,
+    /// Gain of traffic over a tenant's share, as a part of its normal gain.
     #[serde(default)]
     pub over_share_gain: f64,
     pub ladder: Ladder,
-    pub fleet: Fleet,
-    pub notes: Notes,
-    pub shots: Shots,
-    pub retry_after: RetryAfter,
-    #[serde(default)]
-    pub looks: Looks,
+    pub fleet: FleetSettings,
+    #[serde(rename = "notes")]
+    pub load_reports: LoadReportSettings,
+    #[serde(rename = "shots")]
+    pub attempts: AttemptSettings,
+    pub retry_after: RetryAfterSettings,
+    #[serde(rename = "looks", default)]
+    pub probes: ProbeSettings,
     #[serde(default)]
-    pub charges: Charges,
-    pub cold: Cold,
-    /// The ration of shots beyond each subscription's first, where one is stated.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub ration: Option<Ration>,
-    pub links: Links,
+    pub charges: ChargeSettings,
+    #[serde(rename = "cold")]
+    pub cold_start: ColdStartSettings,
+    /// Budget of attempts beyond the first one of each session; no budget if absent.
+    #[serde(rename = "ration", default, skip_serializing_if = "Option::is_none")]
+    pub retry_budget: Option<RetryBudgetSettings>,
+    pub links: LinkSettings,
     #[serde(default)]
-    pub limits: Limits,
-    /// Shedding before falling behind; absent, only the hard limits hold.
+    pub limits: ProcessLimits,
+    /// Load shedding before the controller falls behind. If absent, only the hard limits apply.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub shedding: Option<Shedding>,
-    /// Gossip with other controllers: absent, as it is by default, nothing is shared.
+    pub shedding: Option<SheddingSettings>,
+    /// Gossip with other controllers. If absent, which is the default, nothing is shared.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub gossip: Option<Gossip>,
-    /// What this controller shares out with others by number: absent, as it is by default, each has its own turn
-    /// whoever is missing, and a link to every streamer.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub together: Option<Together>,
-    /// Where this controller's end of every socket is written down, as JSON lines; nowhere when absent.
+    pub gossip: Option<GossipSettings>,
+    /// How this controller divides turns and streamers with the other controllers, by number. If absent, which is the
+    /// default, each controller only ever has its own turn, even if others are missing, and a link to every streamer.
+    #[serde(rename = "together", default, skip_serializing_if = "Option::is_none")]
+    pub coordination: Option<CoordinationSettings>,
+    /// File that records the traffic at this controller's end of every socket, as JSON lines. No record if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tap: Option<PathBuf>,
 }
 
+/// The cells that hold a title.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Place {
-    /// The first cell that holds it, and how many in a row do.
-    pub home: usize,
-    pub copies: usize,
+#[schemars(rename = "Place")]
+pub struct TitlePlacement {
+    /// The first cell that holds the title, and the number of cells in a row that hold it.
+    #[serde(rename = "home")]
+    pub first_cell: usize,
+    #[serde(rename = "copies")]
+    pub replicas: usize,
 }
 
+/// Whether the setup of a session can be attempted again once an earlier attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Repeat {
-    /// May be set up again without harm.
-    Free,
-    /// Paid for at set-up: set up once.
-    Paid,
+#[schemars(rename = "Repeat")]
+pub enum RepeatPolicy {
+    /// Setting up twice does no harm.
+    #[serde(rename = "free")]
+    Repeatable,
+    /// Paid for at setup: it must be set up at most once.
+    #[serde(rename = "paid")]
+    AtMostOnce,
 }
 
+/// Settings of one class of requests.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Lane {
+#[schemars(rename = "Lane")]
+pub struct ClassSettings {
     pub name: String,
     pub gain: f64,
     pub latency_goal_s: f64,
-    pub cut_off_s: f64,
-    pub repeat: Repeat,
+    #[serde(rename = "cut_off_s")]
+    pub deadline_s: f64,
+    #[serde(rename = "repeat")]
+    pub repeat_policy: RepeatPolicy,
     /// Lowest and highest rung.
-    #[serde(default)]
-    pub floor: usize,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub top: Option<usize>,
-    /// Its rates over the ladder's.
-    #[serde(default = "one")]
-    pub scale: f64,
-    /// Subscriptions of one title that a controller may hold; 0 is no limit.
-    #[serde(default)]
-    pub seats: usize,
-    #[serde(default)]
-    pub live: bool,
-}
-
+    #[serde(rename = "floor", default)]
+    pub min_rung: usize,
+    #[serde(rename = "top", default, skip_serializing_if = "Option::is_none")]
+    pub max_rung: Option<usize>,
+    /// Its rates as a multiple of the ladder's rates.
+    #[serde(rename = "scale", default = "one")]
+    pub rate_scale: f64,
+    /// Sessions of one title that a controller can hold at once; 0 is no limit.
+    #[serde(rename = "seats", default)]
+    pub max_sessions_per_title: usize,
+    #[serde(rename = "live", default)]
+    pub is_live: bool,
+}
+
+/// Settings of one tenant.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Tenant {
+#[schemars(rename = "Tenant")]
+pub struct TenantSettings {
     pub name: String,
-    /// Wishes a second within its share, over all controllers.
+    /// Requests per second within its share, summed over all controllers.
     pub quota_per_s: f64,
 }
 
+/// The rungs.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Ladder {
-    /// Rate of each rung in kB a second, rising, and what it earns as a part of the gain.
-    pub kb: Vec<f64>,
-    pub gain: Vec<f64>,
+    /// Rate of each rung in kB per second, rising, and the part of a session's gain that it earns.
+    #[serde(rename = "kb")]
+    pub rates_kb_per_s: Vec<f64>,
+    #[serde(rename = "gain")]
+    pub gains: Vec<f64>,
 }
 
+/// Size and capacity of the fleet of streamers.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Fleet {
-    pub cells: usize,
-    pub racks: usize,
-    /// Mean uplink of a rack, and a streamer's link for each unit of its weight, in kB a second.
-    pub rack_kb: f64,
-    pub kb_per_weight: f64,
-    pub kinds: Vec<MachineKind>,
-}
-
+#[schemars(rename = "Fleet")]
+pub struct FleetSettings {
+    #[serde(rename = "cells")]
+    pub cell_count: usize,
+    #[serde(rename = "racks")]
+    pub rack_count: usize,
+    /// Mean capacity of a rack's uplink, and capacity of a streamer's link per unit of its weight, in kB per second.
+    #[serde(rename = "rack_kb")]
+    pub uplink_kb_per_s: f64,
+    #[serde(rename = "kb_per_weight")]
+    pub link_kb_per_s_per_weight: f64,
+    #[serde(rename = "kinds")]
+    pub machine_kinds: Vec<MachineKind>,
+}
+
+/// A kind of machine that streamers run on.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct MachineKind {
     pub name: String,
-    /// Streams that it runs at most.
-    pub streams: f64,
+    /// Maximum number of streams on one machine.
+    #[serde(rename = "streams")]
+    pub max_streams: f64,
 }
 
+/// Load reports of streamers.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Notes {
-    /// How old a note of a streamer is when it comes, and the time between two.
+#[schemars(rename = "Notes")]
+pub struct LoadReportSettings {
+    /// Age of a streamer's load report when it arrives, and the time between two reports.
     pub age_s: f64,
-    pub every_s: f64,
+    #[serde(rename = "every_s")]
+    pub interval_s: f64,
 }
 
+/// Attempts to set up a session.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Shots {
-    /// Shots of one subscription at most.
-    pub most: u32,
+#[schemars(rename = "Shots")]
+pub struct AttemptSettings {
+    /// Maximum number of attempts for one session.
+    #[serde(rename = "most")]
+    pub max_attempts: u32,
 }
 
+/// Whether rejected players are given a time to retry after, and its maximum.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct RetryAfter {
+#[schemars(rename = "RetryAfter")]
+pub struct RetryAfterSettings {
     pub allowed: bool,
-    pub longest_s: f64,
+    #[serde(rename = "longest_s")]
+    pub max_s: f64,
 }
 
+/// Probes of streamers.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Looks {
+#[schemars(rename = "Looks")]
+pub struct ProbeSettings {
     pub allowed: bool,
     #[serde(default)]
     pub timeout_s: f64,
 }
 
+/// Charges for moving a session and for streaming across zones.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Charges {
+#[schemars(rename = "Charges")]
+pub struct ChargeSettings {
     #[serde(default)]
     pub moves: f64,
     #[serde(default)]
     pub cross_zone: f64,
 }
 
-/// Terms for a streamer that has just started.
+/// Limits of a streamer that has just started.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Cold {
-    /// It is warm after this time; it starts at this part of its pace.
-    pub span_s: f64,
-    pub from: f64,
-    /// So many times its pace, for so long, make it fall over.
-    pub multiple: f64,
+#[schemars(rename = "Cold")]
+pub struct ColdStartSettings {
+    /// Time until the streamer is warm, and the part of its full setup rate that it starts at.
+    #[serde(rename = "span_s")]
+    pub warm_up_s: f64,
+    #[serde(rename = "from")]
+    pub initial_part: f64,
+    /// A streamer that gets more than this multiple of its current setup rate during this window crashes.
+    #[serde(rename = "multiple")]
+    pub overload_multiple: f64,
     pub window_s: f64,
 }
 
+/// Budget of attempts beyond the first one of each session, within a sliding window.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Ration {
-    pub floor: f64,
-    pub share: f64,
+#[schemars(rename = "Ration")]
+pub struct RetryBudgetSettings {
+    #[serde(rename = "floor")]
+    pub min_retries: f64,
+    #[serde(rename = "share")]
+    pub request_share: f64,
     pub window_s: f64,
 }
 
+/// Links to streamers.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Links {
-    /// A streamer that is not connected and greeted by then counts as not reached.
+#[schemars(rename = "Links")]
+pub struct LinkSettings {
+    /// Time allowed for connecting to a streamer and for the handshake; after it the streamer counts as unreachable.
     pub dial_timeout_s: f64,
 }
 
-/// What this process may use. Near these limits new wishes are turned back, least gain first.
+/// Resources that this process can use. Near these limits new requests are rejected, those with the least gain first.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Shedding {
-    /// How long a wish may wait for its turn, in seconds.
-    pub delay_s: f64,
-    /// Cores that the process may use.
-    pub cores: f64,
+#[schemars(rename = "Shedding")]
+pub struct SheddingSettings {
+    /// Maximum time that a request waits in the queue, in seconds.
+    #[serde(rename = "delay_s")]
+    pub max_delay_s: f64,
+    /// CPU cores that the process can use.
+    #[serde(rename = "cores")]
+    pub cpu_cores: f64,
     /// Resident memory, in bytes.
     pub memory_bytes: f64,
     /// Open files.
-    pub files: f64,
-    /// Part of what is taken that each lane keeps at any load, in the order of `lanes`; 0 where it is left out.
-    #[serde(default)]
-    pub lane_shares: Vec<f64>,
-    /// A wish that is nearly taken may be held for so long before it is judged once more, in seconds.
-    #[serde(default = "hold")]
-    pub hold_s: f64,
-    /// Wishes of one lane that wait at most; as many as of all where it is absent.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub lane_waiting: Option<usize>,
-}
-
-fn hold() -> f64 {
+    #[serde(rename = "files")]
+    pub open_files: f64,
+    /// Part of the admitted requests that is reserved for each class at any load, in the order of `lanes`; 0 for classes
+    /// that are left out.
+    #[serde(rename = "lane_shares", default)]
+    pub class_shares: Vec<f64>,
+    /// How long a request that is only just not admitted can be held before it is decided on once more, in seconds.
+    #[serde(rename = "hold_s", default = "default_hold_s")]
+    pub max_hold_s: f64,
+    /// Maximum number of requests of one class in the queue; if absent, the limit of the whole queue.
+    #[serde(rename = "lane_waiting", default, skip_serializing_if = "Option::is_none")]
+    pub max_waiting_per_class: Option<usize>,
+}
+
+fn default_hold_s() -> f64 {
     0.1
 }
 
-/// Gossip with other controllers about who is there and which streamers fail.
+/// Gossip with other controllers about which controllers are running and which streamers fail.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Gossip {
-    /// This instance's name, one of `keys`.
+#[schemars(rename = "Gossip")]
+pub struct GossipSettings {
+    /// This instance's name, which must be in `keys`.
     pub name: String,
-    /// The UDP address that it listens at, and the one that others reach it at where that is another.
+    /// UDP address to listen on, and the address that other controllers use if it differs.
     pub listen: SocketAddr,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub advertise: Option<SocketAddr>,
-    /// One member is probed in this time, in seconds; a lost one is missed after some of them.
+    /// Probe period, in seconds: one member is probed in each. A lost member is detected after several periods.
     #[serde(default = "one")]
     pub period_s: f64,
-    /// Others to greet at first.
+    /// Members to contact at start.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// The file with this instance's secret key: 64 hex digits. It is read again on SIGHUP, as `keys` is.
-    pub secret: PathBuf,
-    /// The file with all instances' public keys: an object of names to lists of 64 hex digits. While a key is
-    /// changed an instance has two.
-    pub keys: PathBuf,
-    /// Networks that datagrams may come from.
+    #[serde(rename = "secret")]
+    pub secret_key_file: PathBuf,
+    /// The file with the public keys of all instances: an object of names to lists of 64 hex digits. During a key
+    /// rotation an instance has two keys.
+    #[serde(rename = "keys")]
+    pub public_keys_file: PathBuf,
+    /// Networks that datagrams are accepted from.
+    #[serde(rename = "networks")]
     #[schemars(with = "Vec<String>")]
-    pub networks: Vec<ipnet::IpNet>,
-    /// Bytes that may leave in any second.
-    #[serde(default = "gossip_bytes")]
+    pub allowed_networks: Vec<ipnet::IpNet>,
+    /// Maximum number of bytes sent in any second.
+    #[serde(default = "default_gossip_bytes_per_s")]
     pub bytes_per_s: usize,
 }
 
-fn gossip_bytes() -> usize {
+fn default_gossip_bytes_per_s() -> usize {
     8 * 1024
 }
 
-/// Where a controller's view of the others comes from.
+/// Source of a controller's view of the other controllers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Source {
-    /// Nothing is ever heard: all that the settings count are there.
+#[schemars(rename = "Source")]
+pub enum MembershipSource {
+    /// The settings: all controllers that they count are taken to be running.
     #[default]
     Settings,
-    /// Gossip tells who is there.
+    /// Membership by gossip.
     Gossip,
 }
 
-/// How a controller acts as one of many.
+/// How a controller coordinates with the other controllers.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Together {
-    #[serde(default)]
-    pub view: Source,
-    /// A view is at most this old: within this time, in seconds, every other controller knows that one came or went.
-    #[serde(default = "oldest")]
-    pub oldest_s: f64,
-    /// The clocks of two controllers are at most this far apart, in seconds.
-    #[serde(default = "clocks_apart")]
-    pub clocks_apart_s: f64,
-    /// Each controller uses its own part of the streamers first.
-    #[serde(default = "yes")]
-    pub subset: bool,
-    /// A link to a streamer outside that part is closed when it was not needed for so long, in seconds.
-    #[serde(default = "idle")]
-    pub idle_s: f64,
-}
-
-fn oldest() -> f64 {
+#[schemars(rename = "Together")]
+pub struct CoordinationSettings {
+    #[serde(rename = "view", default)]
+    pub membership_source: MembershipSource,
+    /// Maximum age of a view, in seconds: within this time every other controller has learned of one that started or
+    /// stopped.
+    #[serde(rename = "oldest_s", default = "default_view_age_s")]
+    pub max_view_age_s: f64,
+    /// Maximum difference between the clocks of two controllers, in seconds.
+    #[serde(rename = "clocks_apart_s", default = "default_clock_difference_s")]
+    pub max_clock_difference_s: f64,
+    /// Each controller prefers its own subset of the streamers.
+    #[serde(rename = "subset", default = "default_prefers_subset")]
+    pub prefers_subset: bool,
+    /// A link to a streamer outside that subset is closed once it has been unused for this long, in seconds.
+    #[serde(rename = "idle_s", default = "default_link_idle_s")]
+    pub link_idle_s: f64,
+}
+
+fn default_view_age_s() -> f64 {
     15.0
 }
 
-fn clocks_apart() -> f64 {
+fn default_clock_difference_s() -> f64 {
     0.3
 }
 
-fn yes() -> bool {
+fn default_prefers_subset() -> bool {
     true
 }
 
-fn idle() -> f64 {
+fn default_link_idle_s() -> f64 {
     15.0
 }
 
-/// Bounds of what one process takes on.
+/// Hard limits of one process.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
-pub struct Limits {
-    /// Wishes and subscriptions in hand.
-    pub held: usize,
-    /// Connections of players, and those from one network.
-    pub connections: usize,
-    pub per_network: usize,
-    /// Leading bits of an address that name its network.
+#[schemars(rename = "Limits")]
+pub struct ProcessLimits {
+    /// Maximum number of requests and sessions at once.
+    #[serde(rename = "held")]
+    pub max_sessions: usize,
+    /// Maximum number of connections of players, in all and from one network.
+    #[serde(rename = "connections")]
+    pub max_connections: usize,
+    #[serde(rename = "per_network")]
+    pub max_connections_per_network: usize,
+    /// Length of an address prefix that identifies a network, in bits.
     pub network_bits_v4: u8,
     pub network_bits_v6: u8,
-    /// Wishes that wait for their turn; the newest is turned away beyond them, unless shedding is on and a lesser
-    /// one can give way.
-    pub waiting: usize,
-    /// A connection that asked nothing for so long is closed, and one that takes no bytes for so long.
-    pub idle_s: f64,
-    pub write_s: f64,
-    /// Longest body of a wish, in bytes, and the time in which head and body must be there.
-    pub body_bytes: usize,
-    pub request_s: f64,
-    /// How long a stop waits for subscriptions to end by themselves.
-    pub stop_s: f64,
-}
-
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits {
-            held: 20_000,
-            connections: 20_000,
-            per_network: 20_000,
+    /// Maximum number of requests in the queue. Beyond it the newest is rejected, unless shedding is on and a queued
+    /// request of lower rank can be rejected in its place.
+    #[serde(rename = "waiting")]
+    pub max_waiting_requests: usize,
+    /// A connection without requests for this long is closed, and one that accepts no bytes for this long.
+    #[serde(rename = "idle_s")]
+    pub idle_timeout_s: f64,
+    #[serde(rename = "write_s")]
+    pub write_timeout_s: f64,
+    /// Maximum body of a request, in bytes, and the time in which its head and body must arrive.
+    #[serde(rename = "body_bytes")]
+    pub max_body_bytes: usize,
+    #[serde(rename = "request_s")]
+    pub request_timeout_s: f64,
+    /// How long a stopping controller waits for its sessions to end.
+    #[serde(rename = "stop_s")]
+    pub stop_timeout_s: f64,
+}
+
+impl Default for ProcessLimits {
+    fn default() -> ProcessLimits {
+        ProcessLimits {
+            max_sessions: 20_000,
+            max_connections: 20_000,
+            max_connections_per_network: 20_000,
             network_bits_v4: 24,
             network_bits_v6: 56,
-            waiting: 4096,
-            idle_s: 60.0,
-            write_s: 5.0,
-            body_bytes: 16 * 1024,
-            request_s: 5.0,
-            stop_s: 10.0,
+            max_waiting_requests: 4096,
+            idle_timeout_s: 60.0,
+            write_timeout_s: 5.0,
+            max_body_bytes: 16 * 1024,
+            request_timeout_s: 5.0,
+            stop_timeout_s: 10.0,
         }
     }
 }
@@ -362,299 +440,340 @@
     1.0
 }
 
-/// What is wrong with a file: which, where in it, what, and what to do about it.
+/// An error in a file: the file, the path of the value in it, the problem and how to fix it.
 #[derive(Debug)]
-pub struct Wrong {
+pub struct SettingsError {
     pub file: PathBuf,
     pub path: String,
-    pub what: String,
+    pub problem: String,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: at {}: {}", self.file.display(), self.path, self.what)
+        write!(f, "{}: at {}: {}", self.file.display(), self.path, self.problem)
     }
 }
 
-impl std::error::Error for Wrong {}
+impl std::error::Error for SettingsError {}
 
-/// Reads a JSON file into its type; a wrong or missing value is named by its path.
-pub fn read_json<T: serde::de::DeserializeOwned>(file: &Path) -> Result<T, Wrong> {
-    let wrong = |path: &str, what: String| Wrong { file: file.to_owned(), path: path.to_owned(), what };
+/// Parses a JSON file. The error gives the path of a wrong or missing value.
+pub fn read_json<T: serde::de::DeserializeOwned>(file: &Path) -> Result<T, SettingsError> {
+    let error =
+        |path: &str, problem: String| SettingsError { file: file.to_owned(), path: path.to_owned(), problem };
     let text = std::fs::read_to_string(file)
-        .map_err(|e| wrong("the whole file", format!("it can't be read: {e}; name a file that is there")))?;
+        .map_err(|e| error("the whole file", format!("it can't be read: {e}; name an existing file")))?;
     let mut json = serde_json::Deserializer::from_str(&text);
-    let read = serde_path_to_error::deserialize(&mut json).map_err(|e| {
+    let parsed = serde_path_to_error::deserialize(&mut json).map_err(|e| {
         let path = e.path().to_string();
-        wrong(&path, format!("{}; see the schema (`lemontide schema`)", e.inner()))
+        error(&path, format!("{}; see the schema (`lemontide schema`)", e.inner()))
     })?;
-    json.end().map_err(|e| wrong("the end", format!("{e}; leave one value in the file")))?;
-    Ok(read)
+    json.end().map_err(|e| error("the end", format!("{e}; the file must contain exactly one value")))?;
+    Ok(parsed)
 }
 
 impl Settings {
-    /// Reads and checks a file. Paths in it are taken from the folder that it lies in.
-    pub fn read(file: &Path) -> Result<Settings, Wrong> {
+    /// Reads and checks a file. Relative paths in it are resolved against its folder.
+    pub fn read(file: &Path) -> Result<Settings, SettingsError> {
         let mut settings: Settings = read_json(file)?;
-        settings.check().map_err(|(path, what)| Wrong { file: file.to_owned(), path, what })?;
+        settings.check().map_err(|(path, problem)| SettingsError { file: file.to_owned(), path, problem })?;
         let folder = file.parent().unwrap_or(Path::new(""));
         settings.list = folder.join(&settings.list);
         settings.tap = settings.tap.map(|tap| folder.join(tap));
         if let Some(gossip) = &mut settings.gossip {
-            gossip.secret = folder.join(&gossip.secret);
-            gossip.keys = folder.join(&gossip.keys);
+            gossip.secret_key_file = folder.join(&gossip.secret_key_file);
+            gossip.public_keys_file = folder.join(&gossip.public_keys_file);
         }
         Ok(settings)
     }
 
-    /// What the schema can't say: how the values must fit each other. The first misfit, as path and remedy.
+    /// Checks what the schema can't express: that the values are consistent. Returns the first error, as the path of the
+    /// value and how to fix it.
     pub fn check(&self) -> Result<(), (String, String)> {
-        let wrong = |path: &str, what: &str| Err((path.to_owned(), what.to_owned()));
-        if self.controllers == 0 || self.me >= self.controllers {
-            return wrong("me", "this controller's number must be under `controllers`: count from 0");
+        let fail = |path: &str, problem: &str| Err((path.to_owned(), problem.to_owned()));
+        if self.controller_count == 0 || self.own_number >= self.controller_count {
+            return fail("me", "this controller's number must be less than `controllers`: count from 0");
         }
-        if self.lanes.is_empty() {
-            return wrong("lanes", "there is none; state at least one lane");
+        if self.classes.is_empty() {
+            return fail("lanes", "there is none; add at least one class");
         }
-        let rungs = self.ladder.kb.len();
-        if rungs == 0 || self.ladder.gain.len() != rungs {
-            return wrong(
+        let rungs = self.ladder.rates_kb_per_s.len();
+        if rungs == 0 || self.ladder.gains.len() != rungs {
+            return fail(
                 "ladder.gain",
                 "there must be one gain for each rate in `ladder.kb`, and at least one",
             );
         }
-        if self.ladder.kb.iter().any(|kb| !positive(*kb)) || !self.ladder.kb.windows(2).all(|w| w[0] < w[1]) {
-            return wrong("ladder.kb", "rates must be above 0 and rise from rung to rung");
+        if self.ladder.rates_kb_per_s.iter().any(|kb| !is_positive(*kb))
+            || !self.ladder.rates_kb_per_s.windows(2).all(|w| w[0] < w[1])
+        {
+            return fail("ladder.kb", "rates must be above 0 and increase from rung to rung");
         }
-        for (i, lane) in self.lanes.iter().enumerate() {
-            let at = |what: &str| format!("lanes[{i}].{what}");
-            if self.lanes[..i].iter().any(|other| other.name == lane.name) {
-                return wrong(&at("name"), "another lane has this name; give each its own");
+        for (i, class) in self.classes.iter().enumerate() {
+            let path = |field: &str| format!("lanes[{i}].{field}");
+            if self.classes[..i].iter().any(|other| other.name == class.name) {
+                return fail(&path("name"), "another class has this name; names must be unique");
             }
-            if !positive(lane.latency_goal_s) || !positive(lane.cut_off_s) {
-                return wrong(&at("cut_off_s"), "latency goal and cut-off must be above 0 s");
+            if !is_positive(class.latency_goal_s) || !is_positive(class.deadline_s) {
+                return fail(&path("cut_off_s"), "latency goal and deadline must be above 0 s");
             }
-            if lane.latency_goal_s > lane.cut_off_s {
-                return wrong(&at("latency_goal_s"), "the latency goal lies behind the cut-off; lower it");
+            if class.latency_goal_s > class.deadline_s {
+                return fail(&path("latency_goal_s"), "the latency goal is above the deadline; lower it");
             }
-            if lane.floor >= rungs || lane.top.is_some_and(|top| top < lane.floor) {
-                return wrong(&at("floor"), "the floor must be a rung of the ladder, and not above `top`");
+            if class.min_rung >= rungs || class.max_rung.is_some_and(|top| top < class.min_rung) {
+                return fail(&path("floor"), "the lowest rung must be on the ladder, and not above `top`");
             }
-            if !positive(lane.scale) || lane.gain.is_nan() || lane.gain < 0.0 {
-                return wrong(&at("scale"), "scale must be above 0 and gain not under it");
+            if !is_positive(class.rate_scale) || class.gain.is_nan() || class.gain < 0.0 {
+                return fail(&path("scale"), "scale must be above 0, and gain 0 or more");
             }
         }
-        if self.fleet.cells == 0 || self.fleet.racks == 0 {
-            return wrong("fleet.cells", "a fleet has at least one cell and one rack");
+        if self.fleet.cell_count == 0 || self.fleet.rack_count == 0 {
+            return fail("fleet.cells", "a fleet has at least one cell and one rack");
         }
-        if self.fleet.kinds.iter().any(|kind| !positive(kind.streams)) || !positive(self.fleet.kb_per_weight)
+        if self.fleet.machine_kinds.iter().any(|kind| !is_positive(kind.max_streams))
+            || !is_positive(self.fleet.link_kb_per_s_per_weight)
         {
-            return wrong("fleet.kinds", "streams of a kind and kB per weight must be above 0");
+            return fail("fleet.kinds", "streams of a kind and kB per weight must be above 0");
         }
-        for (title, place) in &self.titles {
-            if place.home >= self.fleet.cells || place.copies == 0 || place.copies > self.fleet.cells {
+        for (title, placement) in &self.titles {
+            if placement.first_cell >= self.fleet.cell_count
+                || placement.replicas == 0
+                || placement.replicas > self.fleet.cell_count
+            {
                 let path = format!("titles.{title}");
-                return wrong(&path, "home must be under `fleet.cells`, copies between 1 and that");
+                return fail(
+                    &path,
+                    "`home` must be less than `fleet.cells`, and `copies` between 1 and `fleet.cells`",
+                );
             }
         }
-        if self.shots.most == 0 {
-            return wrong("shots.most", "a subscription needs at least one shot");
+        if self.attempts.max_attempts == 0 {
+            return fail("shots.most", "a session needs at least one attempt");
         }
         for (path, value) in [
-            ("notes.age_s", self.notes.age_s),
-            ("notes.every_s", self.notes.every_s),
-            ("retry_after.longest_s", self.retry_after.longest_s),
-            ("cold.span_s", self.cold.span_s),
-            ("cold.window_s", self.cold.window_s),
-            ("cold.from", self.cold.from),
-            ("cold.multiple", self.cold.multiple),
-            ("fleet.rack_kb", self.fleet.rack_kb),
+            ("notes.age_s", self.load_reports.age_s),
+            ("notes.every_s", self.load_reports.interval_s),
+            ("retry_after.longest_s", self.retry_after.max_s),
+            ("cold.span_s", self.cold_start.warm_up_s),
+            ("cold.window_s", self.cold_start.window_s),
+            ("cold.from", self.cold_start.initial_part),
+            ("cold.multiple", self.cold_start.overload_multiple),
+            ("fleet.rack_kb", self.fleet.uplink_kb_per_s),
         ] {
             if !(value.is_finite() && value >= 0.0) {
-                return wrong(path, "it must be a number of 0 or more");
+                return fail(path, "it must be a number of 0 or more");
             }
         }
-        if self.ration.as_ref().is_some_and(|ration| !positive(ration.window_s)) {
-            return wrong("ration.window_s", "the window of a ration must be above 0 s");
+        if self.retry_budget.as_ref().is_some_and(|budget| !is_positive(budget.window_s)) {
+            return fail("ration.window_s", "the window of the retry budget must be above 0 s");
         }
-        if !positive(self.links.dial_timeout_s) || self.looks.allowed && !positive(self.looks.timeout_s) {
-            return wrong(
+        if !is_positive(self.links.dial_timeout_s)
+            || self.probes.allowed && !is_positive(self.probes.timeout_s)
+        {
+            return fail(
                 "links.dial_timeout_s",
-                "time-outs of dials, and of looks where allowed, are above 0 s",
+                "timeouts of dials, and of probes if they are allowed, must be above 0 s",
             );
         }
         if let Some(shedding) = &self.shedding {
-            let limits = [shedding.delay_s, shedding.cores, shedding.memory_bytes, shedding.files];
-            if limits.iter().any(|limit| !positive(*limit)) {
-                return wrong("shedding", "every limit must be above 0");
+            let limits =
+                [shedding.max_delay_s, shedding.cpu_cores, shedding.memory_bytes, shedding.open_files];
+            if limits.iter().any(|limit| !is_positive(*limit)) {
+                return fail("shedding", "every limit must be above 0");
             }
-            let shares = &shedding.lane_shares;
+            let shares = &shedding.class_shares;
             if shares.iter().any(|share| !(0.0..=1.0).contains(share)) || shares.iter().sum::<f64>() > 1.0 {
-                return wrong("shedding.lane_shares", "shares lie between 0 and 1, together at most 1");
+                return fail(
+                    "shedding.lane_shares",
+                    "each share must be between 0 and 1, and their sum at most 1",
+                );
             }
-            if !(shedding.hold_s.is_finite() && shedding.hold_s >= 0.0) || shedding.lane_waiting == Some(0) {
-                return wrong(
+            if !(shedding.max_hold_s.is_finite() && shedding.max_hold_s >= 0.0)
+                || shedding.max_waiting_per_class == Some(0)
+            {
+                return fail(
                     "shedding.hold_s",
-                    "a hold is 0 s or more, and a lane's queue holds at least one",
+                    "a hold must be 0 s or more, and the queue of a class must hold at least one request",
                 );
             }
         }
-        if let Some(together) = &self.together {
-            if together.view == Source::Gossip && self.gossip.is_none() {
-                return wrong(
+        if let Some(coordination) = &self.coordination {
+            if coordination.membership_source == MembershipSource::Gossip && self.gossip.is_none() {
+                return fail(
                     "together.view",
-                    "nothing is heard without `gossip`; add it, or take `settings`",
+                    "membership by gossip needs `gossip`; add it, or use `settings`",
                 );
             }
-            if self.controllers > MAX_INSTANCES as usize {
-                return wrong("controllers", "turns are shared by 65536 at most");
+            if self.controller_count > MAX_INSTANCES as usize {
+                return fail("controllers", "turns can be shared by at most 65536 controllers");
             }
-            if !positive(together.oldest_s) || !(1.0..=3600.0).contains(&together.idle_s) {
-                return wrong(
+            if !is_positive(coordination.max_view_age_s)
+                || !(1.0..=3600.0).contains(&coordination.link_idle_s)
+            {
+                return fail(
                     "together.oldest_s",
-                    "a view's age is above 0 s, an idle link's between 1 and 3600 s",
+                    "the age of a view must be above 0 s, and that of an idle link between 1 and 3600 s",
                 );
             }
-            if !(0.0..self.cold.window_s.max(1e-9)).contains(&together.clocks_apart_s) {
-                let what = "clocks must be less apart than `cold.window_s`, or nobody has a turn";
-                return wrong("together.clocks_apart_s", what);
+            if !(0.0..self.cold_start.window_s.max(1e-9)).contains(&coordination.max_clock_difference_s) {
+                let problem = "the difference of clocks must be less than `cold.window_s`, or no controller ever has a turn";
+                return fail("together.clocks_apart_s", problem);
             }
         }
         if let Some(gossip) = &self.gossip {
             if !(0.05..=60.0).contains(&gossip.period_s) {
-                return wrong("gossip.period_s", "a period lasts 0.05 to 60 s");
+                return fail("gossip.period_s", "the period must be between 0.05 and 60 s");
             }
             if gossip.bytes_per_s < 4 * 1024 {
-                return wrong(
+                return fail(
                     "gossip.bytes_per_s",
-                    "under 4096 bytes a second pings don't get through; raise it",
+                    "pings don't get through with less than 4096 bytes per second; raise it",
                 );
             }
-            if gossip.networks.is_empty() {
-                return wrong(
+            if gossip.allowed_networks.is_empty() {
+                return fail(
                     "gossip.networks",
-                    "nobody may speak; list the networks of the other controllers",
+                    "no network is allowed; list the networks of the other controllers",
                 );
             }
         }
         let limits = &self.limits;
-        let counts = [limits.held, limits.connections, limits.per_network, limits.waiting, limits.body_bytes];
-        let times = [limits.request_s, limits.idle_s, limits.write_s];
-        if counts.contains(&0) || !times.into_iter().all(positive) {
-            return wrong("limits", "every limit must be above 0");
+        let counts = [
+            limits.max_sessions,
+            limits.max_connections,
+            limits.max_connections_per_network,
+            limits.max_waiting_requests,
+            limits.max_body_bytes,
+        ];
+        let times = [limits.request_timeout_s, limits.idle_timeout_s, limits.write_timeout_s];
+        if counts.contains(&0) || !times.into_iter().all(is_positive) {
+            return fail("limits", "every limit must be above 0");
         }
         if limits.network_bits_v4 > 32 || limits.network_bits_v6 > 128 {
-            return wrong("limits.network_bits_v4", "an address has 32 bits, or 128 in IPv6");
+            return fail(
+                "limits.network_bits_v4",
+                "a prefix has at most 32 bits in IPv4 and 128 bits in IPv6",
+            );
         }
         Ok(())
     }
 
-    /// The settings as the module takes them.
+    /// The flat map that the decision module takes.
     pub fn controller_settings(&self) -> ControllerSettings {
-        let mut sheet = ControllerSettings::new();
-        let mut number = |name: String, value: f64| sheet.insert(name, SettingValue::Number(value));
+        let mut settings = ControllerSettings::new();
+        let mut insert_number = |name: String, value: f64| settings.insert(name, SettingValue::Number(value));
         for (name, value) in [
-            ("me", self.me as f64),
-            ("controllers", self.controllers as f64),
+            ("me", self.own_number as f64),
+            ("controllers", self.controller_count as f64),
             ("over_share_gain", self.over_share_gain),
-            ("cells", self.fleet.cells as f64),
-            ("rack.count", self.fleet.racks as f64),
-            ("rack.kb", self.fleet.rack_kb),
-            ("link.kb_per_weight", self.fleet.kb_per_weight),
-            ("notes.age", self.notes.age_s),
-            ("notes.every", self.notes.every_s),
-            ("shots.most", f64::from(self.shots.most)),
-            ("retry_after.longest", self.retry_after.longest_s),
+            ("cells", self.fleet.cell_count as f64),
+            ("rack.count", self.fleet.rack_count as f64),
+            ("rack.kb", self.fleet.uplink_kb_per_s),
+            ("link.kb_per_weight", self.fleet.link_kb_per_s_per_weight),
+            ("notes.age", self.load_reports.age_s),
+            ("notes.every", self.load_reports.interval_s),
+            ("shots.most", f64::from(self.attempts.max_attempts)),
+            ("retry_after.longest", self.retry_after.max_s),
             ("charges.moves", self.charges.moves),
             ("charges.cross_zone", self.charges.cross_zone),
-            ("cold.span", self.cold.span_s),
-            ("cold.from", self.cold.from),
-            ("cold.multiple", self.cold.multiple),
-            ("cold.window", self.cold.window_s),
+            ("cold.span", self.cold_start.warm_up_s),
+            ("cold.from", self.cold_start.initial_part),
+            ("cold.multiple", self.cold_start.overload_multiple),
+            ("cold.window", self.cold_start.window_s),
             ("dial.timeout", self.links.dial_timeout_s),
         ] {
-            number(name.to_owned(), value);
+            insert_number(name.to_owned(), value);
         }
-        if let Some(ration) = &self.ration {
-            number("ration.floor".to_owned(), ration.floor);
-            number("ration.share".to_owned(), ration.share);
-            number("ration.window".to_owned(), ration.window_s);
+        if let Some(budget) = &self.retry_budget {
+            insert_number("ration.floor".to_owned(), budget.min_retries);
+            insert_number("ration.share".to_owned(), budget.request_share);
+            insert_number("ration.window".to_owned(), budget.window_s);
         }
-        if let Some(together) = &self.together {
-            number("clocks.apart".to_owned(), together.clocks_apart_s);
+        if let Some(coordination) = &self.coordination {
+            insert_number("clocks.apart".to_owned(), coordination.max_clock_difference_s);
         }
-        for (i, (kb, gain)) in self.ladder.kb.iter().zip(&self.ladder.gain).enumerate() {
-            number(format!("ladder.kb.{i}"), *kb);
-            number(format!("ladder.gain.{i}"), *gain);
+        for (i, (kb, gain)) in self.ladder.rates_kb_per_s.iter().zip(&self.ladder.gains).enumerate() {
+            insert_number(format!("ladder.kb.{i}"), *kb);
+            insert_number(format!("ladder.gain.{i}"), *gain);
         }
-        for (i, lane) in self.lanes.iter().enumerate() {
-            number(format!("lanes.{i}.gain"), lane.gain);
-            number(format!("lanes.{i}.latency_goal"), lane.latency_goal_s);
-            number(format!("lanes.{i}.cut_off"), lane.cut_off_s);
-            number(format!("lane_floor.{i}"), lane.floor as f64);
-            number(format!("lane_top.{i}"), lane.top.unwrap_or(self.ladder.kb.len() - 1) as f64);
-            number(format!("lane_scale.{i}"), lane.scale);
-            number(format!("lane_seats.{i}"), lane.seats as f64);
+        for (i, class) in self.classes.iter().enumerate() {
+            insert_number(format!("lanes.{i}.gain"), class.gain);
+            insert_number(format!("lanes.{i}.latency_goal"), class.latency_goal_s);
+            insert_number(format!("lanes.{i}.cut_off"), class.deadline_s);
+            insert_number(format!("lane_floor.{i}"), class.min_rung as f64);
+            insert_number(
+                format!("lane_top.{i}"),
+                class.max_rung.unwrap_or(self.ladder.rates_kb_per_s.len() - 1) as f64,
+            );
+            insert_number(format!("lane_scale.{i}"), class.rate_scale);
+            insert_number(format!("lane_seats.{i}"), class.max_sessions_per_title as f64);
         }
-        for (i, kind) in self.fleet.kinds.iter().enumerate() {
-            number(format!("kind_streams.{i}"), kind.streams);
+        for (i, kind) in self.fleet.machine_kinds.iter().enumerate() {
+            insert_number(format!("kind_streams.{i}"), kind.max_streams);
         }
         for (i, tenant) in self.tenants.iter().enumerate() {
-            number(format!("tenants.{i}.quota_per_s"), tenant.quota_per_s);
+            insert_number(format!("tenants.{i}.quota_per_s"), tenant.quota_per_s);
         }
-        let mut put = |name: String, value: SettingValue| sheet.insert(name, value);
-        put("zone".to_owned(), SettingValue::Text(self.zone.clone()));
-        put("retry_after.allowed".to_owned(), SettingValue::Flag(self.retry_after.allowed));
-        put("looks.allowed".to_owned(), SettingValue::Flag(self.looks.allowed));
-        for (i, lane) in self.lanes.iter().enumerate() {
-            let repeat = if lane.repeat == Repeat::Paid { "paid" } else { "free" };
-            put(format!("lanes.{i}.name"), SettingValue::Text(lane.name.clone()));
-            put(format!("lanes.{i}.repeat"), SettingValue::Text(repeat.to_owned()));
-            put(format!("lane_live.{i}"), SettingValue::Flag(lane.live));
+        let mut insert = |name: String, value: SettingValue| settings.insert(name, value);
+        insert("zone".to_owned(), SettingValue::Text(self.zone.clone()));
+        insert("retry_after.allowed".to_owned(), SettingValue::Flag(self.retry_after.allowed));
+        insert("looks.allowed".to_owned(), SettingValue::Flag(self.probes.allowed));
+        for (i, class) in self.classes.iter().enumerate() {
+            let repeat = if class.repeat_policy == RepeatPolicy::AtMostOnce { "paid" } else { "free" };
+            insert(format!("lanes.{i}.name"), SettingValue::Text(class.name.clone()));
+            insert(format!("lanes.{i}.repeat"), SettingValue::Text(repeat.to_owned()));
+            insert(format!("lane_live.{i}"), SettingValue::Flag(class.is_live));
         }
-        for (i, kind) in self.fleet.kinds.iter().enumerate() {
-            put(format!("kinds.{i}"), SettingValue::Text(kind.name.clone()));
+        for (i, kind) in self.fleet.machine_kinds.iter().enumerate() {
+            insert(format!("kinds.{i}"), SettingValue::Text(kind.name.clone()));
         }
         for (i, tenant) in self.tenants.iter().enumerate() {
-            put(format!("tenants.{i}.name"), SettingValue::Text(tenant.name.clone()));
+            insert(format!("tenants.{i}.name"), SettingValue::Text(tenant.name.clone()));
         }
-        sheet
+        settings
     }
 
-    /// What the driver needs beside the module.
-    pub fn terms(&self) -> Terms {
+    /// The settings that the driver needs in addition to those of the decision module.
+    pub fn driver_settings(&self) -> Terms {
         Terms {
-            lanes: self.lanes.iter().map(|lane| (lane.name.clone(), Span::of(lane.cut_off_s))).collect(),
-            titles: self.titles.iter().map(|(name, at)| (name.clone(), (at.home, at.copies))).collect(),
-            ladder_kb: self.ladder.kb.clone(),
-            lane_scale: self.lanes.iter().map(|lane| lane.scale).collect(),
+            lanes: self
+                .classes
+                .iter()
+                .map(|class| (class.name.clone(), Span::of(class.deadline_s)))
+                .collect(),
+            titles: self
+                .titles
+                .iter()
+                .map(|(name, placement)| (name.clone(), (placement.first_cell, placement.replicas)))
+                .collect(),
+            ladder_kb: self.ladder.rates_kb_per_s.clone(),
+            lane_scale: self.classes.iter().map(|class| class.rate_scale).collect(),
             dial_timeout: Span::of(self.links.dial_timeout_s),
-            look_timeout: Span::of(self.looks.timeout_s),
-            held_most: self.limits.held,
+            look_timeout: Span::of(self.probes.timeout_s),
+            held_most: self.limits.max_sessions,
             flights: self.shedding.is_some(),
-            cells: self.fleet.cells,
-            together: self.together.as_ref().map(|together| Shared {
-                me: self.me as u32,
-                count: self.controllers as u32,
-                hears: together.view == Source::Gossip,
-                oldest: Span::of(together.oldest_s),
-                subset: together.subset,
-                idle: Span::of(together.idle_s),
+            cells: self.fleet.cell_count,
+            together: self.coordination.as_ref().map(|coordination| Shared {
+                me: self.own_number as u32,
+                count: self.controller_count as u32,
+                hears: coordination.membership_source == MembershipSource::Gossip,
+                oldest: Span::of(coordination.max_view_age_s),
+                subset: coordination.prefers_subset,
+                idle: Span::of(coordination.link_idle_s),
                 zone: (self.charges.cross_zone > 0.0).then(|| self.zone.clone()),
-                mean: self.mean_traffic(),
+                mean: self.mean_requests_per_s(),
             }),
         }
     }
 }
 
 impl Settings {
-    /// Wishes a second of a controller with the mean traffic, as far as tenants' shares tell.
-    fn mean_traffic(&self) -> Option<f64> {
-        let all: f64 = self.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
-        positive(all).then(|| all / self.controllers.max(1) as f64)
+    /// Mean requests per second of one controller, if the tenants' quotas give them.
+    fn mean_requests_per_s(&self) -> Option<f64> {
+        let total: f64 = self.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
+        is_positive(total).then(|| total / self.controller_count.max(1) as f64)
     }
 }
 
-fn positive(value: f64) -> bool {
+fn is_positive(value: f64) -> bool {
     value.is_finite() && value > 0.0
 }
--- a/crates/lemontide-front/tests/common/mod.rs
+++ b/crates/lemontide-front/tests/common/mod.rs
@@ -76,7 +76,7 @@
 
     pub fn of(settings: &Settings) -> World {
         let now = Point::at(1000.0);
-        let driver = Driver::start(now, 7, &settings.controller_settings(), settings.terms());
+        let driver = Driver::start(now, 7, &settings.controller_settings(), settings.driver_settings());
         let mut world = World {
             driver,
             now,
--- a/crates/lemontide-front/tests/driver.rs
+++ b/crates/lemontide-front/tests/driver.rs
@@ -5,7 +5,7 @@
 use common::{list, World, STREAMERS};
 use lemontide::clock::Span;
 use lemontide_front::core::Refusal;
-use lemontide_front::settings::{Settings, Source, Together};
+use lemontide_front::settings::{CoordinationSettings, MembershipSource, Settings};
 use lemontide_wire::link::{How, Plays, StreamerMessage};
 use lemontide_wire::list::StreamerState;
 use lemontide_wire::play::{EndReason, PlayResponse, SessionEvent};
@@ -367,9 +367,15 @@
 }
 
 /// The world's settings as those of the third of four controllers that act as many.
-fn one_of_four(view: Source) -> Settings {
-    let together = Together { view, oldest_s: 3.0, clocks_apart_s: 0.3, subset: true, idle_s: 5.0 };
-    Settings { me: 2, controllers: 4, together: Some(together), ..common::settings() }
+fn one_of_four(view: MembershipSource) -> Settings {
+    let together = CoordinationSettings {
+        membership_source: view,
+        max_view_age_s: 3.0,
+        max_clock_difference_s: 0.3,
+        prefers_subset: true,
+        link_idle_s: 5.0,
+    };
+    Settings { own_number: 2, controller_count: 4, coordination: Some(together), ..common::settings() }
 }
 
 #[test]
@@ -378,7 +384,7 @@
     assert_eq!(alone.driver.links_up(), STREAMERS, "alone it has a link to each");
     alone.pass(20.0);
     assert_eq!(alone.driver.links_up(), STREAMERS);
-    let mut world = World::of(&one_of_four(Source::Settings));
+    let mut world = World::of(&one_of_four(MembershipSource::Settings));
     assert_eq!(world.driver.links_up(), 0);
     let id = world.ask("free");
     world.plays(id);
@@ -405,7 +411,7 @@
 
 #[test]
 fn turns_of_the_missing_are_taken_and_lapse_without_news() {
-    let mut world = World::of(&one_of_four(Source::Gossip));
+    let mut world = World::of(&one_of_four(MembershipSource::Gossip));
     let told = |gone: Option<f64>| -> std::collections::BTreeMap<u32, Option<lemontide::clock::Point>> {
         let at = |s: f64| lemontide::clock::Point::at(s);
         [(0, None), (1, gone.map(at)), (3, None), (77, None)].into_iter().collect()
@@ -436,19 +442,19 @@
 
 #[test]
 fn settings_of_many_that_do_not_fit_are_named() {
-    let good = one_of_four(Source::Settings);
+    let good = one_of_four(MembershipSource::Settings);
     assert_eq!(good.check(), Ok(()));
-    let wrong = |change: fn(&mut Together)| {
+    let wrong = |change: fn(&mut CoordinationSettings)| {
         let mut settings = good.clone();
-        settings.together.as_mut().map(change);
+        settings.coordination.as_mut().map(change);
         settings.check().expect_err("it does not fit").0
     };
-    assert_eq!(wrong(|t| t.view = Source::Gossip), "together.view");
-    assert_eq!(wrong(|t| t.oldest_s = 0.0), "together.oldest_s");
-    assert_eq!(wrong(|t| t.idle_s = f64::NAN), "together.oldest_s");
-    assert_eq!(wrong(|t| t.clocks_apart_s = 1.0), "together.clocks_apart_s");
-    let many = Settings { controllers: 70_000, ..good.clone() };
+    assert_eq!(wrong(|t| t.membership_source = MembershipSource::Gossip), "together.view");
+    assert_eq!(wrong(|t| t.max_view_age_s = 0.0), "together.oldest_s");
+    assert_eq!(wrong(|t| t.link_idle_s = f64::NAN), "together.oldest_s");
+    assert_eq!(wrong(|t| t.max_clock_difference_s = 1.0), "together.clocks_apart_s");
+    let many = Settings { controller_count: 70_000, ..good.clone() };
     assert_eq!(many.check().expect_err("too many").0, "controllers");
-    let nobody = Settings { controllers: 0, ..good };
+    let nobody = Settings { controller_count: 0, ..good };
     assert_eq!(nobody.check().expect_err("a fleet of none").0, "me");
 }
--- a/crates/lemontide-standin/src/day.rs
+++ b/crates/lemontide-standin/src/day.rs
@@ -3,8 +3,9 @@
 
 use crate::relay::End;
 use lemontide_front::settings::{
-    read_json, Charges, Cold, Fleet, Ladder, Lane, Limits, Links, Looks, Notes, Place, Ration, Repeat,
-    RetryAfter, Settings, Shots, Tenant, Together, Wrong,
+    read_json, AttemptSettings, ChargeSettings, ClassSettings, ColdStartSettings, CoordinationSettings,
+    FleetSettings, Ladder, LinkSettings, LoadReportSettings, ProbeSettings, ProcessLimits, RepeatPolicy,
+    RetryAfterSettings, RetryBudgetSettings, Settings, SettingsError, TenantSettings, TitlePlacement,
 };
 use lemontide_wire::list::{ListEntry, StreamerList, StreamerState};
 use lemontide_wire::tap::{self, ClassRules, JudgeRules};
@@ -47,23 +48,23 @@
     pub viewers: Viewers,
     pub reports: Reports,
     pub news: News,
-    pub shots: Shots,
-    pub retry_after: RetryAfter,
+    pub shots: AttemptSettings,
+    pub retry_after: RetryAfterSettings,
     #[serde(default)]
-    pub looks: Looks,
+    pub looks: ProbeSettings,
     #[serde(default)]
-    pub charges: Charges,
-    pub cold: Cold,
+    pub charges: ChargeSettings,
+    pub cold: ColdStartSettings,
     #[serde(default)]
-    pub ration: Option<Ration>,
-    pub links: Links,
+    pub ration: Option<RetryBudgetSettings>,
+    pub links: LinkSettings,
     pub rules: Rules,
     /// Controllers gossip, where this is there; the users' own share nothing.
     #[serde(default)]
     pub gossip: Option<DayGossip>,
     /// How controllers act as many, where they share turns and streamers out.
     #[serde(default)]
-    pub together: Option<Together>,
+    pub together: Option<CoordinationSettings>,
     /// Names for some controllers and streamers, for troubles between them.
     #[serde(default)]
     pub groups: BTreeMap<String, Group>,
@@ -97,7 +98,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct DayLane {
     #[serde(flatten)]
-    pub lane: Lane,
+    pub lane: ClassSettings,
     /// Part of the viewers.
     pub share: f64,
     /// Shortest and longest time that a viewer watches.
@@ -274,14 +275,14 @@
 
 impl Day {
     /// Reads and checks a day; an error names file, path and remedy.
-    pub fn read(file: &Path) -> Result<Day, Wrong> {
+    pub fn read(file: &Path) -> Result<Day, SettingsError> {
         let day: Day = read_json(file)?;
-        let wrong = |(path, what)| Wrong { file: file.to_owned(), path, what };
+        let wrong = |(path, what)| SettingsError { file: file.to_owned(), path, problem: what };
         day.check().map_err(wrong)?;
         let mut settings = day.settings(0, Path::new("list.json"), None, 0);
         // Keys and addresses are made when the day is played.
         if day.gossip.is_some() {
-            settings.together = None;
+            settings.coordination = None;
         }
         settings.check().map_err(wrong)?;
         Ok(day)
@@ -417,45 +418,45 @@
 
     /// The settings of one of its controllers.
     pub fn settings(&self, me: usize, list: &Path, tap: Option<PathBuf>, seed: u64) -> Settings {
-        let place = |title: &Title| Place { home: title.home, copies: title.copies };
+        let place = |title: &Title| TitlePlacement { first_cell: title.home, replicas: title.copies };
         Settings {
             listen: ([127, 0, 0, 1], 0).into(),
-            me,
-            controllers: self.controllers.len(),
-            seed: Some(seed),
+            own_number: me,
+            controller_count: self.controllers.len(),
+            rng_seed: Some(seed),
             zone: self.controllers[me].clone(),
             list: list.to_owned(),
             titles: self.titles.iter().map(|(name, title)| (name.clone(), place(title))).collect(),
-            lanes: self.lanes.iter().map(|lane| lane.lane.clone()).collect(),
+            classes: self.lanes.iter().map(|lane| lane.lane.clone()).collect(),
             tenants: self
                 .tenants
                 .iter()
-                .map(|tenant| Tenant { name: tenant.name.clone(), quota_per_s: tenant.quota_per_s })
+                .map(|tenant| TenantSettings { name: tenant.name.clone(), quota_per_s: tenant.quota_per_s })
                 .collect(),
             over_share_gain: self.over_share_gain,
             ladder: self.ladder.clone(),
-            fleet: Fleet {
-                cells: self.cells,
-                racks: self.uplinks_kb.len(),
-                rack_kb: self.uplinks_kb.iter().sum::<f64>() / self.uplinks_kb.len().max(1) as f64,
-                kb_per_weight: self.kb_per_weight,
-                kinds: vec![lemontide_front::settings::MachineKind {
+            fleet: FleetSettings {
+                cell_count: self.cells,
+                rack_count: self.uplinks_kb.len(),
+                uplink_kb_per_s: self.uplinks_kb.iter().sum::<f64>() / self.uplinks_kb.len().max(1) as f64,
+                link_kb_per_s_per_weight: self.kb_per_weight,
+                machine_kinds: vec![lemontide_front::settings::MachineKind {
                     name: self.kind.clone(),
-                    streams: self.places,
+                    max_streams: self.places,
                 }],
             },
-            notes: Notes { age_s: self.reports.age_s, every_s: self.reports.every_s },
-            shots: self.shots.clone(),
+            load_reports: LoadReportSettings { age_s: self.reports.age_s, interval_s: self.reports.every_s },
+            attempts: self.shots.clone(),
             retry_after: self.retry_after.clone(),
-            looks: self.looks.clone(),
+            probes: self.looks.clone(),
             charges: self.charges.clone(),
-            cold: self.cold.clone(),
-            ration: self.ration.clone(),
+            cold_start: self.cold.clone(),
+            retry_budget: self.ration.clone(),
             links: self.links.clone(),
-            limits: Limits { stop_s: 1.0, ..Limits::default() },
+            limits: ProcessLimits { stop_timeout_s: 1.0, ..ProcessLimits::default() },
             shedding: None,
             gossip: None,
-            together: self.together.clone(),
+            coordination: self.together.clone(),
             tap,
         }
     }
@@ -467,14 +468,14 @@
             drain_grace_s: self.rules.drain_grace_s,
             cold_start: tap::ColdStartRules {
                 max_streams: self.places,
-                warm_up_s: self.cold.span_s,
-                initial_part: self.cold.from,
-                overload_multiple: self.cold.multiple,
+                warm_up_s: self.cold.warm_up_s,
+                initial_part: self.cold.initial_part,
+                overload_multiple: self.cold.overload_multiple,
                 window_s: self.cold.window_s,
             },
             retry_budget: self.ration.as_ref().map(|r| tap::RetryBudget {
-                min_retries: r.floor,
-                request_share: r.share,
+                min_retries: r.min_retries,
+                request_share: r.request_share,
                 window_s: r.window_s,
             }),
             classes: self
@@ -483,12 +484,12 @@
                 .map(|lane| ClassRules {
                     name: lane.lane.name.clone(),
                     gain: lane.lane.gain,
-                    at_most_once: lane.lane.repeat == Repeat::Paid,
-                    min_rung: lane.lane.floor,
-                    max_sessions_per_title: lane.lane.seats,
+                    at_most_once: lane.lane.repeat_policy == RepeatPolicy::AtMostOnce,
+                    min_rung: lane.lane.min_rung,
+                    max_sessions_per_title: lane.lane.max_sessions_per_title,
                 })
                 .collect(),
-            gain_by_rung: self.ladder.gain.clone(),
+            gain_by_rung: self.ladder.gains.clone(),
             shortfall_cost: self.shortfall_cost,
         }
     }
--- a/crates/lemontide-standin/src/gossip_setup.rs
+++ b/crates/lemontide-standin/src/gossip_setup.rs
@@ -6,7 +6,7 @@
 use crate::simulated_network::{secret_key, signing_key};
 use ipnet::IpNet;
 use lemontide::clock::Point;
-use lemontide_front::settings::Gossip;
+use lemontide_front::settings::GossipSettings;
 use lemontide_gossip::authentication::{AllowedNetworks, Keyring, OwnKey};
 use lemontide_gossip::membership::Timing;
 use lemontide_gossip::message::{Seen, MAX_DATAGRAM_BYTES};
@@ -73,16 +73,16 @@
     }
 
     /// The gossip settings of a controller.
-    pub fn settings(&self, number: usize) -> Gossip {
-        Gossip {
+    pub fn settings(&self, number: usize) -> GossipSettings {
+        GossipSettings {
             name: member_name(number),
             listen: self.listen_addresses[number],
             advertise: Some(self.advertised_addresses[number]),
             period_s: self.period_s,
             seeds: self.advertised_addresses.iter().take(3).copied().collect(),
-            secret: self.folder.join(format!("secret-{number}")),
-            keys: self.folder.join("keys.json"),
-            networks: loopback(),
+            secret_key_file: self.folder.join(format!("secret-{number}")),
+            public_keys_file: self.folder.join("keys.json"),
+            allowed_networks: loopback(),
             bytes_per_s: self.bytes_per_s,
         }
     }
--- a/crates/lemontide-standin/src/import.rs
+++ b/crates/lemontide-standin/src/import.rs
@@ -3,7 +3,8 @@
 
 use crate::day::{Day, DayLane, DayTenant, News, Reports, Rules, Streamer, Title, Trouble, Viewers, What};
 use lemontide_front::settings::{
-    Charges, Cold, Ladder, Lane, Links, Looks, Ration, Repeat, RetryAfter, Shots,
+    AttemptSettings, ChargeSettings, ClassSettings, ColdStartSettings, Ladder, LinkSettings, ProbeSettings,
+    RepeatPolicy, RetryAfterSettings, RetryBudgetSettings,
 };
 use serde_json::Value as Json;
 use std::collections::BTreeMap;
@@ -108,7 +109,7 @@
         let place = if high > low { (rates[rung].ln() - low) / (high - low) } else { 1.0 };
         told.unwrap_or(0.2 + 0.8 * place)
     };
-    let ladder = Ladder { gain: (0..rates.len()).map(earned).collect(), kb: rates.clone() };
+    let ladder = Ladder { gains: (0..rates.len()).map(earned).collect(), rates_kb_per_s: rates.clone() };
     let life = need("fam.life_s")?;
     let classes = rows(json, "classes");
     if classes.is_empty() {
@@ -122,20 +123,20 @@
             let lasts = life * uses("life").unwrap_or(1.0);
             let top = (uses("top").unwrap_or(1e6) as usize).min(rates.len() - 1);
             DayLane {
-                lane: Lane {
+                lane: ClassSettings {
                     name: at(class, "name").and_then(Json::as_str).unwrap_or("lane").to_owned(),
                     gain: number(class, "worth").unwrap_or(1.0),
                     latency_goal_s: micros(class, "aim").unwrap_or(1.0),
-                    cut_off_s: micros(class, "deadline").unwrap_or(3.0),
-                    repeat: match at(class, "effect").and_then(Json::as_str) {
-                        Some("safe") => Repeat::Free,
-                        _ => Repeat::Paid,
+                    deadline_s: micros(class, "deadline").unwrap_or(3.0),
+                    repeat_policy: match at(class, "effect").and_then(Json::as_str) {
+                        Some("safe") => RepeatPolicy::Repeatable,
+                        _ => RepeatPolicy::AtMostOnce,
                     },
-                    floor: uses("floor").unwrap_or(0.0) as usize,
-                    top: Some(top),
-                    scale: uses("scale").unwrap_or(1.0),
-                    seats: uses("seats").unwrap_or(0.0) as usize,
-                    live: false,
+                    min_rung: uses("floor").unwrap_or(0.0) as usize,
+                    max_rung: Some(top),
+                    rate_scale: uses("scale").unwrap_or(1.0),
+                    max_sessions_per_title: uses("seats").unwrap_or(0.0) as usize,
+                    is_live: false,
                 },
                 share: number(class, "share").unwrap_or(1.0),
                 watched_s: (lasts * 0.5, lasts * 1.5),
@@ -156,8 +157,10 @@
     let middle = rates[rates.len() / 2];
     let given = links.min(uplinks_kb.iter().sum());
     let shares: f64 = lanes.iter().map(|lane| lane.share).sum();
-    let watched =
-        lanes.iter().map(|l| l.share * l.lane.scale * (l.watched_s.0 + l.watched_s.1) / 2.0).sum::<f64>();
+    let watched = lanes
+        .iter()
+        .map(|l| l.share * l.lane.rate_scale * (l.watched_s.0 + l.watched_s.1) / 2.0)
+        .sum::<f64>();
     let wanted = 0.92 * load * given / (middle * watched / shares.max(1e-9)).max(1e-9);
     let per_s = wanted.min(PER_S);
     if per_s < wanted {
@@ -247,28 +250,30 @@
             silent_s: micros(json, "discovery.silent_notice").unwrap_or(8.0),
             started_s: micros(json, "discovery.add").unwrap_or(1.0),
         },
-        shots: Shots { most: number(json, "allow.max_attempts").unwrap_or(4.0).max(1.0) as u32 },
-        retry_after: RetryAfter {
+        shots: AttemptSettings {
+            max_attempts: number(json, "allow.max_attempts").unwrap_or(4.0).max(1.0) as u32,
+        },
+        retry_after: RetryAfterSettings {
             allowed: allowed("retry_after"),
-            longest_s: micros(json, "clients.max_retry_after").unwrap_or(0.5),
+            max_s: micros(json, "clients.max_retry_after").unwrap_or(0.5),
         },
-        looks: Looks { allowed: allowed("probes"), timeout_s: 0.25 },
-        charges: Charges {
+        looks: ProbeSettings { allowed: allowed("probes"), timeout_s: 0.25 },
+        charges: ChargeSettings {
             moves: number(json, "prices.moves").unwrap_or(0.0),
             cross_zone: number(json, "prices.cross_zone").unwrap_or(0.0),
         },
-        cold: Cold {
-            span_s: warm,
-            from: from.unwrap_or(0.4),
-            multiple: number(json, "fall_multiple").unwrap_or(3.0),
+        cold: ColdStartSettings {
+            warm_up_s: warm,
+            initial_part: from.unwrap_or(0.4),
+            overload_multiple: number(json, "fall_multiple").unwrap_or(3.0),
             window_s: micros(json, "fall_for").unwrap_or(1.0),
         },
-        ration: ration.map(|share| Ration {
-            floor: number(json, "budget.free").unwrap_or(3.0),
-            share,
+        ration: ration.map(|share| RetryBudgetSettings {
+            min_retries: number(json, "budget.free").unwrap_or(3.0),
+            request_share: share,
             window_s: micros(json, "budget.window").unwrap_or(5.0),
         }),
-        links: Links { dial_timeout_s: micros(json, "tiers.0.connect_timeout").unwrap_or(0.25) },
+        links: LinkSettings { dial_timeout_s: micros(json, "tiers.0.connect_timeout").unwrap_or(0.25) },
         rules: Rules { answer_slack_s: 0.5, drain_grace_s: micros(json, "drain_grace").unwrap_or(0.5) },
         gossip: None,
         together: None,
--- a/crates/lemontide-standin/src/model.rs
+++ b/crates/lemontide-standin/src/model.rs
@@ -410,16 +410,16 @@
     /// Set-ups within the last window against what a cold streamer can take: it falls over as rule 4 counts.
     fn falls(&mut self, now: f64, at: usize) -> bool {
         let cold = &self.day.cold;
-        let pace = self.day.places / cold.span_s.max(1e-3) * self.warmth(now, at);
+        let pace = self.day.places / cold.warm_up_s.max(1e-3) * self.warmth(now, at);
         let machine = &mut self.machines[at];
-        if machine.started.is_none_or(|started| now - started >= cold.span_s) {
+        if machine.started.is_none_or(|started| now - started >= cold.warm_up_s) {
             return false;
         }
         machine.got.push_back(now);
         while machine.got.front().is_some_and(|got| now - got > cold.window_s) {
             machine.got.pop_front();
         }
-        let falls = machine.got.len() as f64 > cold.multiple * pace * cold.window_s + 1.0;
+        let falls = machine.got.len() as f64 > cold.overload_multiple * pace * cold.window_s + 1.0;
         if falls {
             machine.dead = true;
             let streamer = machine.name.clone();
@@ -432,7 +432,8 @@
     fn warmth(&self, now: f64, at: usize) -> f64 {
         let cold = &self.day.cold;
         let Some(started) = self.machines[at].started else { return 1.0 };
-        (cold.from + (1.0 - cold.from) * (now - started) / cold.span_s.max(1e-3)).clamp(0.0, 1.0)
+        (cold.initial_part + (1.0 - cold.initial_part) * (now - started) / cold.warm_up_s.max(1e-3))
+            .clamp(0.0, 1.0)
     }
 
     /// How many times slower an ageing streamer is by now.
--- a/crates/lemontide-standin/src/player.rs
+++ b/crates/lemontide-standin/src/player.rs
@@ -10,7 +10,7 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
-use lemontide_front::settings::Repeat;
+use lemontide_front::settings::RepeatPolicy;
 use lemontide_wire::clock::Clock;
 use lemontide_wire::cmcd::Cmcd;
 use lemontide_wire::play::{EndReason, PlayRequest, PlayResponse, SessionEvent};
@@ -87,9 +87,9 @@
             }
         }
         let (least, most) = day.lanes[lane].watched_s;
-        let highest = day.ladder.kb.len() - 1;
+        let highest = day.ladder.rates_kb_per_s.len() - 1;
         let small = chance.random::<f64>() < day.viewers.small_screens;
-        let top = day.lanes[lane].lane.top.unwrap_or(highest).min(highest);
+        let top = day.lanes[lane].lane.max_rung.unwrap_or(highest).min(highest);
         let (leaves_early, impatient) = (
             chance.random::<f64>() < day.viewers.leave_early,
             chance.random::<f64>() < day.viewers.impatient,
@@ -103,7 +103,7 @@
             tenant: (!day.tenants.is_empty()).then(|| pick(&mut chance, day.tenants.iter().map(|t| t.share))),
             title,
             watches_s: least + (most - least).max(0.0) * chance.random::<f64>(),
-            top: if small { top.saturating_sub(2).max(day.lanes[lane].lane.floor) } else { top },
+            top: if small { top.saturating_sub(2).max(day.lanes[lane].lane.min_rung) } else { top },
             leaves_early,
             impatient,
             seed,
@@ -188,7 +188,7 @@
         let lane = &self.day.lanes[viewer.lane];
         let ask = format!("v{}.{number}", viewer.number);
         let now = self.clock.now();
-        let cut_off = now + lane.lane.cut_off_s;
+        let cut_off = now + lane.lane.deadline_s;
         self.fleet.with(|model, _| model.wants(&ask, left));
         self.tap.record_at(
             now,
@@ -214,16 +214,16 @@
             class: lane.lane.name.clone(),
             tenant: viewer.tenant.map_or_else(String::new, |t| self.day.tenants[t].name.clone()),
             request_id: ask.clone(),
-            give_up_in_s: Some(lane.lane.cut_off_s),
+            give_up_in_s: Some(lane.lane.deadline_s),
             max_rung: Some(viewer.top),
             is_retry: number > 0,
             expected_duration_s: Some(left),
             cmcd: None,
         };
         let patience = if viewer.impatient {
-            lane.lane.cut_off_s * (0.1 + 0.5 * chance.random::<f64>())
+            lane.lane.deadline_s * (0.1 + 0.5 * chance.random::<f64>())
         } else {
-            lane.lane.cut_off_s + self.day.rules.answer_slack_s
+            lane.lane.deadline_s + self.day.rules.answer_slack_s
         };
         let wait = Instant::now() + Duration::from_secs_f64(patience);
         // To go away is to drop the request: the connection closes, and the controller hears it.
@@ -261,7 +261,9 @@
                 PlayResponse::Rejected { retry_after_s, .. }
                 | PlayResponse::NotAccepted { retry_after_s, .. },
             ) => Ended::Again(retry_after_s.unwrap_or(0.0)),
-            Some(PlayResponse::Failed { .. }) if lane.lane.repeat == Repeat::Paid => Ended::Done,
+            Some(PlayResponse::Failed { .. }) if lane.lane.repeat_policy == RepeatPolicy::AtMostOnce => {
+                Ended::Done
+            }
             Some(PlayResponse::Failed { .. }) | None => Ended::Again(0.0),
         }
     }
--- a/crates/lemontide-standin/src/swarm.rs
+++ b/crates/lemontide-standin/src/swarm.rs
@@ -196,7 +196,7 @@
             zone: None,
             mean: Some(self.plan.per_s / self.plan.controllers as f64),
         };
-        let mut terms = settings.terms();
+        let mut terms = settings.driver_settings();
         terms.together = (self.plan.views != Views::Mesh).then_some(shared);
         let mut driver = Driver::start(
             Point::at(born),
@@ -326,15 +326,16 @@
     /// Counts a set-up against what a cold streamer takes in a window at its coldest.
     fn count_cold(&mut self, at: usize) {
         let cold = &self.day.cold;
-        let Some(started) = self.model.started(at).filter(|started| self.now - started < cold.span_s) else {
+        let Some(started) = self.model.started(at).filter(|started| self.now - started < cold.warm_up_s)
+        else {
             return;
         };
         self.came.to_cold += 1;
         let got = &mut self.got[at];
         got.push_back(self.now);
         got.retain(|then| self.now - then <= cold.window_s && *then >= started);
-        let warmth = cold.from + (1.0 - cold.from) * (self.now - started) / cold.span_s;
-        let budget = cold.multiple * self.day.places / cold.span_s * warmth * cold.window_s;
+        let warmth = cold.initial_part + (1.0 - cold.initial_part) * (self.now - started) / cold.warm_up_s;
+        let budget = cold.overload_multiple * self.day.places / cold.warm_up_s * warmth * cold.window_s;
         self.came.over_budget += u64::from(got.len() as f64 > budget + 1.0);
     }
 
@@ -366,7 +367,7 @@
                         ..
                     } => {
                         let gain = if ask.starts_with('p') { 2.0 } else { 1.0 };
-                        let rung = self.day.ladder.gain.get(rung).copied().unwrap_or(0.0);
+                        let rung = self.day.ladder.gains.get(rung).copied().unwrap_or(0.0);
                         let lost = self.day.shortfall_cost * (0.98 - share).max(0.0);
                         self.earned += gain * rung * seconds * (1.0 - lost).max(0.0);
                     }
--- a/crates/lemontide-standin/tests/model.rs
+++ b/crates/lemontide-standin/tests/model.rs
@@ -69,7 +69,7 @@
 #[test]
 fn a_fresh_streamer_falls_over_when_it_is_flooded_and_stays_down() {
     let mut day = day();
-    day.cold.multiple = 2.0;
+    day.cold.overload_multiple = 2.0;
     let mut model = Model::new(&day, 100.0);
     model.restart(100.0, 0);
     let conn = model.connected(100.0, 0, 0);
@@ -138,6 +138,6 @@
     assert_eq!(count(|what| matches!(what, What::PauseControllers { .. })), 2);
     assert_eq!(count(|what| matches!(what, What::Removal { .. })), 2);
     assert!(day.troubles.iter().any(|t| matches!(&t.what, What::QuickErrors { on, .. } if on.len() == 2)));
-    assert_eq!(day.ration.as_ref().map(|ration| ration.share), Some(0.3));
+    assert_eq!(day.ration.as_ref().map(|ration| ration.request_share), Some(0.3));
     assert_eq!(import(&json!({"family": "proxy"}), "x").err().map(|e| e.starts_with("family")), Some(true));
 }
--- a/crates/lemontide-standin/tests/shedding.rs
+++ b/crates/lemontide-standin/tests/shedding.rs
@@ -176,7 +176,7 @@
 
 #[tokio::test]
 async fn one_network_in_excess_is_refused_and_others_are_not() {
-    let (front, _folder) = start(|settings| settings.limits.per_network = 2).await;
+    let (front, _folder) = start(|settings| settings.limits.max_connections_per_network = 2).await;
     let from = |host: &str| {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind(format!("{host}:0").parse().expect("an address")).expect("loopback");
@@ -195,7 +195,7 @@
 
 #[tokio::test]
 async fn a_full_house_closes_the_longest_idle_for_a_new_one() {
-    let (front, _folder) = start(|settings| settings.limits.connections = 50).await;
+    let (front, _folder) = start(|settings| settings.limits.max_connections = 50).await;
     let mut idle = Vec::new();
     for _ in 0..50 {
         idle.push(connect(front.address).await);
@@ -210,7 +210,11 @@
 #[tokio::test]
 async fn slow_heads_idlers_and_stuck_readers_are_ended() {
     let (front, _folder) = start(|settings| {
-        (settings.limits.request_s, settings.limits.idle_s, settings.limits.write_s) = (1.0, 1.0, 0.5);
+        (
+            settings.limits.request_timeout_s,
+            settings.limits.idle_timeout_s,
+            settings.limits.write_timeout_s,
+        ) = (1.0, 1.0, 0.5);
     })
     .await;
     let mut slow = connect(front.address).await;
