--- a/crates/lemontide-wire/src/tap.rs
+++ b/crates/lemontide-wire/src/tap.rs
@@ -1,4 +1,5 @@
-//! Taps: what every socket endpoint saw, as JSON lines on one clock. The judge reads nothing else.
+//! Taps: records of what each socket endpoint saw, as JSON lines with times of one clock. They are the only input of the
+//! judge.
 
 use crate::clock::Clock;
 use crate::list::{ListEntry, StreamerState};
@@ -8,7 +9,7 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// One line of a tap. `at` is in seconds of the wall clock, `endpoint` names the socket endpoint.
+/// One line of a tap. `at` is in seconds of the wall clock, `endpoint` is the name of the socket endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TapRecord {
     pub at: f64,
@@ -18,6 +19,7 @@
     pub event: TapEvent,
 }
 
+/// Kind of a response to a player.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ResponseKind {
@@ -26,14 +28,15 @@
     Rejected,
     #[serde(rename = "scrapped")]
     Failed,
-    /// Not accepted at all, as an invalid request.
+    /// Not accepted at all, for example because the request is invalid.
     #[serde(rename = "not_taken")]
     NotAccepted,
-    /// No answer came: the connection failed.
+    /// There was no response, since the connection failed.
     #[serde(rename = "none")]
     NoResponse,
 }
 
+/// How an attempt, or the session that it set up, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TapOutcome {
@@ -46,10 +49,11 @@
     ConnectionLost,
 }
 
+/// What a tap records.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum TapEvent {
-    // The day: its rules, and what was done to the controllers' processes.
+    // The day: its rules, and actions on the processes of controllers.
     #[serde(rename = "terms")]
     Rules {
         #[serde(rename = "terms")]
@@ -64,11 +68,11 @@
     Continued {
         controller: usize,
     },
-    /// It was asked to leave in order.
+    /// The controller was asked to stop in order.
     Leaving {
         controller: usize,
     },
-    /// What stood between two ends did to their traffic over the day.
+    /// What the relay between two endpoints did to their traffic over the day.
     Relayed {
         from: String,
         to: String,
@@ -107,7 +111,7 @@
         #[serde(rename = "cut_off")]
         deadline: f64,
     },
-    /// Just before an attempt is written to the socket.
+    /// Recorded just before an attempt is written to the socket.
     #[serde(rename = "sent")]
     AttemptSent {
         #[serde(rename = "ask")]
@@ -120,7 +124,7 @@
         title: String,
         rung: usize,
     },
-    /// The outcome of an attempt that came back.
+    /// The streamer reported the outcome of an attempt.
     #[serde(rename = "heard")]
     OutcomeReceived {
         #[serde(rename = "ask")]
@@ -138,7 +142,7 @@
         #[serde(rename = "shot")]
         attempt: u32,
     },
-    /// Bytes of gossip that left in the last whole second.
+    /// Bytes of gossip that were sent in the last whole second.
     #[serde(rename = "gossip")]
     GossipSent {
         bytes: usize,
@@ -146,7 +150,8 @@
     LinkLost {
         streamer: String,
     },
-    /// Numbers of missing controllers whose turns this one takes, until then or until it says otherwise.
+    /// Numbers of the missing controllers whose turns this one covers, until the given time or the next record of this
+    /// kind.
     #[serde(rename = "stands")]
     TurnsCovered {
         #[serde(rename = "numbers")]
@@ -206,7 +211,7 @@
         class: String,
         rung: usize,
     },
-    /// What a session got in the last second: seconds played, at this part of its rate.
+    /// What a session received in the last second: seconds played, and the part of its rate that was delivered.
     #[serde(rename = "given")]
     Delivered {
         streamer: String,
@@ -236,7 +241,7 @@
         deadline: f64,
         #[serde(rename = "top")]
         max_rung: usize,
-        /// Seconds that the viewer still wants.
+        /// Seconds that the viewer still wants to watch.
         #[serde(rename = "wanted")]
         wanted_s: f64,
     },
@@ -246,7 +251,7 @@
         request_id: String,
         kind: ResponseKind,
     },
-    /// The player gave up or left before the answer.
+    /// The player gave up or left before the response.
     #[serde(rename = "left")]
     ViewerLeft {
         #[serde(rename = "ask")]
@@ -254,7 +259,7 @@
     },
 }
 
-/// The rules in figures, as the day states them.
+/// Parameters of the judge's rules, from the day.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct JudgeRules {
     /// How long after its deadline a response still counts as in time.
@@ -268,18 +273,20 @@
     pub retry_budget: Option<RetryBudget>,
     #[serde(rename = "lanes")]
     pub classes: Vec<ClassRules>,
-    /// What each rung earns, as a part of its gain.
+    /// The part of a session's gain that each rung earns.
     #[serde(rename = "gain")]
     pub gain_by_rung: Vec<f64>,
     pub shortfall_cost: f64,
 }
 
+/// Limits of a streamer that has just started.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ColdStartRules {
-    /// Streams that one streamer runs at most.
+    /// Maximum number of streams on one streamer.
     #[serde(rename = "places")]
     pub max_streams: f64,
-    /// Warm-up in seconds, the part that it starts at, and the multiple and window of falling over.
+    /// Duration of the warm-up, the part of its full setup rate that a streamer starts at, and the multiple of its current
+    /// setup rate and the window above which it crashes.
     #[serde(rename = "span")]
     pub warm_up_s: f64,
     #[serde(rename = "from")]
@@ -290,6 +297,7 @@
     pub window_s: f64,
 }
 
+/// Budget of attempts beyond the first one of each session, within a sliding window.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RetryBudget {
     #[serde(rename = "floor")]
@@ -300,6 +308,7 @@
     pub window_s: f64,
 }
 
+/// Rules of one class of requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClassRules {
     pub name: String,
@@ -312,29 +321,29 @@
     pub max_sessions_per_title: usize,
 }
 
-/// Writes lines to a file; each is handed to the system whole, so that a killed process leaves no half line
-/// but its last.
+/// Writes records to a file. Each line is flushed to the system as a whole, so that only the last line of a killed
+/// process can be incomplete.
 #[derive(Clone)]
 pub struct Tap {
     clock: Clock,
     endpoint: Arc<str>,
-    into: Option<Arc<Mutex<BufWriter<File>>>>,
+    writer: Option<Arc<Mutex<BufWriter<File>>>>,
 }
 
 impl Tap {
-    /// Adds to a file, or makes it.
+    /// Appends to a file; creates it if needed.
     pub fn open(path: &Path, clock: Clock, endpoint: &str) -> io::Result<Tap> {
         let file = File::options().create(true).append(true).open(path)?;
-        let into = Some(Arc::new(Mutex::new(BufWriter::with_capacity(64 * 1024, file))));
-        Ok(Tap { clock, endpoint: endpoint.into(), into })
+        let writer = Some(Arc::new(Mutex::new(BufWriter::with_capacity(64 * 1024, file))));
+        Ok(Tap { clock, endpoint: endpoint.into(), writer })
     }
 
-    /// Keeps nothing.
+    /// A tap that records nothing.
     pub fn disabled(clock: Clock) -> Tap {
-        Tap { clock, endpoint: "".into(), into: None }
+        Tap { clock, endpoint: "".into(), writer: None }
     }
 
-    /// The same file under another end's name.
+    /// The same file, with records under the name of another endpoint.
     pub fn with_endpoint(&self, endpoint: &str) -> Tap {
         Tap { endpoint: endpoint.into(), ..self.clone() }
     }
@@ -344,36 +353,38 @@
         self.clock.now()
     }
 
+    /// Records an event at the current time.
     pub fn record(&self, event: TapEvent) {
         self.record_at(self.clock.now(), event);
     }
 
+    /// Records an event at a given time, in seconds of the tap's clock.
     pub fn record_at(&self, at: f64, event: TapEvent) {
-        let Some(into) = &self.into else { return };
-        let line = TapRecord { at, endpoint: self.endpoint.to_string(), event };
-        let Ok(mut text) = serde_json::to_vec(&line) else { return };
+        let Some(writer) = &self.writer else { return };
+        let record = TapRecord { at, endpoint: self.endpoint.to_string(), event };
+        let Ok(mut text) = serde_json::to_vec(&record) else { return };
         text.push(b'\n');
-        let mut into = into.lock().unwrap_or_else(PoisonError::into_inner);
-        // A full disk must not stop the service; the judge then finds lines missing.
-        let _ = into.write_all(&text).and_then(|()| into.flush());
+        let mut writer = writer.lock().unwrap_or_else(PoisonError::into_inner);
+        // A full disk must not stop the service; the judge then finds that records are missing.
+        let _ = writer.write_all(&text).and_then(|()| writer.flush());
     }
 }
 
-/// Reads a tap. A last line cut short, as a killed process leaves it, is left out; any other bad line is an
-/// error that names its number.
+/// Reads a tap. An incomplete last line, as a killed process can leave it, is ignored. Any other invalid line is an error
+/// with the number of the line.
 pub fn read_records(path: &Path) -> io::Result<Vec<TapRecord>> {
     let text = std::fs::read_to_string(path)?;
-    let mut lines = Vec::new();
-    let last = text.lines().count();
+    let mut records = Vec::new();
+    let line_count = text.lines().count();
     for (i, line) in text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()) {
         match serde_json::from_str(line) {
-            Ok(line) => lines.push(line),
-            Err(_) if i + 1 == last && !text.ends_with('\n') => {}
+            Ok(record) => records.push(record),
+            Err(_) if i + 1 == line_count && !text.ends_with('\n') => {}
             Err(e) => {
-                let what = format!("{}, line {}: {e}", path.display(), i + 1);
-                return Err(io::Error::new(io::ErrorKind::InvalidData, what));
+                let error = format!("{}, line {}: {e}", path.display(), i + 1);
+                return Err(io::Error::new(io::ErrorKind::InvalidData, error));
             }
         }
     }
-    Ok(lines)
+    Ok(records)
 }
