--- a/crates/lemontide-cli/src/front.rs
+++ b/crates/lemontide-cli/src/front.rs
@@ -1,7 +1,7 @@
 //! `lemontide front`: one controller as a daemon.
 
 use crate::Outcome;
-use lemontide_front::front::Front;
+use lemontide_front::server::ControllerServer;
 use lemontide_front::settings::Settings;
 use std::io::Write;
 use std::path::PathBuf;
@@ -27,7 +27,7 @@
         .enable_all()
         .build()?;
     let front = runtime.block_on(async {
-        let front = Front::start(settings).await?;
+        let front = ControllerServer::start(settings).await?;
         let mut stdout = std::io::stdout().lock();
         writeln!(stdout, "{}", serde_json::json!({"listening": front.address}))?;
         stdout.flush()?;
--- a/crates/lemontide-cli/src/measure/rig.rs
+++ b/crates/lemontide-cli/src/measure/rig.rs
@@ -3,8 +3,8 @@
 use crate::Outcome;
 use axum::routing::{delete, post};
 use axum::{Json, Router};
-use lemontide_front::connections::{accept, Hall, Stack};
-use lemontide_front::events::State;
+use lemontide_front::connections::{accept_loop, ConnectionRegistry, HttpLimits};
+use lemontide_front::events::ControllerState;
 use lemontide_shed::connection_limits::ConnectionLimits;
 use lemontide_standin::day::Day;
 use lemontide_standin::run::replace;
@@ -67,7 +67,7 @@
     }
 
     /// A controller's own figures.
-    pub fn state(&self) -> Result<State, Failed> {
+    pub fn state(&self) -> Result<ControllerState, Failed> {
         get(self.address, "/v1/state")
     }
 }
@@ -148,8 +148,20 @@
             prefix_bits_v6: 56,
         };
         let long = Duration::from_secs(60);
-        let stack = Stack { bounds, request: Duration::from_secs(5), idle: long, write: long };
-        accept(listener, routes, stack, Arc::new(Hall::new(Clock::start(), bounds)), None).await;
+        let limits = HttpLimits {
+            connections: bounds,
+            request_timeout: Duration::from_secs(5),
+            idle_timeout: long,
+            write_timeout: long,
+        };
+        accept_loop(
+            listener,
+            routes,
+            limits,
+            Arc::new(ConnectionRegistry::new(Clock::start(), bounds)),
+            None,
+        )
+        .await;
         Ok(ExitCode::SUCCESS)
     })
 }
--- a/crates/lemontide-front/src/connections.rs
+++ b/crates/lemontide-front/src/connections.rs
@@ -1,9 +1,9 @@
-//! Connections of players: who may come in, how long a silent or a stuck one stays, and the doorway at which a wish
-//! is turned back before the HTTP stack reads it. What is decided stands in `lemontide-shed` and in `core`.
+//! Connections of players: the registry with its limits, the accept loop, timeouts of idle and stuck connections, and
+//! rejection of requests before the HTTP stack parses them. The decisions are made in `lemontide-shed` and in `core`.
 
 use crate::core::{Doorway, Pass};
-use crate::delivery::Undelivered;
-use crate::guard::Guard;
+use crate::delivery::ResponseDelivery;
+use crate::overload_control::OverloadControl;
 use axum::body::Body;
 use axum::extract::Request;
 use axum::Router;
@@ -31,41 +31,45 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, Sleep};
 
-/// Bytes of one request's head at most.
-const HEAD_MOST: usize = 16 * 1024;
-/// Bytes that are read at once before there is an HTTP stack.
-const FIRST_MOST: usize = 2048;
-/// A player that has closed its half may still wait for an answer. What it is sent then means nothing to it, and is answered
-/// with a reset where it has closed its connection whole, which is looked for so often.
-const INTERIM: &[u8] = b"HTTP/1.1 102 Processing\r\n\r\n";
-const LOOK_WHILE_HALF_CLOSED: Duration = Duration::from_millis(5);
-/// An idle connection's age is told to the hall at most this often while its wishes are turned back.
-const TOLD_EVERY: Duration = Duration::from_millis(200);
-
-/// Bounds of the HTTP stack.
+/// Maximum size of the head of a request.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Size of the read buffer that is used until the connection has an HTTP stack.
+const FIRST_READ_BYTES: usize = 2048;
+/// Interim response that probes a player which has closed its sending half. Such a player can still be waiting for the
+/// response, and ignores the interim one. If it has closed the whole connection its system answers with a reset, which is
+/// checked for at this interval.
+const INTERIM_RESPONSE: &[u8] = b"HTTP/1.1 102 Processing\r\n\r\n";
+const HALF_CLOSED_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Minimum time between two updates of a connection's idle time in the registry while its requests are rejected.
+const IDLE_UPDATE_INTERVAL: Duration = Duration::from_millis(200);
+
+/// Limits of the HTTP stack.
 #[derive(Clone, Copy, Debug)]
-pub struct Stack {
-    pub bounds: ConnectionLimits,
-    /// The time in which a request must be there, that a connection may be idle, and that it may take no bytes.
-    pub request: Duration,
-    pub idle: Duration,
-    pub write: Duration,
+pub struct HttpLimits {
+    pub connections: ConnectionLimits,
+    /// The time in which a request must arrive, the time that a connection can be idle, and the time that a write can be
+    /// stuck.
+    pub request_timeout: Duration,
+    pub idle_timeout: Duration,
+    pub write_timeout: Duration,
 }
 
-/// All connections.
-pub struct Hall {
+/// The registry of open connections: it enforces their limits and can close them.
+pub struct ConnectionRegistry {
     clock: Clock,
-    door: Mutex<ConnectionLimiter>,
+    limiter: Mutex<ConnectionLimiter>,
     tasks: Mutex<HashMap<u64, AbortHandle>>,
 }
 
-fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Hall {
-    pub fn new(clock: Clock, bounds: ConnectionLimits) -> Hall {
-        Hall { clock, door: Mutex::new(ConnectionLimiter::new(bounds)), tasks: Mutex::default() }
+impl ConnectionRegistry {
+    /// An empty registry.
+    pub fn new(clock: Clock, limits: ConnectionLimits) -> ConnectionRegistry {
+        let limiter = Mutex::new(ConnectionLimiter::new(limits));
+        ConnectionRegistry { clock, limiter, tasks: Mutex::default() }
     }
 
     fn now(&self) -> Point {
@@ -78,83 +82,91 @@
         }
     }
 
-    /// Closes connections that have been idle for so long, so many at most.
-    pub fn close_idle(&self, least: Span, most: usize) {
-        let closed = lock(&self.door).close_idle(self.now(), least, most);
+    /// Closes up to `max_count` connections that have been idle for at least `min_idle`.
+    pub fn close_idle(&self, min_idle: Span, max_count: usize) {
+        let closed = lock(&self.limiter).close_idle(self.now(), min_idle, max_count);
         closed.into_iter().for_each(|id| self.close(id));
     }
 
+    /// Counts of open, closed and refused connections.
     pub fn counts(&self) -> ConnectionCounts {
-        lock(&self.door).counts()
+        lock(&self.limiter).counts()
     }
 }
 
-/// A hint that a wish was let in by; the wish must agree with it.
+/// The hint that a request was admitted by, as an extension of the request. Its body must agree with the hint.
 #[derive(Clone, Debug)]
-pub struct LetIn(pub RequestHint);
+pub struct AdmittedHint(pub RequestHint);
+
+// States of a connection, which its service and its socket share.
 
-/// Where a connection stands, as both its service and its socket see it.
-const COMES: u8 = 0;
-const RESTS: u8 = 1;
-const SERVES: u8 = 2;
-const ANSWERED: u8 = 3;
-const STREAMS: u8 = 4;
+/// The bytes of a request are expected or arriving.
+const RECEIVING: u8 = 0;
+/// Between requests.
+const IDLE: u8 = 1;
+/// A request is being handled.
+const HANDLING: u8 = 2;
+/// A response of known length is being written.
+const RESPONDING: u8 = 3;
+/// A response of unknown length is being written.
+const STREAMING: u8 = 4;
 
-struct Visit {
+/// Shared state of one connection. Removes the connection from the registry when it is dropped.
+struct ConnectionGuard {
     id: u64,
-    hall: Arc<Hall>,
+    registry: Arc<ConnectionRegistry>,
     state: AtomicU8,
-    let_in: Mutex<Option<RequestHint>>,
-    /// The answer that the socket is to take next.
-    undelivered: Mutex<Option<Undelivered>>,
+    admitted_hint: Mutex<Option<RequestHint>>,
+    /// Delivery of the response that is being written.
+    delivery: Mutex<Option<ResponseDelivery>>,
 }
 
-impl Drop for Visit {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        lock(&self.hall.door).remove(self.id);
-        lock(&self.hall.tasks).remove(&self.id);
+        lock(&self.registry.limiter).remove(self.id);
+        lock(&self.registry.tasks).remove(&self.id);
     }
 }
 
-/// Accepts connections and serves these routes on them, for as long as it is polled.
-pub async fn accept(
+/// The accept loop: accepts connections within their limits and serves the routes on them, for as long as it is polled.
+pub async fn accept_loop(
     listener: TcpListener,
     routes: Router,
-    stack: Stack,
-    hall: Arc<Hall>,
-    guard: Option<Arc<Guard>>,
+    limits: HttpLimits,
+    registry: Arc<ConnectionRegistry>,
+    overload: Option<Arc<OverloadControl>>,
 ) {
     loop {
-        let Ok((socket, from)) = listener.accept().await else {
-            // Out of descriptors, most likely: wait for some to come free.
-            hall.close_idle(Span::ZERO, 16);
+        let Ok((socket, peer)) = listener.accept().await else {
+            // Probably out of file descriptors: close some idle connections and wait for free descriptors.
+            registry.close_idle(Span::ZERO, 16);
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let knock = lock(&hall.door).try_accept(hall.now(), from.ip());
-        let id = match knock {
+        let decision = lock(&registry.limiter).try_accept(registry.now(), peer.ip());
+        let id = match decision {
             AcceptDecision::Accept(id) => id,
             AcceptDecision::AcceptAndClose(id, closed) => {
-                hall.close(closed);
+                registry.close(closed);
                 id
             }
             AcceptDecision::LimitReached | AcceptDecision::NetworkLimitReached => {
-                // One try: who is turned away at the door costs no wait.
-                let _ = socket.try_write(&answer("too many connections", None));
+                // Writes once without waiting, so that a refused connection can't delay the accept loop.
+                let _ = socket.try_write(&unavailable_response("too many connections", None));
                 continue;
             }
         };
         let _ = socket.set_nodelay(true);
-        let visit = Arc::new(Visit {
+        let connection = Arc::new(ConnectionGuard {
             id,
-            hall: hall.clone(),
-            state: AtomicU8::new(COMES),
-            let_in: Mutex::default(),
-            undelivered: Mutex::default(),
+            registry: registry.clone(),
+            state: AtomicU8::new(RECEIVING),
+            admitted_hint: Mutex::default(),
+            delivery: Mutex::default(),
         });
-        // The lock is held over the start, so that a task that ends at once still finds its entry to remove.
-        let mut tasks = lock(&hall.tasks);
-        let task = tokio::spawn(serve(socket, routes.clone(), stack, visit, guard.clone()));
+        // The lock is held while the task starts, so that a task that ends at once still finds its entry to remove.
+        let mut tasks = lock(&registry.tasks);
+        let task = tokio::spawn(serve(socket, routes.clone(), limits, connection, overload.clone()));
         tasks.insert(id, task.abort_handle());
     }
 }
@@ -162,206 +174,216 @@
 async fn serve(
     socket: TcpStream,
     routes: Router,
-    stack: Stack,
-    visit: Arc<Visit>,
-    guard: Option<Arc<Guard>>,
+    limits: HttpLimits,
+    connection: Arc<ConnectionGuard>,
+    overload: Option<Arc<OverloadControl>>,
 ) {
     let inner = TowerToHyperService::new(routes);
-    let seen = visit.clone();
+    let shared = connection.clone();
     let service = service_fn(move |mut request: hyper::Request<Incoming>| {
-        seen.state.store(SERVES, Ordering::Relaxed);
-        if let Some(hint) = lock(&seen.let_in).take() {
-            request.extensions_mut().insert(LetIn(hint));
+        shared.state.store(HANDLING, Ordering::Relaxed);
+        if let Some(hint) = lock(&shared.admitted_hint).take() {
+            request.extensions_mut().insert(AdmittedHint(hint));
         }
         let call = inner.call(request.map(Body::new) as Request);
-        let seen = seen.clone();
+        let shared = shared.clone();
         async move {
             let mut response = call.await?;
-            *lock(&seen.undelivered) = response.extensions_mut().remove::<Undelivered>();
-            // The end of a body of unknown length can't be told from here: such a connection stays as it is.
-            let sized = response.body().size_hint().exact().is_some();
-            seen.state.store(if sized { ANSWERED } else { STREAMS }, Ordering::Relaxed);
+            *lock(&shared.delivery) = response.extensions_mut().remove::<ResponseDelivery>();
+            // The end of a body of unknown length can't be detected in the socket, so such a connection stays in this
+            // state until its next request.
+            let has_known_length = response.body().size_hint().exact().is_some();
+            shared.state.store(if has_known_length { RESPONDING } else { STREAMING }, Ordering::Relaxed);
             Ok::<_, std::convert::Infallible>(response)
         }
     });
-    let mut socket = Guarded {
+    let mut socket = PlayerSocket {
         socket,
-        first: Vec::new(),
+        first_bytes: Vec::new(),
         doorway: Doorway::default(),
-        guard,
-        out: Vec::new(),
-        since: Instant::now(),
-        told: Instant::now(),
-        reads: Box::pin(tokio::time::sleep(stack.request)),
-        writes: None,
-        half_closed: None,
-        stack,
-        visit,
+        overload,
+        unsent: Vec::new(),
+        state_since: Instant::now(),
+        idle_updated_at: Instant::now(),
+        read_timer: Box::pin(tokio::time::sleep(limits.request_timeout)),
+        write_timer: None,
+        half_closed_timer: None,
+        limits,
+        connection,
     };
-    // The HTTP stack is made for the first request that passes: who is only turned back never costs one.
-    let mut bytes = [0; FIRST_MOST];
-    let read = std::future::poll_fn(|cx| {
+    // The HTTP stack is created for the first request that is admitted; connections whose requests are all rejected never
+    // need one.
+    let mut bytes = [0; FIRST_READ_BYTES];
+    let length = std::future::poll_fn(|cx| {
         let mut buf = ReadBuf::new(&mut bytes);
         let ready = Pin::new(&mut socket).poll_read(cx, &mut buf);
         ready.map(|result| result.map(|()| buf.filled().len()))
     });
-    let Ok(read @ 1..) = read.await else { return };
-    socket.first.extend_from_slice(&bytes[..read]);
-    // Times of heads and of idling are kept below, where bytes that were answered at the doorway count, too.
+    let Ok(length @ 1..) = length.await else { return };
+    socket.first_bytes.extend_from_slice(&bytes[..length]);
+    // The timeouts of heads and of idle connections are in `PlayerSocket`, which also sees the requests that are rejected
+    // before the HTTP stack.
     let served = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(None)
-        .max_buf_size(HEAD_MOST)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(socket), service);
     if let Err(e) = served.await {
         tracing::debug!(target: "http", error = %e, "connection ended");
     }
 }
 
-/// An answer as it leaves at the doorway.
-fn answer(error: &str, wait: Option<Span>) -> Vec<u8> {
-    let said = PlayResponse::NotAccepted { error: error.to_owned(), retry_after_s: wait.map(Span::seconds) };
-    let body = serde_json::to_string(&said).unwrap_or_default();
-    let retry = wait
+/// The bytes of a 503 response that is written without the HTTP stack.
+fn unavailable_response(error: &str, retry_after: Option<Span>) -> Vec<u8> {
+    let response =
+        PlayResponse::NotAccepted { error: error.to_owned(), retry_after_s: retry_after.map(Span::seconds) };
+    let body = serde_json::to_string(&response).unwrap_or_default();
+    let retry_header = retry_after
         .map_or(String::new(), |wait| format!("retry-after: {}\r\n", wait.seconds().ceil().max(1.0) as u64));
     format!(
-        "HTTP/1.1 503 Service Unavailable\r\ncontent-type: application/json\r\n{retry}content-length: {}\r\n\r\n{body}",
+        "HTTP/1.1 503 Service Unavailable\r\ncontent-type: application/json\r\n{retry_header}content-length: {}\r\n\r\n{body}",
         body.len()
     )
     .into_bytes()
 }
 
-/// A player's socket as the HTTP stack sees it: without the wishes that are turned back before it.
-struct Guarded {
+/// A player's socket as the HTTP stack sees it: without the requests that are rejected before the stack.
+struct PlayerSocket {
     socket: TcpStream,
-    /// What was read before there was an HTTP stack to take it.
-    first: Vec<u8>,
+    /// Bytes that were read before the HTTP stack was created.
+    first_bytes: Vec<u8>,
     doorway: Doorway,
-    guard: Option<Arc<Guard>>,
-    /// What of an answer of the doorway's own the socket did not take yet.
-    out: Vec<u8>,
-    /// Since when it rests or a request comes, and when the hall was last told.
-    since: Instant,
-    told: Instant,
-    reads: Pin<Box<Sleep>>,
-    writes: Option<Pin<Box<Sleep>>>,
-    /// Once the player has closed its half: when to look whether it has closed the other, too.
-    half_closed: Option<Pin<Box<Sleep>>>,
-    stack: Stack,
-    visit: Arc<Visit>,
+    overload: Option<Arc<OverloadControl>>,
+    /// The rest of a rejection that the socket has not accepted yet.
+    unsent: Vec<u8>,
+    /// When the connection became idle or began to receive, and when its idle time was last updated in the registry.
+    state_since: Instant,
+    idle_updated_at: Instant,
+    read_timer: Pin<Box<Sleep>>,
+    write_timer: Option<Pin<Box<Sleep>>>,
+    /// Once the player has closed its sending half: when to check next whether it has closed the whole connection.
+    half_closed_timer: Option<Pin<Box<Sleep>>>,
+    limits: HttpLimits,
+    connection: Arc<ConnectionGuard>,
 }
 
-impl Guarded {
+impl PlayerSocket {
     fn state(&self) -> u8 {
-        self.visit.state.load(Ordering::Relaxed)
+        self.connection.state.load(Ordering::Relaxed)
     }
 
-    /// Ends a connection that asks nothing for too long, or whose request takes too long to come.
-    fn keeps_time(&mut self, cx: &mut Context<'_>) -> Poll<io::Error> {
+    /// Ready with an error when the connection has been idle for too long or its request takes too long to arrive.
+    fn poll_read_timeout(&mut self, cx: &mut Context<'_>) -> Poll<io::Error> {
         let allowed = match self.state() {
-            COMES => self.stack.request,
-            RESTS => self.stack.idle,
+            RECEIVING => self.limits.request_timeout,
+            IDLE => self.limits.idle_timeout,
             _ => return Poll::Pending,
         };
-        let due = self.since + allowed;
-        // The timer is set anew only where it would ring too late, or rang too early.
-        if self.reads.deadline() > due {
-            self.reads.as_mut().reset(due);
+        let due = self.state_since + allowed;
+        // The timer is only reset if it would fire too late, or after it has fired too early.
+        if self.read_timer.deadline() > due {
+            self.read_timer.as_mut().reset(due);
         }
-        while self.reads.as_mut().poll(cx).is_ready() {
+        while self.read_timer.as_mut().poll(cx).is_ready() {
             if Instant::now() >= due {
                 return Poll::Ready(io::ErrorKind::TimedOut.into());
             }
-            self.reads.as_mut().reset(due);
+            self.read_timer.as_mut().reset(due);
         }
         Poll::Pending
     }
 
-    /// Whether a request that was read has no answer out yet.
-    fn owes_an_answer(&self) -> bool {
-        matches!(self.state(), SERVES | ANSWERED)
+    /// Whether a request was received whose response is not completely written.
+    fn owes_response(&self) -> bool {
+        matches!(self.state(), HANDLING | RESPONDING)
     }
 
-    /// The player has closed its half: the end of what it says, once nothing is owed to it, or an error where it is
-    /// proven gone.
+    /// Handles a player that has closed its sending half: ready with the end of the stream once no response is due, or
+    /// with an error if the player has closed the whole connection.
     fn poll_half_closed(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if !self.owes_an_answer() {
+        if !self.owes_response() {
             return Poll::Ready(Ok(()));
         }
-        if self.half_closed.is_none() && self.state() == SERVES {
-            // Nothing of the answer is out yet, so it stands between two messages.
-            let _ = self.socket.try_write(INTERIM);
+        if self.half_closed_timer.is_none() && self.state() == HANDLING {
+            // No part of the response is written yet, so the interim response goes between two messages.
+            let _ = self.socket.try_write(INTERIM_RESPONSE);
         }
-        let wait = || Box::pin(tokio::time::sleep(LOOK_WHILE_HALF_CLOSED));
-        let mut timer = self.half_closed.take().unwrap_or_else(wait);
+        let new_timer = || Box::pin(tokio::time::sleep(HALF_CLOSED_CHECK_INTERVAL));
+        let mut timer = self.half_closed_timer.take().unwrap_or_else(new_timer);
         while timer.as_mut().poll(cx).is_ready() {
             if let Some(error) = self.socket.take_error()? {
                 return Poll::Ready(Err(error));
             }
-            timer.as_mut().reset(Instant::now() + LOOK_WHILE_HALF_CLOSED);
+            timer.as_mut().reset(Instant::now() + HALF_CLOSED_CHECK_INTERVAL);
         }
-        self.half_closed = Some(timer);
+        self.half_closed_timer = Some(timer);
         Poll::Pending
     }
 
-    /// A write that is stuck ends the connection in the end: a player that reads nothing holds nothing up.
-    fn stuck<T>(&mut self, cx: &mut Context<'_>, result: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+    /// Applies the write timeout to the result of a write, so that a player that reads nothing can't keep its connection
+    /// forever.
+    fn with_write_timeout<T>(
+        &mut self,
+        cx: &mut Context<'_>,
+        result: Poll<io::Result<T>>,
+    ) -> Poll<io::Result<T>> {
         if result.is_ready() {
-            self.writes = None;
+            self.write_timer = None;
             return result;
         }
-        let allowed = self.stack.write;
-        let timer = self.writes.get_or_insert_with(|| Box::pin(tokio::time::sleep(allowed)));
+        let allowed = self.limits.write_timeout;
+        let timer = self.write_timer.get_or_insert_with(|| Box::pin(tokio::time::sleep(allowed)));
         ready!(timer.as_mut().poll(cx));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 
-    /// Writes out what is left of an answer of the doorway's own.
-    fn drain(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        while !self.out.is_empty() {
-            let wrote = Pin::new(&mut self.socket).poll_write(cx, &self.out);
-            let wrote = ready!(self.stuck(cx, wrote))?;
-            if wrote == 0 {
+    /// Writes the rest of a rejection.
+    fn poll_write_unsent(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        while !self.unsent.is_empty() {
+            let result = Pin::new(&mut self.socket).poll_write(cx, &self.unsent);
+            let written = ready!(self.with_write_timeout(cx, result))?;
+            if written == 0 {
                 return Poll::Ready(Err(io::ErrorKind::WriteZero.into()));
             }
-            self.out.drain(..wrote);
+            self.unsent.drain(..written);
         }
         Poll::Ready(Ok(()))
     }
 
-    fn turn_back(&mut self, wait: Span) {
-        // Not every operator lets players be told when to come again.
-        let wait = self.guard.as_ref().filter(|guard| guard.tells_waits).map(|_| wait);
-        let bytes = answer("the controller is near its limit", wait);
-        let wrote = self.socket.try_write(&bytes).unwrap_or(0);
-        self.out.extend_from_slice(&bytes[wrote..]);
-        self.since = Instant::now();
-        self.visit.state.store(RESTS, Ordering::Relaxed);
-        if self.since - self.told >= TOLD_EVERY {
-            self.told = self.since;
-            let hall = &self.visit.hall;
-            lock(&hall.door).mark_idle(hall.now(), self.visit.id);
+    fn reject(&mut self, retry_after: Span) {
+        // Some operators don't allow that players are given a time to retry after.
+        let retry_after =
+            self.overload.as_ref().filter(|overload| overload.allows_retry_after).map(|_| retry_after);
+        let bytes = unavailable_response("the controller is near its limit", retry_after);
+        let written = self.socket.try_write(&bytes).unwrap_or(0);
+        self.unsent.extend_from_slice(&bytes[written..]);
+        self.state_since = Instant::now();
+        self.connection.state.store(IDLE, Ordering::Relaxed);
+        if self.state_since - self.idle_updated_at >= IDLE_UPDATE_INTERVAL {
+            self.idle_updated_at = self.state_since;
+            let registry = &self.connection.registry;
+            lock(&registry.limiter).mark_idle(registry.now(), self.connection.id);
         }
     }
 }
 
-impl AsyncRead for Guarded {
+impl AsyncRead for PlayerSocket {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        if !this.first.is_empty() {
-            let length = this.first.len().min(buf.remaining());
-            buf.put_slice(&this.first[..length]);
-            this.first.drain(..length);
+        if !this.first_bytes.is_empty() {
+            let length = this.first_bytes.len().min(buf.remaining());
+            buf.put_slice(&this.first_bytes[..length]);
+            this.first_bytes.drain(..length);
             return Poll::Ready(Ok(()));
         }
         loop {
-            ready!(this.drain(cx))?;
-            if this.half_closed.is_some() {
+            ready!(this.poll_write_unsent(cx))?;
+            if this.half_closed_timer.is_some() {
                 return this.poll_half_closed(cx);
             }
             let before = buf.filled().len();
             match Pin::new(&mut this.socket).poll_read(cx, buf) {
-                Poll::Pending => return this.keeps_time(cx).map(Err),
+                Poll::Pending => return this.poll_read_timeout(cx).map(Err),
                 Poll::Ready(Err(e)) => return Poll::Ready(Err(e)),
                 Poll::Ready(Ok(())) => {}
             }
@@ -369,35 +391,35 @@
             if bytes.is_empty() {
                 return this.poll_half_closed(cx);
             }
-            if let Some(guard) = &this.guard {
-                match this.doorway.came(bytes, |hint| guard.hinted(hint)) {
+            if let Some(overload) = &this.overload {
+                match this.doorway.came(bytes, |hint| overload.reject_by_hint(hint)) {
                     Pass::Through => {}
-                    Pass::LetIn(hint) => *lock(&this.visit.let_in) = Some(hint),
-                    Pass::TurnBack(wait) => {
+                    Pass::LetIn(hint) => *lock(&this.connection.admitted_hint) = Some(hint),
+                    Pass::TurnBack(retry_after) => {
                         buf.set_filled(before);
-                        this.turn_back(wait);
+                        this.reject(retry_after);
                         continue;
                     }
                 }
             }
-            if this.state() == RESTS {
-                this.since = Instant::now();
-                this.visit.state.store(COMES, Ordering::Relaxed);
+            if this.state() == IDLE {
+                this.state_since = Instant::now();
+                this.connection.state.store(RECEIVING, Ordering::Relaxed);
             }
-            if this.state() == COMES {
-                lock(&this.visit.hall.door).mark_busy(this.visit.id);
+            if this.state() == RECEIVING {
+                lock(&this.connection.registry.limiter).mark_busy(this.connection.id);
             }
             return Poll::Ready(Ok(()));
         }
     }
 }
 
-impl AsyncWrite for Guarded {
+impl AsyncWrite for PlayerSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
-        ready!(this.drain(cx))?;
-        let wrote = Pin::new(&mut this.socket).poll_write(cx, bytes);
-        this.stuck(cx, wrote)
+        ready!(this.poll_write_unsent(cx))?;
+        let result = Pin::new(&mut this.socket).poll_write(cx, bytes);
+        this.with_write_timeout(cx, result)
     }
 
     fn poll_write_vectored(
@@ -406,9 +428,9 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
-        ready!(this.drain(cx))?;
-        let wrote = Pin::new(&mut this.socket).poll_write_vectored(cx, slices);
-        this.stuck(cx, wrote)
+        ready!(this.poll_write_unsent(cx))?;
+        let result = Pin::new(&mut this.socket).poll_write_vectored(cx, slices);
+        this.with_write_timeout(cx, result)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -417,24 +439,24 @@
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        ready!(this.drain(cx))?;
-        // The stack flushes once all that it has is written: an answer that was made is out whole.
-        if this.state() == ANSWERED {
-            lock(&this.visit.undelivered).take().into_iter().for_each(|answer| answer.delivered());
+        ready!(this.poll_write_unsent(cx))?;
+        // The HTTP stack flushes once it has written everything, so a response of known length is complete here.
+        if this.state() == RESPONDING {
+            lock(&this.connection.delivery).take().into_iter().for_each(|delivery| delivery.mark_delivered());
             this.doorway.answered();
-            this.since = Instant::now();
-            this.visit.state.store(RESTS, Ordering::Relaxed);
-            let hall = &this.visit.hall;
-            lock(&hall.door).mark_idle(hall.now(), this.visit.id);
-            // The stack may not read again before bytes come: the time of resting is kept from here on.
-            let _ = this.keeps_time(cx);
+            this.state_since = Instant::now();
+            this.connection.state.store(IDLE, Ordering::Relaxed);
+            let registry = &this.connection.registry;
+            lock(&registry.limiter).mark_idle(registry.now(), this.connection.id);
+            // The HTTP stack may not read again before bytes arrive, so the idle timeout is registered here.
+            let _ = this.poll_read_timeout(cx);
         }
         Pin::new(&mut this.socket).poll_flush(cx)
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        ready!(this.drain(cx))?;
+        ready!(this.poll_write_unsent(cx))?;
         Pin::new(&mut this.socket).poll_shutdown(cx)
     }
 }
--- a/crates/lemontide-front/src/delivery.rs
+++ b/crates/lemontide-front/src/delivery.rs
@@ -1,45 +1,45 @@
-//! The answer of a wish until the player's socket has taken it. Where that never happens the deciding thread is told that
-//! the player left, so that nothing is set up, or goes on playing, for nobody.
+//! Delivery of a response to the player's socket. If it never happens, the deciding thread gets an event that the player
+//! left, so that no session is set up or keeps playing without a player.
 
-use crate::events::Happened;
+use crate::events::Event;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use tokio::runtime::Handle;
 use tokio::sync::mpsc;
 
-/// The duty to deliver the answer of one wish; its clones are the same. Dropped before `delivered`, it tells that the
-/// player left.
+/// Delivery of the response to one request, shared by all clones. If the last clone is dropped before `mark_delivered` was
+/// called, it reports that the player left.
 #[derive(Clone)]
-pub struct Undelivered(Arc<Wish>);
+pub struct ResponseDelivery(Arc<DeliveryState>);
 
-struct Wish {
-    id: u32,
-    reports: mpsc::Sender<Happened>,
+struct DeliveryState {
+    request: u32,
+    events: mpsc::Sender<Event>,
     is_delivered: AtomicBool,
 }
 
-impl Undelivered {
-    pub fn new(id: u32, reports: mpsc::Sender<Happened>) -> Undelivered {
-        Undelivered(Arc::new(Wish { id, reports, is_delivered: AtomicBool::new(false) }))
+impl ResponseDelivery {
+    pub fn new(request: u32, events: mpsc::Sender<Event>) -> ResponseDelivery {
+        ResponseDelivery(Arc::new(DeliveryState { request, events, is_delivered: AtomicBool::new(false) }))
     }
 
-    /// The socket has taken the answer, or nothing was set up with it.
-    pub fn delivered(&self) {
+    /// The socket has accepted the response, or the response set up no session.
+    pub fn mark_delivered(&self) {
         self.0.is_delivered.store(true, Ordering::Release);
     }
 }
 
-impl Drop for Wish {
+impl Drop for DeliveryState {
     fn drop(&mut self) {
         if self.is_delivered.load(Ordering::Acquire) {
             return;
         }
-        let left = Happened::Left { id: self.id };
-        let Err(mpsc::error::TrySendError::Full(left)) = self.reports.try_send(left) else { return };
-        // The deciding thread is behind: it is told once it has room.
+        let event = Event::PlayerLeft { id: self.request };
+        let Err(mpsc::error::TrySendError::Full(event)) = self.events.try_send(event) else { return };
+        // The queue of the deciding thread is full: the event is sent once there is room.
         if let Ok(runtime) = Handle::try_current() {
-            let reports = self.reports.clone();
-            runtime.spawn(async move { reports.send(left).await });
+            let events = self.events.clone();
+            runtime.spawn(async move { events.send(event).await });
         }
     }
 }
--- a/crates/lemontide-front/src/gossip.rs
+++ b/crates/lemontide-front/src/gossip.rs
@@ -1,7 +1,7 @@
-//! Carries gossip's datagrams over UDP between this controller and others. What is said and believed is decided
-//! in `lemontide-gossip`; what to make of it, in the decision module.
+//! Gossip with other controllers: sends and receives the datagrams over UDP. `lemontide-gossip` implements the protocol;
+//! the decision module uses its results.
 
-use crate::events::Happened;
+use crate::events::Event;
 use crate::settings::{read_json, GossipSettings};
 use lemontide::clock::{Point, Span};
 use lemontide_gossip::authentication::{AllowedNetworks, Keyring, OwnKey};
@@ -19,25 +19,26 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{timeout_at, Instant};
 
-/// Evidence and questions that wait.
-const EVIDENCE_MOST: usize = 4096;
-const QUESTIONS_MOST: usize = 16;
-/// A probe's answer is awaited for this part of the period; one that counts as dead is called on each so many periods.
-const TIMEOUT_PART: f64 = 0.3;
-const HEAL_PERIODS: f64 = 3.0;
-/// How often what is believed is handed to the deciding thread.
-const HAND_OVER: Duration = Duration::from_millis(250);
+/// Maximum number of queued observations and of queued requests for the view.
+const MAX_QUEUED_OBSERVATIONS: usize = 4096;
+const MAX_QUEUED_VIEW_REQUESTS: usize = 16;
+/// Timeout of a probe as a part of the probe period, and number of periods between two syncs with a dead member.
+const PROBE_TIMEOUT_PART: f64 = 0.3;
+const SYNC_INTERVAL_PERIODS: f64 = 3.0;
+/// How often the results are sent to the deciding thread.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What this controller saw of a streamer.
-pub struct Heard {
+/// Whether an attempt of this controller at a streamer succeeded.
+pub struct Observation {
     pub streamer: String,
-    pub good: bool,
+    pub succeeded: bool,
 }
 
-type Questions = mpsc::Sender<oneshot::Sender<GossipView>>;
+/// Sends requests for the view of the gossip, each with the channel for the reply.
+pub type ViewRequests = mpsc::Sender<oneshot::Sender<GossipView>>;
 
-/// Reads a key of 64 hex digits.
-pub fn key(text: &str) -> Option<[u8; 32]> {
+/// Parses a key of 64 hex digits.
+pub fn parse_key(text: &str) -> Option<[u8; 32]> {
     let text = text.trim();
     if text.len() != 64 || !text.is_ascii() {
         return None;
@@ -49,144 +50,145 @@
     Some(key)
 }
 
-/// Reads the secret and the ring. Errors name the file and the remedy.
-fn keys(terms: &GossipSettings) -> io::Result<(OwnKey, Keyring)> {
-    let wrong = |file: &Path, what: &str| io::Error::other(format!("{}: {what}", file.display()));
-    let secret = std::fs::read_to_string(&terms.secret_key_file)
-        .map_err(|e| wrong(&terms.secret_key_file, &e.to_string()))?;
+/// Reads the secret key and the public keys. An error names the file and how to fix it.
+fn read_keys(settings: &GossipSettings) -> io::Result<(OwnKey, Keyring)> {
+    let error = |file: &Path, problem: &str| io::Error::other(format!("{}: {problem}", file.display()));
+    let (secret_file, public_file) = (&settings.secret_key_file, &settings.public_keys_file);
+    let secret = std::fs::read_to_string(secret_file).map_err(|e| error(secret_file, &e.to_string()))?;
     let secret =
-        key(&secret).ok_or_else(|| wrong(&terms.secret_key_file, "a secret key is 64 hex digits"))?;
-    let listed: BTreeMap<String, Vec<String>> =
-        read_json(&terms.public_keys_file).map_err(io::Error::other)?;
-    let mut ring = Keyring::default();
-    for (name, publics) in &listed {
-        for (i, public) in publics.iter().enumerate() {
-            let at = format!("at {name}[{i}]: ");
-            let public = key(public)
-                .ok_or_else(|| wrong(&terms.public_keys_file, &(at.clone() + "a key is 64 hex digits")))?;
-            ring.add(name, &public).map_err(|what| wrong(&terms.public_keys_file, &(at + what)))?;
+        parse_key(&secret).ok_or_else(|| error(secret_file, "a secret key must be 64 hex digits"))?;
+    let public_keys: BTreeMap<String, Vec<String>> = read_json(public_file).map_err(io::Error::other)?;
+    let mut keyring = Keyring::default();
+    for (name, keys) in &public_keys {
+        for (i, key) in keys.iter().enumerate() {
+            let place = format!("at {name}[{i}]: ");
+            let key = parse_key(key)
+                .ok_or_else(|| error(public_file, &(place.clone() + "a key must be 64 hex digits")))?;
+            keyring.add(name, &key).map_err(|problem| error(public_file, &(place + problem)))?;
         }
     }
-    if !ring.contains(&terms.name) {
-        return Err(wrong(
-            &terms.public_keys_file,
-            &format!("it has no key of {}; list this instance, too", terms.name),
-        ));
+    if !keyring.contains(&settings.name) {
+        let problem = format!("there is no key of {}; add a key of this instance", settings.name);
+        return Err(error(public_file, &problem));
     }
-    Ok((OwnKey::new(&secret), ring))
+    Ok((OwnKey::new(&secret), keyring))
 }
 
-/// Starts to gossip. What was seen goes in by the first sender; the second takes questions of operators.
+/// Starts to gossip. The first sender takes observations of streamers, the second requests for the view.
 pub async fn start(
-    terms: &GossipSettings,
+    settings: &GossipSettings,
     clock: Clock,
     tap: Tap,
-    seed: u64,
+    rng_seed: u64,
     number: Option<u32>,
     stopped: watch::Receiver<bool>,
-    reports: mpsc::Sender<Happened>,
-) -> io::Result<(mpsc::Sender<Heard>, Questions)> {
-    let (own, ring) = keys(terms)?;
-    let socket = UdpSocket::bind(terms.listen).await?;
+    events: mpsc::Sender<Event>,
+) -> io::Result<(mpsc::Sender<Observation>, ViewRequests)> {
+    let (own_key, keyring) = read_keys(settings)?;
+    let socket = UdpSocket::bind(settings.listen).await?;
     let node = Node::new(
         Point::at(clock.now()),
         NodeConfig {
-            name: terms.name.clone(),
-            address: terms.advertise.map_or_else(|| socket.local_addr(), Ok)?,
+            name: settings.name.clone(),
+            address: settings.advertise.map_or_else(|| socket.local_addr(), Ok)?,
             number,
-            own_key: own,
-            keyring: ring,
-            allowed_networks: AllowedNetworks::new(&terms.allowed_networks),
-            seeds: terms.seeds.clone(),
+            own_key,
+            keyring,
+            allowed_networks: AllowedNetworks::new(&settings.allowed_networks),
+            seeds: settings.seeds.clone(),
             timing: Timing {
-                probe_period: Span::of(terms.period_s),
-                probe_timeout: Span::of(terms.period_s * TIMEOUT_PART),
-                sync_interval: Span::of(terms.period_s * HEAL_PERIODS),
+                probe_period: Span::of(settings.period_s),
+                probe_timeout: Span::of(settings.period_s * PROBE_TIMEOUT_PART),
+                sync_interval: Span::of(settings.period_s * SYNC_INTERVAL_PERIODS),
                 ..Timing::default()
             },
-            bytes_per_s: terms.bytes_per_s,
-            // Unlike that of any earlier process of this instance, whatever its clock says.
+            bytes_per_s: settings.bytes_per_s,
+            // Random, so that it differs from that of every earlier process of this instance whatever the clock says.
             boot_id: rand::random(),
-            rng_seed: seed,
+            rng_seed,
         },
     );
-    let (heard, hears) = mpsc::channel(EVIDENCE_MOST);
-    let (asks, asked) = mpsc::channel(QUESTIONS_MOST);
-    tokio::spawn(run(node, socket, terms.clone(), clock, tap, hears, asked, stopped, reports));
-    Ok((heard, asks))
+    let (observations, observed) = mpsc::channel(MAX_QUEUED_OBSERVATIONS);
+    let (view_requests, views_requested) = mpsc::channel(MAX_QUEUED_VIEW_REQUESTS);
+    tokio::spawn(run(node, socket, settings.clone(), clock, tap, observed, views_requested, stopped, events));
+    Ok((observations, view_requests))
 }
 
-#[allow(clippy::too_many_arguments)] // all of them are ends of one task's channels
+#[allow(clippy::too_many_arguments)] // These are the channels and the state of one task.
 async fn run(
     mut node: Node,
     socket: UdpSocket,
-    terms: GossipSettings,
+    settings: GossipSettings,
     clock: Clock,
     tap: Tap,
-    mut hears: mpsc::Receiver<Heard>,
-    mut asked: mpsc::Receiver<oneshot::Sender<GossipView>>,
+    mut observed: mpsc::Receiver<Observation>,
+    mut views_requested: mpsc::Receiver<oneshot::Sender<GossipView>>,
     mut stopped: watch::Receiver<bool>,
-    reports: mpsc::Sender<Happened>,
+    events: mpsc::Sender<Event>,
 ) {
-    let Ok(mut hangup) = signal(SignalKind::hangup()) else { return };
+    let Ok(mut hangup_signal) = signal(SignalKind::hangup()) else { return };
     let mut bytes = [0u8; MAX_DATAGRAM_BYTES + 1];
-    let mut handed: BTreeSet<String> = BTreeSet::new();
-    let shares = node.membership.own_record.number.is_some();
-    let mut hand_over = Instant::now();
-    let (mut second, mut sent) = (clock.now().floor(), 0);
+    let mut reported: BTreeSet<String> = BTreeSet::new();
+    let has_number = node.membership.own_record.number.is_some();
+    let mut next_report_at = Instant::now();
+    let (mut current_second, mut sent_bytes) = (clock.now().floor(), 0);
     loop {
         let now = || Point::at(clock.now());
-        let next = clock.instant(crate::core::seconds(node.next_tick_at()));
-        // A tick that could not do all it wanted must not become a busy loop.
-        let next = Instant::from_std(next).max(Instant::now() + Duration::from_millis(5)).min(hand_over);
-        let _ = timeout_at(next, async {
+        let next_tick_at = clock.instant(crate::core::seconds(node.next_tick_at()));
+        // A tick can leave work undone, for example for lack of bytes. The minimum delay avoids a busy loop then.
+        let wake_at = Instant::from_std(next_tick_at)
+            .max(Instant::now() + Duration::from_millis(5))
+            .min(next_report_at);
+        let _ = timeout_at(wake_at, async {
             tokio::select! {
-                came = socket.recv_from(&mut bytes) => {
-                    if let Ok((length, from)) = came {
-                        node.receive(now(), from, &bytes[..length]);
+                received = socket.recv_from(&mut bytes) => {
+                    if let Ok((length, peer)) = received {
+                        node.receive(now(), peer, &bytes[..length]);
                     }
                 }
-                Some(seen) = hears.recv() => node.record_outcome(now(), &seen.streamer, seen.good),
-                Some(reply) = asked.recv() => { let _ = reply.send(node.view(now())); }
-                // Who leaves in order says so: nobody waits for a suspicion to last out.
+                Some(observation) = observed.recv() => {
+                    node.record_outcome(now(), &observation.streamer, observation.succeeded);
+                }
+                Some(reply) = views_requested.recv() => { let _ = reply.send(node.view(now())); }
+                // Announces an orderly stop, so that the other members don't have to wait for a suspicion to expire.
                 Ok(()) = stopped.changed(), if !*stopped.borrow() => node.leave(now()),
-                _ = hangup.recv() => match keys(&terms) {
-                    Ok((own, ring)) => node.set_keys(own, ring),
-                    Err(e) => tracing::warn!(target: "gossip", error = %e, "kept the old keys"),
+                _ = hangup_signal.recv() => match read_keys(&settings) {
+                    Ok((own_key, keyring)) => node.set_keys(own_key, keyring),
+                    Err(e) => tracing::warn!(target: "gossip", error = %e, "new keys are not valid; keeping the old ones"),
                 },
             }
         })
         .await;
         node.tick(now());
-        for (to, datagram) in std::mem::take(&mut node.outbox) {
-            let second_now = clock.now().floor();
-            if second_now > second {
-                tap.record(TapEvent::GossipSent { bytes: sent });
-                (second, sent) = (second_now, 0);
+        for (peer, datagram) in std::mem::take(&mut node.outbox) {
+            let second = clock.now().floor();
+            if second > current_second {
+                tap.record(TapEvent::GossipSent { bytes: sent_bytes });
+                (current_second, sent_bytes) = (second, 0);
             }
-            sent += datagram.len();
-            // A datagram that can't leave is a lost one, and the protocol lives with those.
-            let _ = socket.try_send_to(&datagram, to);
+            sent_bytes += datagram.len();
+            // A datagram that can't be sent counts as lost, which the protocol tolerates.
+            let _ = socket.try_send_to(&datagram, peer);
         }
         for change in node.take_changes() {
             tracing::info!(target: "gossip", ?change);
         }
-        if Instant::now() >= hand_over {
-            hand_over = Instant::now() + HAND_OVER;
-            let weights = node.failure_scores(now());
-            // Who is not suspected any more is told as such, once.
-            let gone =
-                handed.iter().filter(|name| !weights.contains_key(*name)).map(|name| (name.clone(), 0.0));
-            let doubts: Vec<(String, f64)> = gone.chain(weights.clone()).collect();
-            if !doubts.is_empty() {
-                if reports.is_closed() {
+        if Instant::now() >= next_report_at {
+            next_report_at = Instant::now() + REPORT_INTERVAL;
+            let scores = node.failure_scores(now());
+            // A streamer that is no longer suspected is reported once with a score of 0.
+            let cleared =
+                reported.iter().filter(|name| !scores.contains_key(*name)).map(|name| (name.clone(), 0.0));
+            let suspicions: Vec<(String, f64)> = cleared.chain(scores.clone()).collect();
+            if !suspicions.is_empty() {
+                if events.is_closed() {
                     return;
                 }
-                let _ = reports.try_send(Happened::Doubts(doubts));
+                let _ = events.try_send(Event::PeerSuspicions(suspicions));
             }
-            handed = weights.into_keys().collect();
-            if shares {
-                let _ = reports.try_send(Happened::Fleet(node.gone_since_by_number()));
+            reported = scores.into_keys().collect();
+            if has_number {
+                let _ = events.try_send(Event::PeersChanged(node.gone_since_by_number()));
             }
         }
     }
--- a/crates/lemontide-front/src/lib.rs
+++ b/crates/lemontide-front/src/lib.rs
@@ -1,19 +1,23 @@
-//! lemontide's controller: the decision module of the `lemontide` crate driven by real sockets.
-//! `core` is the driver: it does no I/O. Around it `http` serves players, `link` speaks with streamers, `list`
-//! follows the list of streamers, `gossip` carries datagrams between controllers, `connections` says who may come
-//! in and turns back at the doorway, `waiting` holds wishes for their turn, `guard` measures the process, `settings`
-//! reads what the operators state, `events` is what passes between them, `delivery` holds an answer until its player has
-//! it, and `front` ties them together.
+//! lemontide's controller: the decision module of the `lemontide` crate, driven by real sockets.
+//!
+//! - `server` starts a controller and runs the deciding thread.
+//! - `core` is the driver, which does no I/O.
+//! - `http` serves players, on the connections of `connections`.
+//! - `request_queue` holds new requests until the deciding thread processes them, and `overload_control` sheds load.
+//! - `delivery` tracks a response until the player's socket has accepted it.
+//! - `link` talks to streamers, `list_source` reads the list of streamers, and `gossip` exchanges datagrams with other
+//!   controllers.
+//! - `events` are the messages between all of these, and `settings` are those of the operators.
 
 pub mod connections;
 pub mod core;
 mod delivery;
 pub mod events;
-pub mod front;
 pub mod gossip;
-pub mod guard;
 pub mod http;
 pub mod link;
-pub mod list;
+pub mod list_source;
+pub mod overload_control;
+pub mod request_queue;
+pub mod server;
 pub mod settings;
-pub mod waiting;
--- a/crates/lemontide-front/src/link.rs
+++ b/crates/lemontide-front/src/link.rs
@@ -1,8 +1,8 @@
-//! One connection to a streamer: dials, greets, writes what the driver hands over and reports what comes back.
-//! Nothing is decided here; every report carries the number of the dial that it belongs to.
+//! One connection to a streamer: connects, performs the handshake, writes the driver's messages and passes received ones
+//! on. It makes no decisions; each of its events has the number of the connection.
 
 use crate::core::Queued;
-use crate::events::Happened;
+use crate::events::Event;
 use futures::{SinkExt, StreamExt};
 use lemontide::clock::Point;
 use lemontide_wire::clock::Clock;
@@ -15,62 +15,68 @@
 use tokio::time::{timeout, timeout_at, Instant};
 use tokio_util::codec::Framed;
 
+/// Time in which a closing connection can write its buffered messages.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
+
 /// What all links of a controller share.
 #[derive(Clone)]
-pub struct Links {
+pub struct LinkContext {
     pub clock: Clock,
     pub tap: Tap,
-    pub me: u32,
-    /// Tells this process from an earlier one of the same number.
-    pub run: u64,
+    /// This controller's number.
+    pub controller: u32,
+    /// Distinguishes this process from an earlier one of the same number.
+    pub run_id: u64,
     pub dial_timeout: Duration,
-    pub reports: mpsc::Sender<Happened>,
+    pub events: mpsc::Sender<Event>,
 }
 
-/// Where a connection goes: the streamer's place in the driver, the number of the dial, name and address.
-pub struct Dial {
-    pub at: usize,
+/// The streamer to connect to.
+pub struct LinkTarget {
+    /// The streamer's index in the driver.
+    pub streamer: usize,
+    /// Number of the connection.
     pub dial: u64,
-    pub streamer: String,
+    pub name: String,
     pub address: String,
 }
 
-/// Runs one connection until it ends. `orders` gives batches to write; when it closes, so does the connection.
-pub async fn run(links: Links, to: Dial, mut orders: mpsc::Receiver<Vec<Queued>>) {
-    let Dial { at, dial, streamer, address } = to;
-    let report = |what| links.reports.send(what);
-    let until = Instant::now() + links.dial_timeout;
-    let greeted = match timeout_at(until, greet(&links, &streamer, &address)).await {
-        Ok(Ok(greeted)) => Some(greeted),
+/// Runs one connection until it ends. `batches` are the messages to write; the connection is closed when their channel is.
+pub async fn run(context: LinkContext, target: LinkTarget, mut batches: mpsc::Receiver<Vec<Queued>>) {
+    let LinkTarget { streamer, dial, name, address } = target;
+    let report = |event| context.events.send(event);
+    let give_up_at = Instant::now() + context.dial_timeout;
+    let connected = match timeout_at(give_up_at, connect(&context, &name, &address)).await {
+        Ok(Ok(connected)) => Some(connected),
         Ok(Err(e)) => {
-            tracing::debug!(target: "link", address, error = %e, "not reached");
+            tracing::debug!(target: "link", address, error = %e, "connecting to the streamer failed");
             None
         }
         Err(_) => None,
     };
-    let Some((framed, started)) = greeted else {
-        let _ = report(Happened::Lost { at, dial, by_streamer: false }).await;
+    let Some((framed, started_at_s)) = connected else {
+        let _ = report(Event::LinkLost { streamer, dial, by_streamer: false }).await;
         return;
     };
-    if report(Happened::Linked { at, dial, started }).await.is_err() {
+    if report(Event::LinkUp { streamer, dial, started_at_s }).await.is_err() {
         return;
     }
     let (mut sink, mut stream) = framed.split();
     let writer = async {
-        while let Some(batch) = orders.recv().await {
+        while let Some(batch) = batches.recv().await {
             let mut unsent = Vec::new();
             for queued in batch {
-                // The set-up is of its moment: this process may have stood still since it was decided.
-                let now = Point::at(links.clock.now());
-                if queued.not_after.is_some_and(|until| now > until) {
+                // The time limit is checked again here, since the process may have stalled since the decision.
+                let now = Point::at(context.clock.now());
+                if queued.not_after.is_some_and(|not_after| now > not_after) {
                     unsent.extend(queued.shot);
                     continue;
                 }
                 if let ControllerMessage::SetUp(set_up) = &queued.order {
-                    links.tap.record(TapEvent::AttemptSent {
+                    context.tap.record(TapEvent::AttemptSent {
                         request_id: set_up.ask.clone(),
                         attempt: set_up.shot,
-                        streamer: streamer.clone(),
+                        streamer: name.clone(),
                         class: set_up.lane.clone(),
                         title: set_up.title.clone(),
                         rung: set_up.rung as usize,
@@ -80,23 +86,25 @@
                     return;
                 }
             }
-            if sink.flush().await.is_err() || report(Happened::Wrote { at, dial, unsent }).await.is_err() {
+            if sink.flush().await.is_err()
+                || report(Event::BatchWritten { streamer, dial, unsent }).await.is_err()
+            {
                 return;
             }
         }
-        // Told to hang up: what is still in the buffer goes out if it can.
-        let _ = timeout(Duration::from_millis(100), sink.close()).await;
+        // The driver closed the connection: buffered messages are still written if that is possible in time.
+        let _ = timeout(CLOSE_TIMEOUT, sink.close()).await;
     };
     let reader = async {
         loop {
             match stream.next().await {
-                Some(Ok(told)) => {
-                    if report(Happened::Told { at, dial, told }).await.is_err() {
+                Some(Ok(message)) => {
+                    if report(Event::MessageReceived { streamer, dial, message }).await.is_err() {
                         return false;
                     }
                 }
                 Some(Err(e)) => {
-                    tracing::warn!(target: "link", streamer, error = %e, "link closed");
+                    tracing::warn!(target: "link", streamer = name, error = %e, "link closed");
                     return e.kind() == ErrorKind::ConnectionReset;
                 }
                 None => return true,
@@ -107,38 +115,40 @@
         () = writer => false,
         by_streamer = reader => by_streamer,
     };
-    let _ = report(Happened::Lost { at, dial, by_streamer }).await;
+    let _ = report(Event::LinkLost { streamer, dial, by_streamer }).await;
 }
 
-type End = Framed<TcpStream, ControllerCodec>;
+type FramedLink = Framed<TcpStream, ControllerCodec>;
 
-async fn greet(links: &Links, streamer: &str, address: &str) -> std::io::Result<(End, f64)> {
+/// Connects and performs the handshake. Returns the connection, and the streamer's start time by its own clock.
+async fn connect(context: &LinkContext, name: &str, address: &str) -> std::io::Result<(FramedLink, f64)> {
     let socket = TcpStream::connect(address).await?;
     socket.set_nodelay(true)?;
     let mut framed = Framed::new(socket, ControllerCodec::default());
     framed
         .send(ControllerMessage::Hello(Hello {
             version: PROTOCOL_VERSION,
-            controller: links.me,
-            run: links.run,
+            controller: context.controller,
+            run: context.run_id,
         }))
         .await?;
     match framed.next().await {
         Some(Ok(StreamerMessage::Welcome(welcome))) if welcome.version == PROTOCOL_VERSION => {
-            // An address may have passed to another process since the list was written.
-            if welcome.streamer != streamer {
-                return Err(std::io::Error::other(format!("it is {}, not {streamer}", welcome.streamer)));
+            // Another process may use the address now, if the list is outdated.
+            if welcome.streamer != name {
+                let problem = format!("the streamer is {} instead of {name}", welcome.streamer);
+                return Err(std::io::Error::other(problem));
             }
             Ok((framed, welcome.started))
         }
         Some(Ok(StreamerMessage::Welcome(welcome))) => {
-            let what = format!(
-                "it speaks version {} of the link, this controller {PROTOCOL_VERSION}",
+            let problem = format!(
+                "the streamer has version {} of the link's protocol, this controller version {PROTOCOL_VERSION}",
                 welcome.version
             );
-            Err(std::io::Error::other(what))
+            Err(std::io::Error::other(problem))
         }
-        Some(Ok(_)) => Err(std::io::Error::other("its first word is no welcome")),
+        Some(Ok(_)) => Err(std::io::Error::other("the streamer's first message is not a welcome")),
         Some(Err(e)) => Err(e),
         None => Err(std::io::ErrorKind::UnexpectedEof.into()),
     }
--- a/crates/lemontide-standin/tests/shedding.rs
+++ b/crates/lemontide-standin/tests/shedding.rs
@@ -1,7 +1,7 @@
 //! Limits of the controller over real sockets: the doorway, bounds of connections, slow and stuck players.
 
-use lemontide_front::events::State;
-use lemontide_front::front::Front;
+use lemontide_front::events::ControllerState;
+use lemontide_front::server::ControllerServer;
 use lemontide_front::settings::Settings;
 use lemontide_wire::list::StreamerList;
 use serde_json::json;
@@ -14,7 +14,7 @@
 const SOON: Duration = Duration::from_secs(10);
 
 /// A controller without streamers; `change` sets its limits.
-async fn start(change: impl Fn(&mut Settings)) -> (Front, tempfile::TempDir) {
+async fn start(change: impl Fn(&mut Settings)) -> (ControllerServer, tempfile::TempDir) {
     let folder = tempfile::tempdir().expect("a folder");
     let list = folder.path().join("list.json");
     std::fs::write(&list, serde_json::to_vec(&StreamerList { version: 1, streamers: vec![] }).expect("JSON"))
@@ -34,15 +34,15 @@
     let mut settings: Settings = serde_json::from_value(settings).expect("the settings are valid");
     change(&mut settings);
     settings.check().expect("they fit each other");
-    (Front::start(settings).await.expect("it starts"), folder)
+    (ControllerServer::start(settings).await.expect("it starts"), folder)
 }
 
-async fn stop(front: Front) {
+async fn stop(front: ControllerServer) {
     tokio::task::spawn_blocking(move || front.stop()).await.expect("it stops");
 }
 
 /// A controller whose memory is past its limit from the start, once its gauges were read.
-async fn full(allowed: bool) -> (Front, tempfile::TempDir) {
+async fn full(allowed: bool) -> (ControllerServer, tempfile::TempDir) {
     let started = start(|settings| {
         settings.retry_after.allowed = allowed;
         let shedding = json!({"delay_s": 5.0, "cores": 64, "memory_bytes": 1, "files": 1e6});
@@ -93,7 +93,7 @@
     TcpStream::connect(to).await.expect("it listens")
 }
 
-async fn state(to: SocketAddr) -> State {
+async fn state(to: SocketAddr) -> ControllerState {
     let mut socket = connect(to).await;
     socket.write_all(b"GET /v1/state HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("it takes bytes");
     let text = answer(&mut socket).await;
@@ -130,7 +130,7 @@
     let state = state(front.address).await;
     // The two parts may have come as one.
     assert_eq!(state.shed, 5);
-    assert!(state.shed_at_the_door >= 3, "{}", state.shed_at_the_door);
+    assert!(state.shed_by_hint >= 3, "{}", state.shed_by_hint);
     stop(front).await;
 }
 
--- a/crates/lemontide-standin/tests/sockets.rs
+++ b/crates/lemontide-standin/tests/sockets.rs
@@ -1,7 +1,7 @@
 //! The controller over real sockets on loopback, against odd players and odd streamers.
 
 use futures::{SinkExt, StreamExt};
-use lemontide_front::front::Front;
+use lemontide_front::server::ControllerServer;
 use lemontide_front::settings::Settings;
 use lemontide_standin::day::Day;
 use lemontide_standin::streamer::Fleet;
@@ -59,11 +59,11 @@
 }
 
 /// A controller with one streamer that the test plays itself; its first link, greeted.
-async fn start() -> (Front, tempfile::TempDir, TcpListener, Framed<TcpStream, StreamerCodec>) {
+async fn start() -> (ControllerServer, tempfile::TempDir, TcpListener, Framed<TcpStream, StreamerCodec>) {
     let folder = tempfile::tempdir().expect("a folder is to be had");
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback is there");
     list(folder.path(), 1, listener.local_addr().expect("it is bound"), StreamerState::Ready);
-    let front = Front::start(settings(folder.path())).await.expect("it starts");
+    let front = ControllerServer::start(settings(folder.path())).await.expect("it starts");
     let link = link(&listener).await;
     (front, folder, listener, link)
 }
@@ -222,7 +222,7 @@
     let fleet = Fleet::start(&day, clock, Tap::disabled(clock), None).await.expect("loopback is there");
     // What answers there is s1.
     list(folder.path(), 1, fleet.addresses[1], StreamerState::Ready);
-    let front = Front::start(settings(folder.path())).await.expect("it starts");
+    let front = ControllerServer::start(settings(folder.path())).await.expect("it starts");
     let text = answer(send(front.address, POST, &wish("free")).await).await;
     assert!(text.starts_with("HTTP/1.1 503"), "{text}");
     tokio::task::spawn_blocking(move || front.stop()).await.expect("it stops");
@@ -256,7 +256,7 @@
         let shedding = json!({"delay_s": 5.0, "cores": 64, "memory_bytes": memory_bytes, "files": 1e6});
         let mut settings = settings(folder.path());
         settings.shedding = Some(serde_json::from_value(shedding).expect("it is valid"));
-        let front = Front::start(settings).await.expect("it starts");
+        let front = ControllerServer::start(settings).await.expect("it starts");
         let mut link = link(&listener).await;
         // The gauges are read every tenth of a second.
         tokio::time::sleep(Duration::from_millis(300)).await;
