--- a/crates/lemontide-front/src/connections.rs
+++ b/crates/lemontide-front/src/connections.rs
@@ -1,5 +1,6 @@
-//! Connections of players: the registry with its limits, the accept loop, timeouts of idle and stuck connections, and
-//! rejection of requests before the HTTP stack parses them. The decisions are made in `lemontide-shed` and in `core`.
+//! Connections of players: the registry with its limits, the accept loop, timeouts of idle and stuck
+//! connections, and rejection of requests before the HTTP stack parses them. The decisions are made in
+//! `lemontide-shed` and in `core`.
 
 use crate::core::{Doorway, Pass};
 use crate::delivery::ResponseDelivery;
@@ -35,20 +36,21 @@
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Size of the read buffer that is used until the connection has an HTTP stack.
 const FIRST_READ_BYTES: usize = 2048;
-/// Interim response that probes a player which has closed its sending half. Such a player can still be waiting for the
-/// response, and ignores the interim one. If it has closed the whole connection its system answers with a reset, which is
-/// checked for at this interval.
+/// Interim response that probes a player which has closed its sending half. Such a player can still be
+/// waiting for the response, and ignores the interim one. If it has closed the whole connection its system
+/// answers with a reset, which is checked for at this interval.
 const INTERIM_RESPONSE: &[u8] = b"HTTP/1.1 102 Processing\r\n\r\n";
 const HALF_CLOSED_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Minimum time between two updates of a connection's idle time in the registry while its requests are rejected.
+/// Minimum time between two updates of a connection's idle time in the registry while its requests are
+/// rejected.
 const IDLE_UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Limits of the HTTP stack.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpLimits {
     pub connections: ConnectionLimits,
-    /// The time in which a request must arrive, the time that a connection can be idle, and the time that a write can be
-    /// stuck.
+    /// The time in which a request must arrive, the time that a connection can be idle, and the time that a
+    /// write can be stuck.
     pub request_timeout: Duration,
     pub idle_timeout: Duration,
     pub write_timeout: Duration,
@@ -94,7 +96,8 @@
     }
 }
 
-/// The hint that a request was admitted by, as an extension of the request. Its body must agree with the hint.
+/// The hint that a request was admitted by, as an extension of the request. Its body must agree with the
+/// hint.
 #[derive(Clone, Debug)]
 pub struct AdmittedHint(pub RequestHint);
 
@@ -128,7 +131,8 @@
     }
 }
 
-/// The accept loop: accepts connections within their limits and serves the routes on them, for as long as it is polled.
+/// The accept loop: accepts connections within their limits and serves the routes on them, for as long as it
+/// is polled.
 pub async fn accept_loop(
     listener: TcpListener,
     routes: Router,
@@ -164,7 +168,8 @@
             admitted_hint: Mutex::default(),
             delivery: Mutex::default(),
         });
-        // The lock is held while the task starts, so that a task that ends at once still finds its entry to remove.
+        // The lock is held while the task starts, so that a task that ends at once still finds its entry to
+        // remove.
         let mut tasks = lock(&registry.tasks);
         let task = tokio::spawn(serve(socket, routes.clone(), limits, connection, overload.clone()));
         tasks.insert(id, task.abort_handle());
@@ -190,8 +195,8 @@
         async move {
             let mut response = call.await?;
             *lock(&shared.delivery) = response.extensions_mut().remove::<ResponseDelivery>();
-            // The end of a body of unknown length can't be detected in the socket, so such a connection stays in this
-            // state until its next request.
+            // The end of a body of unknown length can't be detected in the socket, so such a connection stays
+            // in this state until its next request.
             let has_known_length = response.body().size_hint().exact().is_some();
             shared.state.store(if has_known_length { RESPONDING } else { STREAMING }, Ordering::Relaxed);
             Ok::<_, std::convert::Infallible>(response)
@@ -211,8 +216,8 @@
         limits,
         connection,
     };
-    // The HTTP stack is created for the first request that is admitted; connections whose requests are all rejected never
-    // need one.
+    // The HTTP stack is created for the first request that is admitted; connections whose requests are all
+    // rejected never need one.
     let mut bytes = [0; FIRST_READ_BYTES];
     let length = std::future::poll_fn(|cx| {
         let mut buf = ReadBuf::new(&mut bytes);
@@ -221,8 +226,8 @@
     });
     let Ok(length @ 1..) = length.await else { return };
     socket.first_bytes.extend_from_slice(&bytes[..length]);
-    // The timeouts of heads and of idle connections are in `PlayerSocket`, which also sees the requests that are rejected
-    // before the HTTP stack.
+    // The timeouts of heads and of idle connections are in `PlayerSocket`, which also sees the requests that
+    // are rejected before the HTTP stack.
     let served = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(None)
@@ -256,12 +261,14 @@
     overload: Option<Arc<OverloadControl>>,
     /// The rest of a rejection that the socket has not accepted yet.
     unsent: Vec<u8>,
-    /// When the connection became idle or began to receive, and when its idle time was last updated in the registry.
+    /// When the connection became idle or began to receive, and when its idle time was last updated in the
+    /// registry.
     state_since: Instant,
     idle_updated_at: Instant,
     read_timer: Pin<Box<Sleep>>,
     write_timer: Option<Pin<Box<Sleep>>>,
-    /// Once the player has closed its sending half: when to check next whether it has closed the whole connection.
+    /// Once the player has closed its sending half: when to check next whether it has closed the whole
+    /// connection.
     half_closed_timer: Option<Pin<Box<Sleep>>>,
     limits: HttpLimits,
     connection: Arc<ConnectionGuard>,
@@ -272,7 +279,8 @@
         self.connection.state.load(Ordering::Relaxed)
     }
 
-    /// Ready with an error when the connection has been idle for too long or its request takes too long to arrive.
+    /// Ready with an error when the connection has been idle for too long or its request takes too long to
+    /// arrive.
     fn poll_read_timeout(&mut self, cx: &mut Context<'_>) -> Poll<io::Error> {
         let allowed = match self.state() {
             RECEIVING => self.limits.request_timeout,
@@ -298,8 +306,8 @@
         matches!(self.state(), HANDLING | RESPONDING)
     }
 
-    /// Handles a player that has closed its sending half: ready with the end of the stream once no response is due, or
-    /// with an error if the player has closed the whole connection.
+    /// Handles a player that has closed its sending half: ready with the end of the stream once no response
+    /// is due, or with an error if the player has closed the whole connection.
     fn poll_half_closed(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if !self.owes_response() {
             return Poll::Ready(Ok(()));
@@ -320,8 +328,8 @@
         Poll::Pending
     }
 
-    /// Applies the write timeout to the result of a write, so that a player that reads nothing can't keep its connection
-    /// forever.
+    /// Applies the write timeout to the result of a write, so that a player that reads nothing can't keep its
+    /// connection forever.
     fn with_write_timeout<T>(
         &mut self,
         cx: &mut Context<'_>,
@@ -440,7 +448,8 @@
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         ready!(this.poll_write_unsent(cx))?;
-        // The HTTP stack flushes once it has written everything, so a response of known length is complete here.
+        // The HTTP stack flushes once it has written everything, so a response of known length is complete
+        // here.
         if this.state() == RESPONDING {
             lock(&this.connection.delivery).take().into_iter().for_each(|delivery| delivery.mark_delivered());
             this.doorway.answered();
--- a/crates/lemontide-front/src/delivery.rs
+++ b/crates/lemontide-front/src/delivery.rs
@@ -1,5 +1,5 @@
-//! Delivery of a response to the player's socket. If it never happens, the deciding thread gets an event that the player
-//! left, so that no session is set up or keeps playing without a player.
+//! Delivery of a response to the player's socket. If it never happens, the deciding thread gets an event that
+//! the player left, so that no session is set up or keeps playing without a player.
 
 use crate::events::Event;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,8 +7,8 @@
 use tokio::runtime::Handle;
 use tokio::sync::mpsc;
 
-/// Delivery of the response to one request, shared by all clones. If the last clone is dropped before `mark_delivered` was
-/// called, it reports that the player left.
+/// Delivery of the response to one request, shared by all clones. If the last clone is dropped before
+/// `mark_delivered` was called, it reports that the player left.
 #[derive(Clone)]
 pub struct ResponseDelivery(Arc<DeliveryState>);
 
--- a/crates/lemontide-front/src/events.rs
+++ b/crates/lemontide-front/src/events.rs
@@ -1,4 +1,5 @@
-//! Events and requests that the tasks of the sockets send to the deciding thread, and the state that a controller reports.
+//! Events and requests that the tasks of the sockets send to the deciding thread, and the state that a
+//! controller reports.
 
 use crate::core::{InFleet, Refusal};
 use lemontide::clock::Point;
@@ -29,8 +30,8 @@
     pub reply: oneshot::Sender<Result<PlayerResponse, Refusal>>,
 }
 
-/// An event for the deciding thread, other than a new request. `streamer` is the index of a streamer in the driver, and
-/// `dial` the number of the connection to it.
+/// An event for the deciding thread, other than a new request. `streamer` is the index of a streamer in the
+/// driver, and `dial` the number of the connection to it.
 pub enum Event {
     /// The handshake with a streamer succeeded.
     LinkUp {
@@ -46,7 +47,8 @@
         /// The streamer closed or reset the connection.
         by_streamer: bool,
     },
-    /// A batch of messages was written, without the attempts in `unsent`, which were too late (session and attempt).
+    /// A batch of messages was written, without the attempts in `unsent`, which were too late (session and
+    /// attempt).
     BatchWritten { streamer: usize, dial: u64, unsent: Vec<(u32, u32)> },
     /// A streamer sent a message.
     MessageReceived { streamer: usize, dial: u64, message: StreamerMessage },
@@ -64,8 +66,8 @@
     ReleaseMemory { history: bool },
     /// How far other controllers report streamers as failing, from 0 to 1, by name.
     PeerSuspicions(Vec<(String, f64)>),
-    /// Numbers that other controllers hold, each with the time since which no running controller holds it, or none if one
-    /// does.
+    /// Numbers that other controllers hold, each with the time since which no running controller holds it, or
+    /// none if one does.
     PeersChanged(BTreeMap<u32, Option<Point>>),
 }
 
@@ -87,8 +89,8 @@
     pub streamers: usize,
     pub links_up: usize,
     pub stopping: bool,
-    /// Requests that were shed because the controller was near its own limit, and the level of load: 0 is idle, 1 is the
-    /// limit.
+    /// Requests that were shed because the controller was near its own limit, and the level of load: 0 is
+    /// idle, 1 is the limit.
     pub shed: u64,
     #[serde(rename = "level")]
     pub load_level: f64,
--- a/crates/lemontide-front/src/gossip.rs
+++ b/crates/lemontide-front/src/gossip.rs
@@ -1,5 +1,5 @@
-//! Gossip with other controllers: sends and receives the datagrams over UDP. `lemontide-gossip` implements the protocol;
-//! the decision module uses its results.
+//! Gossip with other controllers: sends and receives the datagrams over UDP. `lemontide-gossip` implements
+//! the protocol; the decision module uses its results.
 
 use crate::events::Event;
 use crate::settings::{read_json, GossipSettings};
@@ -22,7 +22,8 @@
 /// Maximum number of queued observations and of queued requests for the view.
 const MAX_QUEUED_OBSERVATIONS: usize = 4096;
 const MAX_QUEUED_VIEW_REQUESTS: usize = 16;
-/// Timeout of a probe as a part of the probe period, and number of periods between two syncs with a dead member.
+/// Timeout of a probe as a part of the probe period, and number of periods between two syncs with a dead
+/// member.
 const PROBE_TIMEOUT_PART: f64 = 0.3;
 const SYNC_INTERVAL_PERIODS: f64 = 3.0;
 /// How often the results are sent to the deciding thread.
@@ -103,7 +104,8 @@
                 ..Timing::default()
             },
             bytes_per_s: settings.bytes_per_s,
-            // Random, so that it differs from that of every earlier process of this instance whatever the clock says.
+            // Random, so that it differs from that of every earlier process of this instance whatever the
+            // clock says.
             boot_id: rand::random(),
             rng_seed,
         },
@@ -135,7 +137,8 @@
     loop {
         let now = || Point::at(clock.now());
         let next_tick_at = clock.instant(crate::core::seconds(node.next_tick_at()));
-        // A tick can leave work undone, for example for lack of bytes. The minimum delay avoids a busy loop then.
+        // A tick can leave work undone, for example for lack of bytes. The minimum delay avoids a busy loop
+        // then.
         let wake_at = Instant::from_std(next_tick_at)
             .max(Instant::now() + Duration::from_millis(5))
             .min(next_report_at);
@@ -150,7 +153,8 @@
                     node.record_outcome(now(), &observation.streamer, observation.succeeded);
                 }
                 Some(reply) = views_requested.recv() => { let _ = reply.send(node.view(now())); }
-                // Announces an orderly stop, so that the other members don't have to wait for a suspicion to expire.
+                // Announces an orderly stop, so that the other members don't have to wait for a suspicion to
+                // expire.
                 Ok(()) = stopped.changed(), if !*stopped.borrow() => node.leave(now()),
                 _ = hangup_signal.recv() => match read_keys(&settings) {
                     Ok((own_key, keyring)) => node.set_keys(own_key, keyring),
--- a/crates/lemontide-front/src/http.rs
+++ b/crates/lemontide-front/src/http.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 for players. Each request to play gets exactly one response; a player that disconnects is noticed at once.
+//! HTTP/1.1 for players. Each request to play gets exactly one response; a player that disconnects is noticed
+//! at once.
 
 use crate::connections::{accept_loop, AdmittedHint, ConnectionRegistry, HttpLimits};
 use crate::core::Refusal;
@@ -68,7 +69,8 @@
 
 /// A waiting time far above every deadline.
 const NO_DEADLINE_S: f64 = 1e6;
-/// Connections that the system queues until they are accepted. A player beyond them tries again after a second.
+/// Connections that the system queues until they are accepted. A player beyond them tries again after a
+/// second.
 const ACCEPT_BACKLOG: u32 = 512;
 const NEAR_LIMIT: &str = "the controller is near its limit";
 
@@ -135,13 +137,15 @@
         .with_state(state);
     let limits = http_limits(settings);
     tokio::spawn(async move {
-        // Requests that arrive while the controller stops are answered, too; so the listener stays open until the end.
+        // Requests that arrive while the controller stops are answered, too; so the listener stays open until
+        // the end.
         let _stopped = stopped;
         accept_loop(listener, routes, limits, connections, overload).await;
     });
 }
 
-/// A request that is held for a moment. If it is dropped before it was decided on again, its player has disconnected.
+/// A request that is held for a moment. If it is dropped before it was decided on again, its player has
+/// disconnected.
 struct HeldRequest<'a>(Option<&'a OverloadControl>);
 
 impl Drop for HeldRequest<'_> {
@@ -261,7 +265,8 @@
     }
 }
 
-/// The CMCD of a request, from its headers, or else from the `CMCD` argument of the query, or else from the body.
+/// The CMCD of a request, from its headers, or else from the `CMCD` argument of the query, or else from the
+/// body.
 fn parse_cmcd(headers: &HeaderMap, query: Option<&str>, request: &PlayRequest) -> Cmcd {
     let values: Vec<&[u8]> = cmcd::HEADER_NAMES
         .iter()
--- a/crates/lemontide-front/src/link.rs
+++ b/crates/lemontide-front/src/link.rs
@@ -1,5 +1,5 @@
-//! One connection to a streamer: connects, performs the handshake, writes the driver's messages and passes received ones
-//! on. It makes no decisions; each of its events has the number of the connection.
+//! One connection to a streamer: connects, performs the handshake, writes the driver's messages and passes
+//! received ones on. It makes no decisions; each of its events has the number of the connection.
 
 use crate::core::Queued;
 use crate::events::Event;
@@ -41,7 +41,8 @@
     pub address: String,
 }
 
-/// Runs one connection until it ends. `batches` are the messages to write; the connection is closed when their channel is.
+/// Runs one connection until it ends. `batches` are the messages to write; the connection is closed when
+/// their channel is.
 pub async fn run(context: LinkContext, target: LinkTarget, mut batches: mpsc::Receiver<Vec<Queued>>) {
     let LinkTarget { streamer, dial, name, address } = target;
     let report = |event| context.events.send(event);
@@ -66,7 +67,8 @@
         while let Some(batch) = batches.recv().await {
             let mut unsent = Vec::new();
             for queued in batch {
-                // The time limit is checked again here, since the process may have stalled since the decision.
+                // The time limit is checked again here, since the process may have stalled since the
+                // decision.
                 let now = Point::at(context.clock.now());
                 if queued.not_after.is_some_and(|not_after| now > not_after) {
                     unsent.extend(queued.shot);
@@ -120,7 +122,8 @@
 
 type FramedLink = Framed<TcpStream, ControllerCodec>;
 
-/// Connects and performs the handshake. Returns the connection, and the streamer's start time by its own clock.
+/// Connects and performs the handshake. Returns the connection, and the streamer's start time by its own
+/// clock.
 async fn connect(context: &LinkContext, name: &str, address: &str) -> std::io::Result<(FramedLink, f64)> {
     let socket = TcpStream::connect(address).await?;
     socket.set_nodelay(true)?;
--- a/crates/lemontide-front/src/list_source.rs
+++ b/crates/lemontide-front/src/list_source.rs
@@ -10,15 +10,15 @@
 /// Maximum size of a list; a larger file is ignored.
 const MAX_LIST_BYTES: u64 = 16 << 20;
 
-/// A source of lists. It lasts as long as the controller and handles its errors itself: while it has an error the list
-/// does not change.
+/// A source of lists. It lasts as long as the controller and handles its errors itself: while it has an error
+/// the list does not change.
 pub trait ListSource: Send + 'static {
     /// The next list that differs from the last one.
     fn next(&mut self) -> impl Future<Output = StreamerList> + Send;
 }
 
-/// A JSON file that is replaced or rewritten when the list changes. While it can't be parsed, for example because it is
-/// only partly written, the last list remains in use.
+/// A JSON file that is replaced or rewritten when the list changes. While it can't be parsed, for example
+/// because it is only partly written, the last list remains in use.
 pub struct ListFile {
     path: PathBuf,
     /// Modification time and size of the file when it was last parsed.
--- a/crates/lemontide-front/src/overload_control.rs
+++ b/crates/lemontide-front/src/overload_control.rs
@@ -1,5 +1,6 @@
-//! Overload control: measures this process and lets the load shedder decide on each new request. The figures come from
-//! `/proc`, from the event loop of the sockets and from the deciding thread; `lemontide-shed` interprets them.
+//! Overload control: measures this process and lets the load shedder decide on each new request. The figures
+//! come from `/proc`, from the event loop of the sockets and from the deciding thread; `lemontide-shed`
+//! interprets them.
 
 use crate::events::Event;
 use crate::request_queue::SharedRequestQueue;
@@ -20,13 +21,13 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// How often the lag of the event loop is measured, and every how many times `/proc` is read, which costs tens of
-/// microseconds.
+/// How often the lag of the event loop is measured, and every how many times `/proc` is read, which costs
+/// tens of microseconds.
 const TICK: Duration = Duration::from_millis(10);
 const TICKS_PER_READING: u32 = 5;
 
-/// Decides on new requests before the driver does, if the settings have load shedding. Shared by the sockets and the
-/// deciding thread.
+/// Decides on new requests before the driver does, if the settings have load shedding. Shared by the sockets
+/// and the deciding thread.
 pub struct OverloadControl {
     clock: Clock,
     shedder: Mutex<LoadShedder>,
@@ -93,7 +94,8 @@
         Point::at(received_at_s) + requested.min(deadline) - Point::at(now_s)
     }
 
-    /// Decides on a request by its hint, before it is parsed. If it is rejected, returns the time to retry after.
+    /// Decides on a request by its hint, before it is parsed. If it is rejected, returns the time to retry
+    /// after.
     pub fn reject_by_hint(&self, hint: &RequestHint) -> Option<Span> {
         // The driver rejects unknown classes.
         let class = self.classes.iter().position(|(name, _)| *name == hint.class)?;
@@ -168,8 +170,8 @@
         self.shedder().rejected_total()
     }
 
-    /// Measures the process and frees memory if it is short, with `close_idle` and with an event to the driver. Ends with
-    /// the deciding thread.
+    /// Measures the process and frees memory if it is short, with `close_idle` and with an event to the
+    /// driver. Ends with the deciding thread.
     pub async fn run(
         self: Arc<Self>,
         queue: Arc<SharedRequestQueue>,
@@ -188,7 +190,8 @@
                 continue;
             }
             if ticks < TICKS_PER_READING {
-                // The event loop lags already: report this at once, and the other figures at their usual time.
+                // The event loop lags already: report this at once, and the other figures at their usual
+                // time.
                 self.shedder().observe(
                     Point::at(self.clock.now()),
                     Resource::EventLoopLag,
@@ -217,7 +220,8 @@
                     readings.push((Resource::Cpu, cores / self.cpu_cores));
                 }
             }
-            // A figure that can't be read is not reported; the shedder takes the age of its last value into account.
+            // A figure that can't be read is not reported; the shedder takes the age of its last value into
+            // account.
             if let Ok(process) = Process::myself() {
                 if let Ok(stat) = process.stat() {
                     let resident_bytes = (stat.rss * procfs::page_size()) as f64;
--- a/crates/lemontide-front/src/request_queue.rs
+++ b/crates/lemontide-front/src/request_queue.rs
@@ -1,5 +1,5 @@
-//! The queue of new requests between the sockets and the deciding thread: the `RequestQueue` of `lemontide-shed`, shared
-//! by all tasks.
+//! The queue of new requests between the sockets and the deciding thread: the `RequestQueue` of
+//! `lemontide-shed`, shared by all tasks.
 
 use crate::events::NewRequest;
 use lemontide::clock::Point;
@@ -76,7 +76,8 @@
         self.state().queue.set_ranks(ranks, shares);
     }
 
-    /// Length as a part of the limit, and the time at which the oldest waiting request was received, in seconds.
+    /// Length as a part of the limit, and the time at which the oldest waiting request was received, in
+    /// seconds.
     pub fn fill_ratio_and_oldest(&self) -> (f64, Option<f64>) {
         let state = self.state();
         let oldest = state.queue.heads().map(|request| request.received_at_s).reduce(f64::min);
--- a/crates/lemontide-front/src/server.rs
+++ b/crates/lemontide-front/src/server.rs
@@ -1,5 +1,5 @@
-//! Starts a controller and runs its deciding thread. The tasks of the runtime do the I/O. The deciding thread gets events
-//! and new requests from them over two bounded queues, and carries out the effects of the driver.
+//! Starts a controller and runs its deciding thread. The tasks of the runtime do the I/O. The deciding thread
+//! gets events and new requests from them over two bounded queues, and carries out the effects of the driver.
 
 use crate::connections::ConnectionRegistry;
 use crate::core::{seconds, Driver, Effect, Queued, Refusal};
@@ -48,8 +48,8 @@
 }
 
 impl ControllerServer {
-    /// Starts the controller on the current runtime. It fails if the address is in use, the tap can't be written, or a
-    /// thread can't be started.
+    /// Starts the controller on the current runtime. It fails if the address is in use, the tap can't be
+    /// written, or a thread can't be started.
     pub async fn start(settings: Settings) -> io::Result<ControllerServer> {
         let clock = Clock::start();
         let tap = match &settings.tap {
@@ -114,8 +114,8 @@
         }
         let path = http::RequestPath { clock, queue: queue.clone(), overload: overload.clone(), connections };
         http::serve(listener, &settings, path, events, stopped.clone(), gossip_views);
-        // The links have a thread of their own, so that messages to streamers are written in time under any load of
-        // players.
+        // The links have a thread of their own, so that messages to streamers are written in time under any
+        // load of players.
         let link_runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .thread_name("links")
@@ -152,8 +152,8 @@
         Ok(ControllerServer { address, stop, deciding_thread })
     }
 
-    /// Accepts no new requests, waits for sessions to end within the time of the settings, ends the remaining ones and
-    /// returns. Blocks.
+    /// Accepts no new requests, waits for sessions to end within the time of the settings, ends the remaining
+    /// ones and returns. Blocks.
     pub fn stop(self) {
         let _ = self.stop.send(true);
         let _ = self.deciding_thread.join();
@@ -190,7 +190,8 @@
         let mut has_more_requests = false;
         let queue = self.queue.clone();
         loop {
-            // With requests in the queue the loop does not wait, but events of existing sessions are still received first.
+            // With requests in the queue the loop does not wait, but events of existing sessions are still
+            // received first.
             let wake_at = if has_more_requests { self.now() } else { self.driver.next() };
             let wake_at = self.link_context.clock.instant(seconds(wake_at));
             let mut events = Vec::new();
--- a/crates/lemontide-front/src/settings.rs
+++ b/crates/lemontide-front/src/settings.rs
@@ -1,5 +1,6 @@
-//! The settings file of a controller, as JSON with a published schema. It is read and checked once at start; an error
-//! names the file, the path of the value and how to fix it. The decision module gets the values as a flat map.
+//! The settings file of a controller, as JSON with a published schema. It is read and checked once at start;
+//! an error names the file, the path of the value and how to fix it. The decision module gets the values as a
+//! flat map.
 
 use crate::core::{Shared, Terms};
 use lemontide::clock::Span;
@@ -16,8 +17,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Address that the controller listens on for players. With port 0 the system picks a free port, which is printed
-    /// at start.
+    /// Address that the controller listens on for players. With port 0 the system picks a free port, which is
+    /// printed at start.
     pub listen: SocketAddr,
     /// This controller's number, from 0, and the number of controllers.
     #[serde(rename = "me")]
@@ -65,11 +66,13 @@
     /// Gossip with other controllers. If absent, which is the default, nothing is shared.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub gossip: Option<GossipSettings>,
-    /// How this controller divides turns and streamers with the other controllers, by number. If absent, which is the
-    /// default, each controller only ever has its own turn, even if others are missing, and a link to every streamer.
+    /// How this controller divides turns and streamers with the other controllers, by number. If absent,
+    /// which is the default, each controller only ever has its own turn, even if others are missing, and a
+    /// link to every streamer.
     #[serde(rename = "together", default, skip_serializing_if = "Option::is_none")]
     pub coordination: Option<CoordinationSettings>,
-    /// File that records the traffic at this controller's end of every socket, as JSON lines. No record if absent.
+    /// File that records the traffic at this controller's end of every socket, as JSON lines. No record if
+    /// absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tap: Option<PathBuf>,
 }
@@ -156,7 +159,8 @@
     pub cell_count: usize,
     #[serde(rename = "racks")]
     pub rack_count: usize,
-    /// Mean capacity of a rack's uplink, and capacity of a streamer's link per unit of its weight, in kB per second.
+    /// Mean capacity of a rack's uplink, and capacity of a streamer's link per unit of its weight, in kB per
+    /// second.
     #[serde(rename = "rack_kb")]
     pub uplink_kb_per_s: f64,
     #[serde(rename = "kb_per_weight")]
@@ -260,11 +264,13 @@
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Links")]
 pub struct LinkSettings {
-    /// Time allowed for connecting to a streamer and for the handshake; after it the streamer counts as unreachable.
+    /// Time allowed for connecting to a streamer and for the handshake; after it the streamer counts as
+    /// unreachable.
     pub dial_timeout_s: f64,
 }
 
-/// Resources that this process can use. Near these limits new requests are rejected, those with the least gain first.
+/// Resources that this process can use. Near these limits new requests are rejected, those with the least
+/// gain first.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Shedding")]
@@ -280,11 +286,12 @@
     /// Open files.
     #[serde(rename = "files")]
     pub open_files: f64,
-    /// Part of the admitted requests that is reserved for each class at any load, in the order of `lanes`; 0 for classes
-    /// that are left out.
+    /// Part of the admitted requests that is reserved for each class at any load, in the order of `lanes`; 0
+    /// for classes that are left out.
     #[serde(rename = "lane_shares", default)]
     pub class_shares: Vec<f64>,
-    /// How long a request that is only just not admitted can be held before it is decided on once more, in seconds.
+    /// How long a request that is only just not admitted can be held before it is decided on once more, in
+    /// seconds.
     #[serde(rename = "hold_s", default = "default_hold_s")]
     pub max_hold_s: f64,
     /// Maximum number of requests of one class in the queue; if absent, the limit of the whole queue.
@@ -307,7 +314,8 @@
     pub listen: SocketAddr,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub advertise: Option<SocketAddr>,
-    /// Probe period, in seconds: one member is probed in each. A lost member is detected after several periods.
+    /// Probe period, in seconds: one member is probed in each. A lost member is detected after several
+    /// periods.
     #[serde(default = "one")]
     pub period_s: f64,
     /// Members to contact at start.
@@ -316,8 +324,8 @@
     /// The file with this instance's secret key: 64 hex digits. It is read again on SIGHUP, as `keys` is.
     #[serde(rename = "secret")]
     pub secret_key_file: PathBuf,
-    /// The file with the public keys of all instances: an object of names to lists of 64 hex digits. During a key
-    /// rotation an instance has two keys.
+    /// The file with the public keys of all instances: an object of names to lists of 64 hex digits. During a
+    /// key rotation an instance has two keys.
     #[serde(rename = "keys")]
     pub public_keys_file: PathBuf,
     /// Networks that datagrams are accepted from.
@@ -352,8 +360,8 @@
 pub struct CoordinationSettings {
     #[serde(rename = "view", default)]
     pub membership_source: MembershipSource,
-    /// Maximum age of a view, in seconds: within this time every other controller has learned of one that started or
-    /// stopped.
+    /// Maximum age of a view, in seconds: within this time every other controller has learned of one that
+    /// started or stopped.
     #[serde(rename = "oldest_s", default = "default_view_age_s")]
     pub max_view_age_s: f64,
     /// Maximum difference between the clocks of two controllers, in seconds.
@@ -399,8 +407,8 @@
     /// Length of an address prefix that identifies a network, in bits.
     pub network_bits_v4: u8,
     pub network_bits_v6: u8,
-    /// Maximum number of requests in the queue. Beyond it the newest is rejected, unless shedding is on and a queued
-    /// request of lower rank can be rejected in its place.
+    /// Maximum number of requests in the queue. Beyond it the newest is rejected, unless shedding is on and a
+    /// queued request of lower rank can be rejected in its place.
     #[serde(rename = "waiting")]
     pub max_waiting_requests: usize,
     /// A connection without requests for this long is closed, and one that accepts no bytes for this long.
@@ -486,8 +494,8 @@
         Ok(settings)
     }
 
-    /// Checks what the schema can't express: that the values are consistent. Returns the first error, as the path of the
-    /// value and how to fix it.
+    /// Checks what the schema can't express: that the values are consistent. Returns the first error, as the
+    /// path of the value and how to fix it.
     pub fn check(&self) -> Result<(), (String, String)> {
         let fail = |path: &str, problem: &str| Err((path.to_owned(), problem.to_owned()));
         if self.controller_count == 0 || self.own_number >= self.controller_count {
--- a/crates/lemontide-wire/src/clock.rs
+++ b/crates/lemontide-wire/src/clock.rs
@@ -1,5 +1,6 @@
-//! The clock of a process: wall time at its start, advanced by the monotonic clock. All taps and all times passed to
-//! the decision code are in its seconds, so that records of processes on one machine can be compared.
+//! The clock of a process: wall time at its start, advanced by the monotonic clock. All taps and all times
+//! passed to the decision code are in its seconds, so that records of processes on one machine can be
+//! compared.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -23,8 +24,8 @@
         self.wall_start_s + self.started_at.elapsed().as_secs_f64()
     }
 
-    /// Converts a time of this clock, in seconds, for the timers of the runtime. A time in the past becomes now, and one
-    /// more than a day ahead becomes a day ahead.
+    /// Converts a time of this clock, in seconds, for the timers of the runtime. A time in the past becomes
+    /// now, and one more than a day ahead becomes a day ahead.
     pub fn instant(&self, at_s: f64) -> Instant {
         let ahead_s = (at_s - self.now()).clamp(0.0, 86_400.0);
         Instant::now() + std::time::Duration::from_secs_f64(ahead_s)
--- a/crates/lemontide-wire/src/cmcd.rs
+++ b/crates/lemontide-wire/src/cmcd.rs
@@ -1,11 +1,12 @@
-//! Common Media Client Data (CTA-5004) as typed values, from headers, the query or JSON. Unknown and custom keys are
-//! kept as text. A malformed key is skipped and counted; it never fails the request.
+//! Common Media Client Data (CTA-5004) as typed values, from headers, the query or JSON. Unknown and custom
+//! keys are kept as text. A malformed key is skipped and counted; it never fails the request.
 
 use serde_json::Value as Json;
 use sfv::{BareItem, Dictionary, ListEntry, Parser};
 use std::collections::BTreeMap;
 
-/// Maximum length of all CMCD fields of one request together, in bytes. A field beyond it is skipped as a whole.
+/// Maximum length of all CMCD fields of one request together, in bytes. A field beyond it is skipped as a
+/// whole.
 pub const MAX_CMCD_BYTES: usize = 4096;
 /// The four headers of CTA-5004, which divides the keys by how often their values change.
 pub const HEADER_NAMES: [&str; 4] = ["cmcd-request", "cmcd-object", "cmcd-status", "cmcd-session"];
@@ -139,8 +140,8 @@
         KeyResult::from_valid(value.is_some())
     }
 
-    /// The header form, with each key in the header that CTA-5004 assigns to it: `CMCD-Request`, `CMCD-Object` or
-    /// `CMCD-Session`.
+    /// The header form, with each key in the header that CTA-5004 assigns to it: `CMCD-Request`,
+    /// `CMCD-Object` or `CMCD-Session`.
     pub fn to_headers(&self) -> Vec<(&'static str, String)> {
         let mut headers = Vec::new();
         let mut request = Vec::new();
@@ -183,7 +184,8 @@
     }
 }
 
-/// A string in the syntax of structured fields (RFC 9651). Characters that are not allowed in it are left out.
+/// A string in the syntax of structured fields (RFC 9651). Characters that are not allowed in it are left
+/// out.
 fn structured_string(text: &str) -> String {
     let allowed: String = text.chars().filter(|c| (' '..='~').contains(c)).collect();
     format!("\"{}\"", allowed.replace('\\', "\\\\").replace('"', "\\\""))
@@ -206,7 +208,8 @@
     })
 }
 
-/// The percent-decoded value of the `CMCD` argument of a query. None if there is none or its encoding is invalid.
+/// The percent-decoded value of the `CMCD` argument of a query. None if there is none or its encoding is
+/// invalid.
 pub fn query_value(query: &str) -> Option<Vec<u8>> {
     let value = query.split('&').find_map(|pair| pair.strip_prefix("CMCD="))?;
     let mut bytes = value.bytes();
--- a/crates/lemontide-wire/src/cmsd.rs
+++ b/crates/lemontide-wire/src/cmsd.rs
@@ -1,5 +1,5 @@
-//! Common Media Server Data (CTA-5006): load reports of streamers, and hints in the responses to players. lemontide's
-//! own keys have a prefix, as the specification requires for custom keys.
+//! Common Media Server Data (CTA-5006): load reports of streamers, and hints in the responses to players.
+//! lemontide's own keys have a prefix, as the specification requires for custom keys.
 
 use sfv::{
     BareItem, Decimal, DictSerializer, Integer, KeyRef, List, ListEntry, ListSerializer, Parser, StringRef,
@@ -16,8 +16,8 @@
 /// Maximum length of a header value that is parsed.
 const MAX_CMSD_BYTES: usize = 2048;
 
-/// One server's entry of CMSD-Dynamic. It contains the load report: the number of streams that run or are being set
-/// up, and the demand on the link and on the rack's uplink as a part of their capacity.
+/// One server's entry of CMSD-Dynamic. It contains the load report: the number of streams that run or are
+/// being set up, and the demand on the link and on the rack's uplink as a part of their capacity.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CmsdDynamic {
     pub server: String,
@@ -31,7 +31,8 @@
 }
 
 impl CmsdDynamic {
-    /// Formats a list of one entry. Characters of the server name that a structured string can't contain are left out.
+    /// Formats a list of one entry. Characters of the server name that a structured string can't contain are
+    /// left out.
     pub fn to_header_value(&self) -> String {
         let name: String = self.server.chars().filter(|c| (' '..='~').contains(c)).collect();
         let mut list = ListSerializer::new();
@@ -58,7 +59,8 @@
         list.finish().unwrap_or_default()
     }
 
-    /// Parses the last entry of a list, which is that of the nearest server. None if the field is not a valid list.
+    /// Parses the last entry of a list, which is that of the nearest server. None if the field is not a valid
+    /// list.
     pub fn parse(field: &str) -> Option<CmsdDynamic> {
         if field.len() > MAX_CMSD_BYTES {
             return None;
@@ -90,7 +92,8 @@
     }
 }
 
-/// The value of CMSD-Static in the response for a playing session: encoded bitrate in kbit/s, video, live or on demand.
+/// The value of CMSD-Static in the response for a playing session: encoded bitrate in kbit/s, video, live or
+/// on demand.
 pub fn static_header_value(bitrate_kbps: u64, live: bool) -> String {
     let mut fields = DictSerializer::new();
     if let (Ok(key), Ok(kbps)) = (KeyRef::from_str("br"), Integer::try_from(bitrate_kbps.min(1 << 40))) {
--- a/crates/lemontide-wire/src/hint.rs
+++ b/crates/lemontide-wire/src/hint.rs
@@ -1,6 +1,6 @@
-//! `Lemontide-Wish`: a header in which a player may describe its request, so that a controller near its limit can
-//! reject it before it reads any further. A structured dictionary (RFC 9651):
-//! `lane=paid, tenant="office", returned, within=2.5`. The body must agree with it.
+//! `Lemontide-Wish`: a header in which a player can describe its request, so that a controller near its limit
+//! can reject it before it reads any further. The body must agree with the header. It is a structured dictionary
+//! (RFC 9651), for example `lane=paid, tenant="office", returned, within=2.5`.
 
 use sfv::{BareItem, Dictionary, ListEntry, Parser};
 
--- a/crates/lemontide-wire/src/link.rs
+++ b/crates/lemontide-wire/src/link.rs
@@ -20,8 +20,8 @@
 pub use to_controller::Body as StreamerMessage;
 pub use to_streamer::Body as ControllerMessage;
 
-/// Encodes `Out` and decodes `In`. A frame that is too long or malformed is an error. After an error the link must be
-/// closed, since the rest of the byte stream can't be trusted.
+/// Encodes `Out` and decodes `In`. A frame that is too long or malformed is an error. After an error the link
+/// must be closed, since the rest of the byte stream can't be trusted.
 pub struct Codec<Out, In> {
     frames: LengthDelimitedCodec,
     messages: PhantomData<(Out, In)>,
--- a/crates/lemontide-wire/src/list.rs
+++ b/crates/lemontide-wire/src/list.rs
@@ -1,4 +1,5 @@
-//! The list of streamers as it is stored in a file, with a version and the state and start time of each streamer.
+//! The list of streamers as it is stored in a file, with a version and the state and start time of each
+//! streamer.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -25,7 +26,8 @@
     pub address: String,
     pub zone: String,
     pub kind: String,
-    /// Its cell. A title is held by a number of cells in a row; the rack is the cell modulo the number of racks.
+    /// Its cell. A title is held by a number of cells in a row; the rack is the cell modulo the number of
+    /// racks.
     pub cell: usize,
     #[serde(rename = "stage")]
     pub state: StreamerState,
--- a/crates/lemontide-wire/src/play.rs
+++ b/crates/lemontide-wire/src/play.rs
@@ -93,8 +93,8 @@
     /// The streamer or the link to it was lost; the player should send a new request with `returned` set.
     #[serde(rename = "broken")]
     ConnectionLost,
-    /// The session was ended so that it can be placed elsewhere; the player should send a new request with `returned` set
-    /// at once.
+    /// The session was ended so that it can be placed elsewhere; the player should send a new request with
+    /// `returned` set at once.
     Moved,
     /// The player ended it.
     #[serde(rename = "left")]
--- a/crates/lemontide-wire/src/tap.rs
+++ b/crates/lemontide-wire/src/tap.rs
@@ -1,5 +1,5 @@
-//! Taps: records of what each socket endpoint saw, as JSON lines with times of one clock. They are the only input of the
-//! judge.
+//! Taps: records of what each socket endpoint saw, as JSON lines with times of one clock. They are the only
+//! input of the judge.
 
 use crate::clock::Clock;
 use crate::list::{ListEntry, StreamerState};
@@ -150,8 +150,8 @@
     LinkLost {
         streamer: String,
     },
-    /// Numbers of the missing controllers whose turns this one covers, until the given time or the next record of this
-    /// kind.
+    /// Numbers of the missing controllers whose turns this one covers, until the given time or the next
+    /// record of this kind.
     #[serde(rename = "stands")]
     TurnsCovered {
         #[serde(rename = "numbers")]
@@ -211,7 +211,8 @@
         class: String,
         rung: usize,
     },
-    /// What a session received in the last second: seconds played, and the part of its rate that was delivered.
+    /// What a session received in the last second: seconds played, and the part of its rate that was
+    /// delivered.
     #[serde(rename = "given")]
     Delivered {
         streamer: String,
@@ -285,8 +286,8 @@
     /// Maximum number of streams on one streamer.
     #[serde(rename = "places")]
     pub max_streams: f64,
-    /// Duration of the warm-up, the part of its full setup rate that a streamer starts at, and the multiple of its current
-    /// setup rate and the window above which it crashes.
+    /// Duration of the warm-up, the part of its full setup rate that a streamer starts at, and the multiple
+    /// of its current setup rate and the window above which it crashes.
     #[serde(rename = "span")]
     pub warm_up_s: f64,
     #[serde(rename = "from")]
@@ -321,8 +322,8 @@
     pub max_sessions_per_title: usize,
 }
 
-/// Writes records to a file. Each line is flushed to the system as a whole, so that only the last line of a killed
-/// process can be incomplete.
+/// Writes records to a file. Each line is flushed to the system as a whole, so that only the last line of a
+/// killed process can be incomplete.
 #[derive(Clone)]
 pub struct Tap {
     clock: Clock,
@@ -370,8 +371,8 @@
     }
 }
 
-/// Reads a tap. An incomplete last line, as a killed process can leave it, is ignored. Any other invalid line is an error
-/// with the number of the line.
+/// Reads a tap. An incomplete last line, as a killed process can leave it, is ignored. Any other invalid line
+/// is an error with the number of the line.
 pub fn read_records(path: &Path) -> io::Result<Vec<TapRecord>> {
     let text = std::fs::read_to_string(path)?;
     let mut records = Vec::new();
