--- a/crates/lemontide-front/tests/common/mod.rs
+++ b/crates/lemontide-front/tests/common/mod.rs
@@ -87,7 +87,7 @@
     /// cold, and sends less.
     pub fn with_settings(settings: &Settings) -> Simulation {
         let now = Point::at(1000.0);
-        let driver = Driver::new(now, 7, &settings.controller_settings(), settings.terms());
+        let driver = Driver::new(now, 7, &settings.controller_settings(), settings.driver_settings());
         let mut simulation = Simulation {
             driver,
             now,
--- a/crates/lemontide-front/tests/driver.rs
+++ b/crates/lemontide-front/tests/driver.rs
@@ -5,7 +5,7 @@
 use common::{list, Simulation, STREAMERS};
 use lemontide::clock::Span;
 use lemontide_front::core::SubmitError;
-use lemontide_front::settings::{Settings, Source, Together};
+use lemontide_front::settings::{CoordinationSettings, MembershipSource, Settings};
 use lemontide_wire::link::{How, Plays, StreamerMessage};
 use lemontide_wire::list::StreamerState;
 use lemontide_wire::play::{EndReason, PlayResponse, SessionEvent};
@@ -409,9 +409,15 @@
 }
 
 /// The settings of the simulation, as those of the third of four controllers that coordinate.
-fn one_of_four(view: Source) -> Settings {
-    let together = Together { view, oldest_s: 3.0, clocks_apart_s: 0.3, subset: true, idle_s: 5.0 };
-    Settings { me: 2, controllers: 4, together: Some(together), ..common::settings() }
+fn one_of_four(view: MembershipSource) -> Settings {
+    let together = CoordinationSettings {
+        membership_source: view,
+        max_view_age_s: 3.0,
+        max_clock_difference_s: 0.3,
+        prefers_subset: true,
+        link_idle_s: 5.0,
+    };
+    Settings { own_number: 2, controller_count: 4, coordination: Some(together), ..common::settings() }
 }
 
 #[test]
@@ -420,7 +426,7 @@
     assert_eq!(alone.driver.links_up(), STREAMERS, "without coordination there is a link to each streamer");
     alone.advance(20.0);
     assert_eq!(alone.driver.links_up(), STREAMERS);
-    let mut simulation = Simulation::with_settings(&one_of_four(Source::Settings));
+    let mut simulation = Simulation::with_settings(&one_of_four(MembershipSource::Settings));
     assert_eq!(simulation.driver.links_up(), 0);
     let id = simulation.submit("free");
     simulation.start_playing(id);
@@ -452,7 +458,7 @@
 
 #[test]
 fn turns_of_missing_controllers_are_covered_and_expire_without_updates() {
-    let mut simulation = Simulation::with_settings(&one_of_four(Source::Gossip));
+    let mut simulation = Simulation::with_settings(&one_of_four(MembershipSource::Gossip));
     let absent_since =
         |second_since: Option<f64>| -> std::collections::BTreeMap<u32, Option<lemontide::clock::Point>> {
             let at = |s: f64| lemontide::clock::Point::at(s);
@@ -487,19 +493,19 @@
 
 #[test]
 fn invalid_coordination_settings_are_named() {
-    let valid = one_of_four(Source::Settings);
+    let valid = one_of_four(MembershipSource::Settings);
     assert_eq!(valid.check(), Ok(()));
-    let rejected_key = |change: fn(&mut Together)| {
+    let rejected_key = |change: fn(&mut CoordinationSettings)| {
         let mut settings = valid.clone();
-        settings.together.as_mut().map(change);
+        settings.coordination.as_mut().map(change);
         settings.check().expect_err("the settings are invalid").0
     };
-    assert_eq!(rejected_key(|t| t.view = Source::Gossip), "together.view");
-    assert_eq!(rejected_key(|t| t.oldest_s = 0.0), "together.oldest_s");
-    assert_eq!(rejected_key(|t| t.idle_s = f64::NAN), "together.oldest_s");
-    assert_eq!(rejected_key(|t| t.clocks_apart_s = 1.0), "together.clocks_apart_s");
-    let too_many = Settings { controllers: 70_000, ..valid.clone() };
+    assert_eq!(rejected_key(|t| t.membership_source = MembershipSource::Gossip), "together.view");
+    assert_eq!(rejected_key(|t| t.max_view_age_s = 0.0), "together.oldest_s");
+    assert_eq!(rejected_key(|t| t.link_idle_s = f64::NAN), "together.oldest_s");
+    assert_eq!(rejected_key(|t| t.max_clock_difference_s = 1.0), "together.clocks_apart_s");
+    let too_many = Settings { controller_count: 70_000, ..valid.clone() };
     assert_eq!(too_many.check().expect_err("there are too many controllers").0, "controllers");
-    let no_controllers = Settings { controllers: 0, ..valid };
+    let no_controllers = Settings { controller_count: 0, ..valid };
     assert_eq!(no_controllers.check().expect_err("there are no controllers").0, "me");
 }
