--- a/crates/lemontide-cli/src/day.rs
+++ b/crates/lemontide-cli/src/day.rs
@@ -1,6 +1,6 @@
-//! `lemontide day` and `lemontide streamer`: days on loopback, and their streamers alone.
+//! `lemontide day` and `lemontide streamer`: run the scenario of a day on loopback, or its streamers alone.
 
-use crate::Outcome;
+use crate::{BoxError, CommandResult};
 use lemontide_standin::day::Day;
 use lemontide_standin::import::import;
 use lemontide_standin::judge::judge;
@@ -11,45 +11,53 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
+/// Sub-commands of `lemontide day`.
 #[derive(clap::Subcommand)]
 pub enum Command {
-    /// Play a day with controllers as processes, and judge it: exit 0 only where no rule is broken.
+    /// Run a day with controllers as processes, and check the rules: exit 0 only if no rule is broken.
     Run {
+        /// The day to run.
         file: PathBuf,
-        /// Keep settings, list, logs and taps here; otherwise they go when the day is over.
-        #[arg(long)]
-        keep: Option<PathBuf>,
-        /// Make a fault on purpose, to see it found.
+        /// Keep settings, list, logs and taps in this empty folder; otherwise they are deleted at the end of the day.
+        #[arg(long = "keep", value_name = "KEEP")]
+        kept_folder: Option<PathBuf>,
+        /// Inject a fault, to see that the check of the rules finds it.
         #[arg(long, value_enum)]
-        fault: Option<Meddle>,
+        fault: Option<InjectedFault>,
         /// Print one line of JSON after the table.
         #[arg(long)]
         json: bool,
     },
-    /// Carry a drawn day of the bench over to the real controller.
+    /// Convert a generated day of the bench into a day for the real controller.
     Import {
+        /// The day of the bench.
         file: PathBuf,
+        /// The day that is written.
         #[arg(short, long)]
         output: PathBuf,
     },
 }
 
+/// A fault that `lemontide day run --fault` injects.
 #[derive(Clone, Copy, clap::ValueEnum)]
-pub enum Meddle {
-    /// Some set-ups reach their streamer twice.
-    Duplicates,
-    /// Some answers never reach their player.
-    Swallows,
+pub enum InjectedFault {
+    /// Some set-up requests reach their streamer twice.
+    #[value(name = "duplicates")]
+    DuplicatedSetUps,
+    /// Some responses never reach their player.
+    #[value(name = "swallows")]
+    LostResponses,
 }
 
+/// Arguments of `lemontide streamer`.
 #[derive(clap::Args)]
 pub struct StreamerArgs {
     /// The day whose streamers are run.
     day: PathBuf,
-    /// Where the list that names them is written.
+    /// The file that the list of streamers is written to.
     #[arg(long)]
     list: PathBuf,
-    /// Where their end of every link is written down.
+    /// A tap file that records the streamers' side of every link.
     #[arg(long)]
     tap: Option<PathBuf>,
 }
@@ -58,15 +66,17 @@
     tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()
 }
 
-pub fn run(command: Command) -> Outcome {
+/// Runs or imports a day.
+pub fn run(command: Command) -> CommandResult {
     match command {
-        Command::Run { file, keep, fault, json } => play(&file, keep, fault, json),
+        Command::Run { file, kept_folder, fault, json } => run_day(&file, kept_folder, fault, json),
         Command::Import { file, output } => {
-            let drawn = lemontide_front::settings::read_json(&file)?;
+            let bench_day = lemontide_front::settings::read_json(&file)?;
             let name = file.file_stem().map_or_else(|| "day".into(), |stem| stem.to_string_lossy());
-            let (day, notes) = import(&drawn, &name).map_err(|e| format!("{}: at {e}", file.display()))?;
+            let (day, notes) =
+                import(&bench_day, &name).map_err(|e| format!("{}: at {e}", file.display()))?;
             run::replace(&output, &serde_json::to_vec_pretty(&day)?)?;
-            // What was written must be a day that can be played.
+            // Fails if the written file is not a valid day.
             Day::read(&output)?;
             for note in notes {
                 println!("{note}");
@@ -76,34 +86,40 @@
     }
 }
 
-fn play(file: &Path, keep: Option<PathBuf>, fault: Option<Meddle>, json: bool) -> Outcome {
+/// Runs a day, checks the rules on its taps, and prints the result.
+fn run_day(
+    file: &Path,
+    kept_folder: Option<PathBuf>,
+    fault: Option<InjectedFault>,
+    json: bool,
+) -> CommandResult {
     let day = Day::read(file)?;
     let scratch = tempfile::tempdir()?;
-    let folder = keep.unwrap_or_else(|| scratch.path().to_owned());
+    let folder = kept_folder.unwrap_or_else(|| scratch.path().to_owned());
     if folder.join("day.tap").exists() {
-        return Err(format!("{}: a day lies there already; name an empty folder", folder.display()).into());
+        return Err(format!("{}: already holds a day; give an empty folder", folder.display()).into());
     }
     let folder = std::path::absolute(folder)?;
     let fault = fault.map(|fault| match fault {
-        Meddle::Duplicates => Fault::Duplicates,
-        Meddle::Swallows => Fault::Swallows,
+        InjectedFault::DuplicatedSetUps => Fault::Duplicates,
+        InjectedFault::LostResponses => Fault::Swallows,
     });
-    let (name, about) = (day.name.clone(), day.about.clone());
-    let sizes = (day.controllers.len(), day.streamers.len());
-    let how = How { program: std::env::current_exe()?, folder, fault };
-    let ran = runtime()?.block_on(run::run(day, how))?;
-    let mut lines = Vec::new();
-    for tap in &ran.taps {
+    let (name, description) = (day.name.clone(), day.about.clone());
+    let (controllers, streamers) = (day.controllers.len(), day.streamers.len());
+    let options = How { program: std::env::current_exe()?, folder, fault };
+    let finished = runtime()?.block_on(run::run(day, options))?;
+    let mut records = Vec::new();
+    for tap in &finished.taps {
         if tap.exists() {
-            lines.extend(tap::read_records(tap)?);
+            records.extend(tap::read_records(tap)?);
         }
     }
-    let verdict = judge(&lines).ok_or("the taps state no terms")?;
-    println!("day {name}: {} controllers, {} streamers, {} viewers", sizes.0, sizes.1, ran.viewers);
-    if !about.is_empty() {
-        println!("{about}");
+    let verdict = judge(&records).ok_or("the taps do not contain the rules of the day")?;
+    println!("day {name}: {controllers} controllers, {streamers} streamers, {} viewers", finished.viewers);
+    if !description.is_empty() {
+        println!("{description}");
     }
-    println!("{:.1} s, {} lines of taps", ran.took_s, lines.len());
+    println!("{:.1} s, {} tap records", finished.took_s, records.len());
     print!("{}", verdict.table());
     if json {
         println!("{}", serde_json::to_string(&verdict)?);
@@ -111,8 +127,8 @@
     Ok(if verdict.is_clean() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Runs a day's streamers, warm and without its troubles, until it is interrupted.
-pub fn streamer(args: &StreamerArgs) -> Outcome {
+/// Runs a day's streamers, warmed up and without the day's faults, until it is interrupted.
+pub fn run_streamers(args: &StreamerArgs) -> CommandResult {
     let day = Day::read(&args.day)?;
     let clock = Clock::start();
     let tap = match &args.tap {
@@ -125,6 +141,6 @@
         run::replace(&args.list, &serde_json::to_vec_pretty(&list)?)?;
         println!("{}", serde_json::json!({"streamers": list.streamers.len()}));
         tokio::signal::ctrl_c().await?;
-        Ok::<_, Box<dyn std::error::Error + Send + Sync>>(ExitCode::SUCCESS)
+        Ok::<_, BoxError>(ExitCode::SUCCESS)
     })
 }
--- a/crates/lemontide-cli/src/front.rs
+++ b/crates/lemontide-cli/src/front.rs
@@ -1,6 +1,6 @@
-//! `lemontide front`: one controller as a daemon.
+//! `lemontide front`: runs one controller as a daemon.
 
-use crate::Outcome;
+use crate::CommandResult;
 use lemontide_front::front::Front;
 use lemontide_front::settings::Settings;
 use std::io::Write;
@@ -8,19 +8,20 @@
 use std::process::ExitCode;
 use tokio::signal::unix::{signal, SignalKind};
 
+/// Arguments of `lemontide front`.
 #[derive(clap::Args)]
-pub struct Args {
-    /// The settings, as JSON; `lemontide schema front` prints their schema.
+pub struct FrontArgs {
+    /// The settings file, as JSON; `lemontide schema front` prints its schema.
     #[arg(long)]
     settings: PathBuf,
-    /// Threads for the sockets; decisions have one of their own.
+    /// Threads for the sockets; decisions run in a thread of their own.
     #[arg(long, default_value_t = 1)]
     threads: usize,
 }
 
-/// Starts, says on standard output where it listens, and stops on SIGTERM or SIGINT: new wishes are turned away,
-/// subscriptions get the time that the settings give.
-pub fn run(args: &Args) -> Outcome {
+/// Starts the controller, prints the address that it listens on to standard output, and stops on SIGTERM or SIGINT.
+/// While it stops, new requests are rejected and sessions get the time that the settings allow.
+pub fn run(args: &FrontArgs) -> CommandResult {
     let settings = Settings::read(&args.settings)?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(args.threads.max(1))
@@ -40,7 +41,7 @@
         }
         Ok::<_, std::io::Error>(front)
     })?;
-    tracing::info!("stops");
+    tracing::info!("stopping");
     front.stop();
     runtime.shutdown_timeout(std::time::Duration::from_millis(500));
     Ok(ExitCode::SUCCESS)
--- a/crates/lemontide-cli/src/gossip.rs
+++ b/crates/lemontide-cli/src/gossip.rs
@@ -1,23 +1,25 @@
-//! `lemontide gossip`: what a running controller's gossip knows, as a table or JSON.
+//! `lemontide gossip`: prints the gossip state of a running controller as a table or JSON.
 
-use crate::measure::get;
-use crate::Outcome;
+use crate::measure::get_json;
+use crate::CommandResult;
 use lemontide_gossip::node::GossipView;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
+/// Arguments of `lemontide gossip`.
 #[derive(clap::Args)]
-pub struct Args {
-    /// Where the controller serves HTTP.
+pub struct GossipArgs {
+    /// The address on which the controller serves HTTP.
     controller: SocketAddr,
     /// Print JSON instead of the table.
     #[arg(long)]
     json: bool,
 }
 
-pub fn run(args: &Args) -> Outcome {
-    let view: GossipView = get(args.controller, "/v1/gossip")
-        .map_err(|e| format!("{e}; is it a controller, and is gossip in its settings?"))?;
+/// Fetches the gossip state and prints it.
+pub fn run(args: &GossipArgs) -> CommandResult {
+    let view: GossipView = get_json(args.controller, "/v1/gossip")
+        .map_err(|e| format!("{e}; is it a controller, and do its settings enable gossip?"))?;
     if args.json {
         println!("{}", serde_json::to_string(&view)?);
         return Ok(ExitCode::SUCCESS);
@@ -26,20 +28,22 @@
         "{:<20} {:<22} {:>5} {:<8} {:>8} {:>6}",
         "member", "address", "inc", "status", "heard s", "trust"
     );
-    let figure = |value: Option<f64>, digits| value.map_or("-".into(), |v| format!("{v:.digits$}"));
-    for m in &view.members {
-        let (heard, trust) = (figure(m.last_heard_age_s, 1), figure(m.trust, 2));
+    let number_or_dash =
+        |value: Option<f64>, digits| value.map_or("-".into(), |value| format!("{value:.digits$}"));
+    for member in &view.members {
+        let heard_age = number_or_dash(member.last_heard_age_s, 1);
+        let trust = number_or_dash(member.trust, 2);
         println!(
-            "{:<20} {:<22} {:>5} {:<8} {heard:>8} {trust:>6}",
-            m.name, m.address, m.incarnation, m.status
+            "{:<20} {:<22} {:>5} {:<8} {heard_age:>8} {trust:>6}",
+            member.name, member.address, member.incarnation, member.status
         );
     }
     println!("suspicions:");
-    for (streamer, weight) in &view.suspicions {
-        println!("  {streamer:<20} {weight:.2}");
+    for (streamer, score) in &view.suspicions {
+        println!("  {streamer:<20} {score:.2}");
     }
     println!(
-        "budget: {} of {} bytes in the last second; {} datagrams sent, {} taken, {} signatures checked, slowness {}",
+        "budget: {} of {} bytes in the last second; {} datagrams sent, {} accepted, {} signatures checked, health score {}",
         view.bytes_last_s, view.bytes_per_s, view.datagrams_sent, view.datagrams_accepted, view.signatures_checked, view.health_score
     );
     println!("dropped: {}", serde_json::to_string(&view.dropped)?);
--- a/crates/lemontide-cli/src/main.rs
+++ b/crates/lemontide-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The lemontide program: sub-commands only; the work is in the crates that they call.
+//! The `lemontide` program. It only parses the sub-commands; the crates that they call do the work.
 
 mod day;
 mod front;
@@ -14,100 +14,107 @@
 use std::process::ExitCode;
 use tracing_subscriber::EnvFilter;
 
-/// Places video sessions on streaming servers and shapes them.
+/// Assigns video sessions to streaming servers and controls their bitrate.
 #[derive(Parser)]
 #[command(version, about)]
-struct Lemontide {
-    /// What is logged to standard error, as `tracing` filters: `info`, or `info,decision=debug` for one line a
+struct Cli {
+    /// What is logged to standard error, as `tracing` filters: `info`, or `info,decision=debug` for one line per
     /// decision.
-    #[arg(long, global = true, default_value = "warn", env = "LEMONTIDE_LOG")]
-    log: String,
+    #[arg(long = "log", value_name = "LOG", global = true, default_value = "warn", env = "LEMONTIDE_LOG")]
+    log_filter: String,
     /// Log as text instead of JSON lines.
-    #[arg(long, global = true)]
-    log_text: bool,
+    #[arg(long = "log-text", global = true)]
+    log_as_text: bool,
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run one controller until it is told to stop.
-    Front(front::Args),
-    /// Run one controller on the operators' platform, told by the environment what it is.
+    /// Run one controller until it receives SIGTERM or SIGINT.
+    Front(front::FrontArgs),
+    /// Run one controller on the operators' platform, configured by environment variables.
     Serve,
-    /// What a controller's gossip knows: members, suspicions, trust, budget.
-    Gossip(gossip::Args),
-    /// Run the stand-in streamers of a day and write the list that names them.
+    /// Show the gossip state of a running controller: members, suspicions, trust, budget.
+    Gossip(gossip::GossipArgs),
+    /// Run the simulated streamers of a day and write the list of their addresses.
     Streamer(day::StreamerArgs),
-    /// Days for the whole system, on loopback.
+    /// Run a day (a scenario file) of the whole system on loopback, or import one.
     #[command(subcommand)]
     Day(day::Command),
-    /// Check the rules from taps alone.
+    /// Check the rules from tap files alone.
     Judge {
+        /// Tap files, in any order.
         taps: Vec<PathBuf>,
         /// Print one line of JSON instead of the table.
         #[arg(long)]
         json: bool,
     },
-    /// Join logs of `request=debug` by session: requests without an end, with two or a late one, and the time of each step.
+    /// Join logs of `request=debug` by session: requests without an end, with several or a late one, and the time of each step.
     Requests {
-        /// Logs, or folders of them.
+        /// Log files, or folders of log files.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
     },
-    /// Measure something: a table, then one line of JSON.
+    /// Run a measurement and print a table, then one line of JSON.
     #[command(subcommand)]
-    Measure(measure::What),
-    /// Play seeded runs of real controllers under combined troubles, and judge the rules from what crossed the sockets.
+    Measure(measure::Measurement),
+    /// Run seeded scenarios of real controllers under combined faults, and check the rules on what crossed the sockets.
     Soak(soak::Args),
-    /// Check settings, or a day, without starting anything.
+    /// Validate a settings file or a day without starting anything.
     Check {
+        /// The file to validate.
         file: PathBuf,
-        /// The file is a day.
-        #[arg(long)]
-        day: bool,
+        /// The file is a day, not settings of a controller.
+        #[arg(long = "day")]
+        is_day: bool,
     },
-    /// Print a schema, or write all of them into a folder.
+    /// Print one JSON schema, or write all of them into a folder.
     Schema {
-        #[arg(value_enum)]
-        of: Option<tools::Schema>,
-        #[arg(long)]
-        into: Option<PathBuf>,
+        /// The schema to print.
+        #[arg(value_enum, value_name = "OF")]
+        schema: Option<tools::Schema>,
+        /// A folder for all schemas; it is created if it is missing.
+        #[arg(long = "into", value_name = "INTO")]
+        folder: Option<PathBuf>,
     },
 }
 
-/// What a command comes to: fine, or a reason that is printed to standard error.
-type Outcome = Result<ExitCode, Box<dyn std::error::Error + Send + Sync>>;
+/// An error of any kind that ends a command.
+type BoxError = Box<dyn std::error::Error + Send + Sync>;
+
+/// The exit code of a command, or an error that is printed to standard error and exits with 1.
+type CommandResult = Result<ExitCode, BoxError>;
 
 fn main() -> ExitCode {
-    let given = Lemontide::parse();
-    let filter = match EnvFilter::try_new(&given.log) {
+    let cli = Cli::parse();
+    let filter = match EnvFilter::try_new(&cli.log_filter) {
         Ok(filter) => filter,
         Err(e) => {
-            eprintln!("lemontide: --log {}: {e}; name a level, as `info`", given.log);
+            eprintln!("lemontide: --log {}: {e}; give a level, for example `info`", cli.log_filter);
             return ExitCode::from(2);
         }
     };
-    let logs = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
-    if given.log_text {
-        logs.init();
+    let subscriber = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
+    if cli.log_as_text {
+        subscriber.init();
     } else {
-        logs.json().flatten_event(true).init();
+        subscriber.json().flatten_event(true).init();
     }
-    let outcome = match given.command {
+    let result = match cli.command {
         Command::Front(args) => front::run(&args),
         Command::Serve => serve::run(),
         Command::Gossip(args) => gossip::run(&args),
-        Command::Streamer(args) => day::streamer(&args),
+        Command::Streamer(args) => day::run_streamers(&args),
         Command::Day(command) => day::run(command),
-        Command::Judge { taps, json } => tools::judge(&taps, json),
+        Command::Judge { taps, json } => tools::check_rules(&taps, json),
         Command::Requests { logs } => requests::run(&logs),
-        Command::Measure(what) => measure::run(what),
+        Command::Measure(measurement) => measure::run(measurement),
         Command::Soak(args) => soak::run(&args),
-        Command::Check { file, day } => tools::check(&file, day),
-        Command::Schema { of, into } => tools::schema(of, into.as_deref()),
+        Command::Check { file, is_day } => tools::check_file(&file, is_day),
+        Command::Schema { schema, folder } => tools::write_schema(schema, folder.as_deref()),
     };
-    outcome.unwrap_or_else(|e| {
+    result.unwrap_or_else(|e| {
         eprintln!("lemontide: {e}");
         ExitCode::FAILURE
     })
--- a/crates/lemontide-cli/src/measure/fleet.rs
+++ b/crates/lemontide-cli/src/measure/fleet.rs
@@ -1,7 +1,7 @@
 //! `lemontide measure fleet`: many controllers in virtual time, with a full mesh, with turns and streamers shared out by
 //! settings alone, and with gossip's view; steady, and while streamers restart and half of the controllers die.
 
-use crate::Outcome;
+use crate::CommandResult;
 use lemontide_fleet::{Holder, RendezvousHash};
 use lemontide_standin::swarm::{Came, Plan, Swarm, Views};
 use serde_json::{json, Value};
@@ -17,8 +17,9 @@
 /// Aims are held to at this size.
 const SIZE: usize = 300;
 
+/// Arguments of `lemontide measure fleet`.
 #[derive(clap::Args)]
-pub struct Args {
+pub struct FleetArgs {
     /// Controllers.
     #[arg(long, value_delimiter = ',', default_values_t = [10usize, 30, 100, 300, 1000])]
     sizes: Vec<usize>,
@@ -97,7 +98,7 @@
     })
 }
 
-pub fn run(args: &Args) -> Outcome {
+pub fn run(args: &FleetArgs) -> CommandResult {
     let mut plans = Vec::new();
     for controllers in &args.sizes {
         for changing in [false, true] {
--- a/crates/lemontide-cli/src/measure/front.rs
+++ b/crates/lemontide-cli/src/measure/front.rs
@@ -1,7 +1,7 @@
 //! `lemontide measure front`: what the controller adds to a constant answer by the same HTTP stack.
 
-use super::rig::{roomy_day, write_list, Process};
-use crate::Outcome;
+use super::rig::{unlimited_capacity_day, write_list, Process};
+use crate::CommandResult;
 use lemontide_standin::load::{closed, open, Ask, Came};
 use lemontide_standin::streamer::Fleet;
 use lemontide_wire::clock::Clock;
@@ -10,8 +10,9 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
+/// Arguments of `lemontide measure front`.
 #[derive(clap::Args)]
-pub struct Args {
+pub struct FrontArgs {
     /// Seconds of each part.
     #[arg(long, default_value_t = 5.0)]
     seconds: f64,
@@ -42,10 +43,10 @@
     Err("the controller did not reach all streamers within 5 s".into())
 }
 
-pub fn run(args: &Args) -> Outcome {
+pub fn run(args: &FrontArgs) -> CommandResult {
     let folder = tempfile::tempdir()?;
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-    let day = roomy_day(1, 20)?;
+    let day = unlimited_capacity_day(1, 20)?;
     let list = folder.path().join("list.json");
     let clock = Clock::start();
     let fleet = runtime.block_on(Fleet::start(&day, clock, Tap::disabled(clock), None))?;
--- a/crates/lemontide-cli/src/measure/gossip.rs
+++ b/crates/lemontide-cli/src/measure/gossip.rs
@@ -1,7 +1,7 @@
 //! `lemontide measure gossip`: real controllers on loopback with and without gossip and a liar, then the same core
 //! at large sizes in virtual time.
 
-use crate::Outcome;
+use crate::{BoxError, CommandResult};
 use lemontide_standin::day::{Day, DayGossip, What};
 use lemontide_standin::judge::{judge, Verdict};
 use lemontide_standin::run::{self, How};
@@ -12,10 +12,9 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-type Failed = Box<dyn std::error::Error + Send + Sync>;
-
+/// Arguments of `lemontide measure gossip`.
 #[derive(clap::Args)]
-pub struct Args {
+pub struct GossipArgs {
     /// The day that controllers play; its gossip is set by the measurement.
     #[arg(long, default_value = "days/gossip.json")]
     day: std::path::PathBuf,
@@ -45,7 +44,7 @@
     mean_bytes: f64,
 }
 
-fn play(day: &Day, gossip: Option<DayGossip>, folder: &Path) -> Result<Run, Failed> {
+fn play(day: &Day, gossip: Option<DayGossip>, folder: &Path) -> Result<Run, BoxError> {
     let mut day = day.clone();
     day.gossip = gossip;
     let trouble = day.troubles.iter().find_map(|trouble| match &trouble.what {
@@ -152,7 +151,7 @@
     })
 }
 
-pub fn run(args: &Args) -> Outcome {
+pub fn run(args: &GossipArgs) -> CommandResult {
     let mut fine = true;
     let mut figures = json!({"measure": "gossip", "budget": args.budget});
     if !args.towns_only {
--- a/crates/lemontide-cli/src/measure/rig.rs
+++ b/crates/lemontide-cli/src/measure/rig.rs
@@ -1,6 +1,7 @@
-//! What measurements share: child processes of this program, a fleet of stand-ins without delays, `/proc`.
+//! Shared parts of the measurements: child processes of this program with their usage from `/proc`, a simulated fleet
+//! without delays, and the server of a constant response.
 
-use crate::Outcome;
+use crate::{BoxError, CommandResult};
 use axum::routing::{delete, post};
 use axum::{Json, Router};
 use lemontide_front::connections::{accept, Hall, Stack};
@@ -20,22 +21,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// The line that a controller prints once it listens.
 #[derive(Deserialize)]
-struct Listening {
+struct ListeningLine {
     listening: SocketAddr,
 }
 
-/// A child process of this program that listens; ended when dropped.
+/// A child process of this program that listens; it is killed when dropped.
 pub struct Process {
     child: Child,
+    /// The address that it listens on.
     pub address: SocketAddr,
 }
 
-type Failed = Box<dyn std::error::Error + Send + Sync>;
-
 impl Process {
-    /// Starts this program with these arguments and waits for the line that says where it listens.
-    pub fn start(args: &[&str]) -> Result<Process, Failed> {
+    /// Starts this program with these arguments and waits for the line with the address that it listens on.
+    pub fn start(args: &[&str]) -> Result<Process, BoxError> {
         let mut child = Command::new(std::env::current_exe()?)
             .args(args)
             .stdin(Stdio::null())
@@ -45,43 +46,45 @@
         if let Some(stdout) = child.stdout.take() {
             BufReader::new(stdout).read_line(&mut line)?;
         }
-        match serde_json::from_str::<Listening>(&line) {
-            Ok(said) => Ok(Process { child, address: said.listening }),
+        match serde_json::from_str::<ListeningLine>(&line) {
+            Ok(printed) => Ok(Process { child, address: printed.listening }),
             Err(_) => {
                 let _ = child.kill();
                 let _ = child.wait();
-                Err(format!("`lemontide {}` did not say where it listens", args.join(" ")).into())
+                Err(format!("`lemontide {}` did not print the address that it listens on", args.join(" "))
+                    .into())
             }
         }
     }
 
+    /// The process id.
     pub fn id(&self) -> i32 {
         self.child.id() as i32
     }
 
-    /// Resident memory in bytes, and CPU seconds spent so far.
-    pub fn usage(&self) -> Result<(f64, f64), Failed> {
+    /// Resident memory in bytes, and CPU seconds used so far.
+    pub fn usage(&self) -> Result<(f64, f64), BoxError> {
         let stat = procfs::process::Process::new(self.id())?.stat()?;
-        let ticks = (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64;
-        Ok(((stat.rss * procfs::page_size()) as f64, ticks))
+        let cpu_s = (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64;
+        Ok(((stat.rss * procfs::page_size()) as f64, cpu_s))
     }
 
-    /// A controller's own figures.
-    pub fn state(&self) -> Result<State, Failed> {
-        get(self.address, "/v1/state")
+    /// The state that the controller reports.
+    pub fn state(&self) -> Result<State, BoxError> {
+        get_json(self.address, "/v1/state")
     }
 }
 
-/// What a controller says under a path.
-pub fn get<T: serde::de::DeserializeOwned>(from: SocketAddr, path: &str) -> Result<T, Failed> {
-    let mut socket = TcpStream::connect(from)?;
+/// Fetches the JSON that a controller serves under a path.
+pub fn get_json<T: serde::de::DeserializeOwned>(address: SocketAddr, path: &str) -> Result<T, BoxError> {
+    let mut socket = TcpStream::connect(address)?;
     socket.set_read_timeout(Some(Duration::from_secs(10)))?;
     socket.write_all(format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").as_bytes())?;
-    let mut text = String::new();
-    socket.read_to_string(&mut text)?;
-    let (head, body) = text.split_once("\r\n\r\n").ok_or("no answer in HTTP")?;
+    let mut response = String::new();
+    socket.read_to_string(&mut response)?;
+    let (head, body) = response.split_once("\r\n\r\n").ok_or("the answer is not HTTP")?;
     if !head.starts_with("HTTP/1.1 200") {
-        return Err(format!("{from}{path}: {}", head.lines().next().unwrap_or("")).into());
+        return Err(format!("{address}{path}: {}", head.lines().next().unwrap_or("")).into());
     }
     Ok(serde_json::from_str(body)?)
 }
@@ -93,17 +96,16 @@
     }
 }
 
-/// A fleet whose set-ups take no time and whose links hold all that is asked.
-pub fn roomy_day(controllers: usize, streamers: usize) -> Result<Day, Failed> {
-    let streamer =
-        |i: usize| json!({"name": format!("s{i}"), "zone": "here", "cell": i, "weight": 1, "link_kb": 1e9});
+/// A day whose streamers set up sessions without delay and have links with more capacity than any load needs.
+pub fn unlimited_capacity_day(controllers: usize, streamers: usize) -> Result<Day, BoxError> {
+    let streamer = |index: usize| json!({"name": format!("s{index}"), "zone": "here", "cell": index, "weight": 1, "link_kb": 1e9});
     let day = json!({
         "name": "roomy", "seed": 1, "length_s": 1, "zones": ["here"],
         "controllers": vec!["here"; controllers],
         "streamers": (0..streamers).map(streamer).collect::<Vec<_>>(),
         "uplinks_kb": [1e9, 1e9], "kind": "std", "places": 100_000, "kb_per_weight": 1e9, "cells": streamers,
         "titles": (0..streamers * 5)
-            .map(|i| (format!("t{i}"), json!({"home": i % streamers, "copies": 3.min(streamers), "share": 1})))
+            .map(|index| (format!("t{index}"), json!({"home": index % streamers, "copies": 3.min(streamers), "share": 1})))
             .collect::<serde_json::Map<_, _>>(),
         "lanes": [{"name": "paid", "gain": 1, "latency_goal_s": 1, "cut_off_s": 5, "repeat": "paid", "share": 1,
                    "watched_s": [600, 600], "set_up_s": 0}],
@@ -118,19 +120,19 @@
     Ok(serde_json::from_value(day)?)
 }
 
-/// Writes the list of a running fleet.
-pub fn write_list(day: &Day, fleet: &Fleet, file: &Path) -> Result<(), Failed> {
+/// Writes the list of the streamers of a running fleet.
+pub fn write_list(day: &Day, fleet: &Fleet, file: &Path) -> Result<(), BoxError> {
     let list = day.first_list(&fleet.addresses);
     Ok(replace(file, &serde_json::to_vec(&list)?)?)
 }
 
-/// Serves the same answer to every wish, by the controller's own HTTP stack, until it is ended.
-pub fn constant() -> Outcome {
+/// Serves the same response to every request, with the controller's own HTTP stack, until it is killed.
+pub fn serve_constant_response() -> CommandResult {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build()?;
     runtime.block_on(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
         println!("{}", json!({"listening": listener.local_addr()?}));
-        let said = || PlayResponse::Plays {
+        let response = || PlayResponse::Plays {
             request_id: "a".into(),
             session: 1,
             streamer: "s0".into(),
@@ -139,17 +141,22 @@
             rate_kb: 200.0,
         };
         let routes = Router::new()
-            .route("/v1/subscriptions", post(move |_: axum::body::Bytes| async move { Json(said()) }))
+            .route("/v1/subscriptions", post(move |_: axum::body::Bytes| async move { Json(response()) }))
             .route("/v1/subscriptions/{id}", delete(|| async { axum::http::StatusCode::NO_CONTENT }));
-        let bounds = ConnectionLimits {
+        let limits = ConnectionLimits {
             max_connections: 10_000,
             max_per_network: 10_000,
             prefix_bits_v4: 24,
             prefix_bits_v6: 56,
         };
-        let long = Duration::from_secs(60);
-        let stack = Stack { bounds, request: Duration::from_secs(5), idle: long, write: long };
-        accept(listener, routes, stack, Arc::new(Hall::new(Clock::start(), bounds)), None).await;
+        let connection_timeout = Duration::from_secs(60);
+        let stack = Stack {
+            bounds: limits,
+            request: Duration::from_secs(5),
+            idle: connection_timeout,
+            write: connection_timeout,
+        };
+        accept(listener, routes, stack, Arc::new(Hall::new(Clock::start(), limits)), None).await;
         Ok(ExitCode::SUCCESS)
     })
 }
--- a/crates/lemontide-cli/src/measure/shedding.rs
+++ b/crates/lemontide-cli/src/measure/shedding.rs
@@ -1,8 +1,8 @@
 //! `lemontide measure shedding`: one controller on a small part of a core, at its limit and far over it, with shedding
 //! and two baselines; then a burst, a stall, returns, costs, the judge, and fifty controllers in virtual time.
 
-use super::rig::{roomy_day, write_list, Process};
-use crate::Outcome;
+use super::rig::{unlimited_capacity_day, write_list, Process};
+use crate::{BoxError, CommandResult};
 use lemontide_front::settings::{Settings, Shedding};
 use lemontide_standin::crowd;
 use lemontide_standin::day::Day;
@@ -22,10 +22,9 @@
 use std::time::{Duration, Instant};
 use tokio::runtime::Runtime;
 
-type Failed = Box<dyn std::error::Error + Send + Sync>;
-
+/// Arguments of `lemontide measure shedding`.
 #[derive(clap::Args)]
-pub struct Args {
+pub struct SheddingArgs {
     /// Seconds of each part.
     #[arg(long, default_value_t = 3.0)]
     seconds: f64,
@@ -148,7 +147,7 @@
         settings
     }
 
-    fn start(&self, settings: &Settings) -> Result<Process, Failed> {
+    fn start(&self, settings: &Settings) -> Result<Process, BoxError> {
         let file = self.folder.path().join("front.json");
         std::fs::write(&file, serde_json::to_vec(settings)?)?;
         // The child gets the core that its parent has at that moment.
@@ -188,7 +187,7 @@
     }
 
     /// A steady load on a fresh controller, after a second at half of the limit.
-    fn steady(&self, variant: Variant, limit: f64, times: f64, seconds: f64) -> Result<Part, Failed> {
+    fn steady(&self, variant: Variant, limit: f64, times: f64, seconds: f64) -> Result<Part, BoxError> {
         let front = self.start(&self.settings(variant, None))?;
         let _throttle = Throttle::start(front.id(), self.core);
         let rate = vec![(0.0, limit * 0.5), (WARM_S, limit * times), (WARM_S + seconds, 0.0)];
@@ -243,8 +242,8 @@
 }
 
 /// CPU of the controller for each answer, in microseconds, by what the answers are.
-fn costs(rig: &Rig) -> Result<[f64; 3], Failed> {
-    let cost = |full: bool, hinted: bool| -> Result<f64, Failed> {
+fn costs(rig: &Rig) -> Result<[f64; 3], BoxError> {
+    let cost = |full: bool, hinted: bool| -> Result<f64, BoxError> {
         let mut settings = rig.settings(Variant::Sheds, None);
         if let Some(shedding) = &mut settings.shedding {
             shedding.cores = 64.0;
@@ -265,8 +264,8 @@
 }
 
 /// The highest rate at which nobody is late and the 99th percentile is low, found by steps on no shedding.
-fn find_limit(rig: &Rig) -> Result<f64, Failed> {
-    let keeps = |per_s: f64| -> Result<bool, Failed> {
+fn find_limit(rig: &Rig) -> Result<f64, BoxError> {
+    let keeps = |per_s: f64| -> Result<bool, BoxError> {
         let front = rig.start(&rig.settings(Variant::None, None))?;
         let _throttle = Throttle::start(front.id(), rig.core);
         let records = rig.runtime.block_on(mixed(rig.mix(&front, vec![(0.0, per_s), (2.5, 0.0)])));
@@ -292,7 +291,7 @@
 }
 
 /// Cores that an overloaded controller gets: a stop comes a little late each time.
-fn allowance(rig: &Rig, limit: f64) -> Result<f64, Failed> {
+fn allowance(rig: &Rig, limit: f64) -> Result<f64, BoxError> {
     let front = rig.start(&rig.settings(Variant::None, None))?;
     let _throttle = Throttle::start(front.id(), rig.core);
     let load = rig.mix(&front, vec![(0.0, limit * 4.0), (3.0, 0.0)]);
@@ -307,7 +306,7 @@
 
 /// A burst: seconds until the first is turned back, seconds after its end until all are taken again, and the most
 /// set-ups in a tenth of a second after it over the mean.
-fn burst(rig: &Rig, limit: f64) -> Result<(f64, f64, f64, Part), Failed> {
+fn burst(rig: &Rig, limit: f64) -> Result<(f64, f64, f64, Part), BoxError> {
     let front = rig.start(&rig.settings(Variant::Sheds, None))?;
     let _throttle = Throttle::start(front.id(), rig.core);
     let (from, to, end) = (2.0, 5.0, 13.0);
@@ -331,7 +330,7 @@
 
 /// Stopped for 2 s and continued, at six tenths of the limit. What came of those who asked in the second before
 /// and during the stall, and of those from a second after it on.
-fn stall(rig: &Rig, limit: f64) -> Result<(Part, Part), Failed> {
+fn stall(rig: &Rig, limit: f64) -> Result<(Part, Part), BoxError> {
     let front = rig.start(&rig.settings(Variant::Sheds, None))?;
     let pid = front.id();
     let mix = rig.mix(&front, vec![(0.0, limit * 0.6), (9.0, 0.0)]);
@@ -352,7 +351,7 @@
 }
 
 /// Ten times the limit with all taps on: whether the judge finds the rules kept, its table, and the retries' part.
-fn judged(rig: &Rig, limit: f64) -> Result<(bool, String, Part), Failed> {
+fn judged(rig: &Rig, limit: f64) -> Result<(bool, String, Part), BoxError> {
     let folder = rig.folder.path();
     let (own, players, streamers) =
         (folder.join("own.tap"), folder.join("players.tap"), folder.join("streamers.tap"));
@@ -384,9 +383,9 @@
     Ok((verdict.is_clean(), verdict.table(), part))
 }
 
-pub fn run(args: &Args) -> Outcome {
+pub fn run(args: &SheddingArgs) -> CommandResult {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-    let mut day = roomy_day(1, 20)?;
+    let mut day = unlimited_capacity_day(1, 20)?;
     let mut free = day.lanes[0].clone();
     free.lane.name = "free".into();
     day.lanes[0].lane.gain = args.gain;
--- a/crates/lemontide-cli/src/requests.rs
+++ b/crates/lemontide-cli/src/requests.rs
@@ -1,7 +1,7 @@
 //! `lemontide requests`: joins the controllers' logs of requests by session, and prints each request without an end, with
 //! two ends, or with an end after its time, how long each step took, and how many sessions their viewers ended at once.
 
-use crate::Outcome;
+use crate::CommandResult;
 use serde_json::Value as Json;
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -75,7 +75,7 @@
 }
 
 /// Prints the account of these logs, or of the files in these folders; 0 where nothing is wrong.
-pub fn run(logs: &[PathBuf]) -> Outcome {
+pub fn run(logs: &[PathBuf]) -> CommandResult {
     let (mut all, mut ended) = (BTreeMap::new(), EndedByViewers::default());
     for path in logs {
         match path.is_dir() {
--- a/crates/lemontide-cli/src/serve.rs
+++ b/crates/lemontide-cli/src/serve.rs
@@ -1,10 +1,10 @@
-//! `lemontide serve`: one controller on the operators' platform.
+//! `lemontide serve`: runs one controller on the operators' platform.
 
-use crate::Outcome;
+use crate::CommandResult;
 use std::process::ExitCode;
 
-/// Runs in the foreground until the platform stops it.
-pub fn run() -> Outcome {
+/// Runs the controller in the foreground until the platform stops it.
+pub fn run() -> CommandResult {
     lemontide_platform::serve::run()?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/lemontide-cli/src/soak.rs
+++ b/crates/lemontide-cli/src/soak.rs
@@ -1,7 +1,7 @@
 //! `lemontide soak`: seeded runs of real controllers under combined faults. Invariants are checked on what crossed the
 //! sockets.
 
-use crate::Outcome;
+use crate::CommandResult;
 use clap::Args as ClapArgs;
 use futures::stream::{self, StreamExt};
 use lemontide_standin::soak::{self, front, Options};
@@ -39,7 +39,7 @@
 
 /// Runs the seeds. The exit code is 1 if an invariant was violated, and 2 if a seed could not be judged, as this
 /// machine was late twice.
-pub fn run(args: &Args) -> Outcome {
+pub fn run(args: &Args) -> CommandResult {
     let program = match &args.program {
         Some(program) => program.clone(),
         None => std::env::current_exe()?,
@@ -75,7 +75,7 @@
 }
 
 /// Runs days of `lemontide front`. The exit code is 1 if a rule was broken.
-fn run_front_days(program: &Path, args: &Args) -> Outcome {
+fn run_front_days(program: &Path, args: &Args) -> CommandResult {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let seeds = args.seed..args.seed.saturating_add(args.count);
     let outcomes = runtime.block_on(async {
