--- a/crates/lemontide-cli/src/measure/fleet.rs
+++ b/crates/lemontide-cli/src/measure/fleet.rs
@@ -1,5 +1,6 @@
-//! `lemontide measure fleet`: many controllers in virtual time, with a full mesh, with turns and streamers shared out by
-//! settings alone, and with gossip's view; steady, and while streamers restart and half of the controllers die.
+//! `lemontide measure fleet`: many controllers in virtual time. Links form a full mesh, or turns and streamers are divided
+//! by settings alone, or by the membership that gossip reports. Each is run on a steady fleet, and while streamers restart
+//! and half of the controllers crash.
 
 use crate::CommandResult;
 use lemontide_fleet::{Holder, RendezvousHash};
@@ -9,39 +10,43 @@
 use std::process::ExitCode;
 use std::sync::{Mutex, PoisonError};
 
-/// What is aimed at, against the mesh of the same size: part of its connections, gain, busiest streamer.
-const CONNECTIONS: f64 = 0.25;
-const BUSIEST: f64 = 1.1;
-/// Gain swings by about this much from seed to seed.
-const NOISE: f64 = 0.01;
-/// Aims are held to at this size.
-const SIZE: usize = 300;
+/// Target: the number of connections is at most this ratio of the mesh of the same size.
+const MAX_CONNECTIONS_RATIO: f64 = 0.25;
+/// Target: the load of the busiest streamer over its share by weight is at most this ratio of that in the mesh.
+const MAX_BUSIEST_RATIO: f64 = 1.1;
+/// Target: the gain is at most this much lower than in the mesh. It varies by about this much between seeds.
+const GAIN_TOLERANCE: f64 = 0.01;
+/// The number of controllers at which the targets are checked against the mesh.
+const TARGET_FLEET_SIZE: usize = 300;
 
 /// Arguments of `lemontide measure fleet`.
 #[derive(clap::Args)]
 pub struct FleetArgs {
-    /// Controllers.
+    /// Numbers of controllers, each a run of its own.
     #[arg(long, value_delimiter = ',', default_values_t = [10usize, 30, 100, 300, 1000])]
     sizes: Vec<usize>,
+    /// Number of streamers.
     #[arg(long, default_value_t = 200)]
     streamers: usize,
-    /// Wishes a second of all viewers.
-    #[arg(long, default_value_t = 200.0)]
-    per_s: f64,
-    /// Seconds of virtual time of each run.
+    /// Requests per second of all viewers.
+    #[arg(long = "per-s", value_name = "PER_S", default_value_t = 200.0)]
+    requests_per_s: f64,
+    /// Length of each run, in seconds of virtual time.
     #[arg(long, default_value_t = 60.0)]
     seconds: f64,
-    /// How uneven traffic is: at 1 a few get five times the mean.
+    /// How unevenly requests are spread over the controllers: at 1 a few get five times the mean.
     #[arg(long, default_value_t = 1.0)]
     uneven: f64,
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Runs side by side; CPU a set-up is truest with one.
+    /// Number of parallel runs; the CPU time per set-up is most accurate with 1.
     #[arg(long, default_value_t = 1)]
     jobs: usize,
 }
 
-fn name(views: Views) -> &'static str {
+/// The name of a kind of fleet view, as it is printed.
+fn view_name(views: Views) -> &'static str {
     match views {
         Views::Mesh => "mesh",
         Views::Settings => "settings",
@@ -49,55 +54,67 @@
     }
 }
 
-/// Part of all first choices that move: when one instance leaves, and when one streamer does.
-fn moved(controllers: usize, streamers: usize) -> (f64, f64) {
-    let holder = |s: usize| Holder {
-        streamer_key: s as u32,
-        weight: if s.is_multiple_of(2) { 16.0 } else { 10.0 },
+/// The share of all preferred holders that change: when one controller leaves, and when one streamer does.
+fn moved_shares(controllers: usize, streamers: usize) -> (f64, f64) {
+    let holder = |streamer: usize| Holder {
+        streamer_key: streamer as u32,
+        weight: if streamer.is_multiple_of(2) { 16.0 } else { 10.0 },
         is_local: true,
         unavailable: false,
     };
-    // Choices rest on the own number alone: who leaves takes its own with it, and those of the rest are looked at again.
-    let choices = |instances: &[usize], gone: Option<usize>| -> Vec<usize> {
-        let each = |me: &usize| {
-            let ring = RendezvousHash::new(*me as u32);
+    // A controller's choices depend on its own number alone: those of the controller that leaves end with it, and those
+    // of the rest are computed again.
+    let choices = |instances: &[usize], gone_streamer: Option<usize>| -> Vec<usize> {
+        let of_instance = |instance: &usize| {
+            let hash = RendezvousHash::new(*instance as u32);
             (0..streamers)
                 .map(|home| {
-                    let held = (home..home + 3.min(streamers)).map(|s| s % streamers);
-                    let held: Vec<usize> = held.filter(|s| Some(*s) != gone).collect();
-                    let holders: Vec<Holder> = held.iter().map(|s| holder(*s)).collect();
-                    ring.select(&holders, 1).first().map_or(usize::MAX, |at| held[*at])
+                    let replicas = (home..home + 3.min(streamers)).map(|streamer| streamer % streamers);
+                    let replicas: Vec<usize> =
+                        replicas.filter(|streamer| Some(*streamer) != gone_streamer).collect();
+                    let holders: Vec<Holder> = replicas.iter().map(|streamer| holder(*streamer)).collect();
+                    hash.select(&holders, 1).first().map_or(usize::MAX, |index| replicas[*index])
                 })
                 .collect::<Vec<_>>()
         };
-        instances.iter().flat_map(each).collect()
+        instances.iter().flat_map(of_instance).collect()
     };
     let all: Vec<usize> = (0..controllers).collect();
-    let rest: Vec<usize> = all.iter().copied().filter(|me| *me != controllers / 2).collect();
-    let part = |a: &[usize], b: &[usize]| {
+    let rest: Vec<usize> = all.iter().copied().filter(|instance| *instance != controllers / 2).collect();
+    let changed_share = |a: &[usize], b: &[usize]| {
         a.iter().zip(b).filter(|(a, b)| a != b).count() as f64 / a.len().max(1) as f64
     };
     let before = choices(&all, None);
-    let kept: Vec<usize> = before
+    let before_of_rest: Vec<usize> = before
         .chunks(streamers)
         .enumerate()
-        .filter(|(me, _)| *me != controllers / 2)
-        .flat_map(|(_, c)| c.to_vec())
+        .filter(|(instance, _)| *instance != controllers / 2)
+        .flat_map(|(_, chosen)| chosen.to_vec())
         .collect();
-    (part(&kept, &choices(&rest, None)), part(&before, &choices(&all, Some(streamers / 2))))
+    (
+        changed_share(&before_of_rest, &choices(&rest, None)),
+        changed_share(&before, &choices(&all, Some(streamers / 2))),
+    )
 }
 
-fn line(plan: &Plan, came: &Came) -> Value {
-    let us = came.spent.as_secs_f64() * 1e6 / came.plays.max(1) as f64;
+/// CPU time in drivers and modules per set-up, in microseconds.
+fn cpu_us_per_set_up(result: &Came) -> f64 {
+    result.spent.as_secs_f64() * 1e6 / result.plays.max(1) as f64
+}
+
+/// The result of a run, as it is printed.
+fn run_to_json(plan: &Plan, result: &Came) -> Value {
     json!({
-        "controllers": plan.controllers, "views": name(plan.views), "changing": plan.changing,
-        "asked": came.asked, "plays": came.plays, "turned_back": came.turned_back, "gain": came.gain,
-        "stood": came.stood, "stood_most": came.stood_most, "opened_a_s": came.opened as f64 / plan.seconds,
-        "busiest": came.busiest, "over_budget": came.over_budget, "to_cold": came.to_cold,
-        "stood_for": came.stood_for, "two_heirs": came.two_heirs, "agreed_s": came.agreed_s, "agreed_all_s": came.agreed_all_s, "us_a_set_up": us,
+        "controllers": plan.controllers, "views": view_name(plan.views), "changing": plan.changing,
+        "asked": result.asked, "plays": result.plays, "turned_back": result.turned_back, "gain": result.gain,
+        "stood": result.stood, "stood_most": result.stood_most, "opened_a_s": result.opened as f64 / plan.seconds,
+        "busiest": result.busiest, "over_budget": result.over_budget, "to_cold": result.to_cold,
+        "stood_for": result.stood_for, "two_heirs": result.two_heirs, "agreed_s": result.agreed_s, "agreed_all_s": result.agreed_all_s, "us_a_set_up": cpu_us_per_set_up(result),
     })
 }
 
+/// Runs all sizes with each kind of fleet view. It fails if a cold streamer gets more than it can take, or if two
+/// controllers take the turns of the same missing one.
 pub fn run(args: &FleetArgs) -> CommandResult {
     let mut plans = Vec::new();
     for controllers in &args.sizes {
@@ -107,7 +124,7 @@
                     controllers: *controllers,
                     streamers: args.streamers,
                     views,
-                    per_s: args.per_s,
+                    per_s: args.requests_per_s,
                     uneven: args.uneven,
                     seconds: args.seconds,
                     changing,
@@ -116,23 +133,23 @@
             }
         }
     }
-    let todo: Mutex<VecDeque<(usize, Plan)>> = Mutex::new(plans.iter().cloned().enumerate().collect());
-    let done: Mutex<Vec<(usize, Came)>> = Mutex::new(Vec::new());
+    let pending: Mutex<VecDeque<(usize, Plan)>> = Mutex::new(plans.iter().cloned().enumerate().collect());
+    let finished: Mutex<Vec<(usize, Came)>> = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..args.jobs.max(1) {
             scope.spawn(|| loop {
-                let next = todo.lock().unwrap_or_else(PoisonError::into_inner).pop_front();
-                let Some((nth, plan)) = next else { return };
-                let came = Swarm::new(plan).run();
-                done.lock().unwrap_or_else(PoisonError::into_inner).push((nth, came));
+                let next = pending.lock().unwrap_or_else(PoisonError::into_inner).pop_front();
+                let Some((index, plan)) = next else { return };
+                let result = Swarm::new(plan).run();
+                finished.lock().unwrap_or_else(PoisonError::into_inner).push((index, result));
             });
         }
     });
-    let mut done = done.into_inner().unwrap_or_else(PoisonError::into_inner);
-    done.sort_by_key(|(nth, _)| *nth);
+    let mut results = finished.into_inner().unwrap_or_else(PoisonError::into_inner);
+    results.sort_by_key(|(index, _)| *index);
     println!(
-        "{} streamers, {} wishes/s, {:.0} s of virtual time (simulated network, streamers and players)",
-        args.streamers, args.per_s, args.seconds
+        "{} streamers, {} requests/s, {:.0} s of virtual time (simulated network, streamers and players)",
+        args.streamers, args.requests_per_s, args.seconds
     );
     println!(
         "{:>11} {:<8} {:<8} {:>7} {:>7} {:>8} {:>8} {:>9} {:>8} {:>5} {:>8} {:>6} {:>5} {:>10} {:>8}",
@@ -140,76 +157,91 @@
         "traffic",
         "views",
         "gain",
-        "turned",
+        "reject",
         "links",
         "most",
         "opened/s",
         "busiest",
         "over",
         "to cold",
-        "heirs",
+        "cover",
         "two",
         "agreed s",
         "us/setup"
     );
-    let mut fine = true;
+    let mut holds = true;
     let mut runs = Vec::new();
-    for (plan, (_, came)) in plans.iter().zip(&done) {
-        let agreed: Vec<String> = came.agreed_s.iter().map(|s| format!("{s:.1}")).collect();
+    for (plan, (_, result)) in plans.iter().zip(&results) {
+        let agreed: Vec<String> = result.agreed_s.iter().map(|s| format!("{s:.1}")).collect();
         println!(
             "{:>11} {:<8} {:<8} {:>7.3} {:>7} {:>8.0} {:>8} {:>9.1} {:>8.2} {:>5} {:>8} {:>6} {:>5} {:>10} {:>8.0}",
             plan.controllers,
             if plan.changing { "changing" } else { "steady" },
-            name(plan.views),
-            came.gain,
-            came.turned_back,
-            came.stood,
-            came.stood_most,
-            came.opened as f64 / plan.seconds,
-            came.busiest,
-            came.over_budget,
-            came.to_cold,
-            came.stood_for,
-            came.two_heirs,
+            view_name(plan.views),
+            result.gain,
+            result.turned_back,
+            result.stood,
+            result.stood_most,
+            result.opened as f64 / plan.seconds,
+            result.busiest,
+            result.over_budget,
+            result.to_cold,
+            result.stood_for,
+            result.two_heirs,
             agreed.join(","),
-            came.spent.as_secs_f64() * 1e6 / came.plays.max(1) as f64,
+            cpu_us_per_set_up(result),
         );
-        // What is promised under any view holds at every size.
-        fine &= came.over_budget == 0 && came.two_heirs == 0;
-        runs.push(line(plan, came));
+        // These two hold with every kind of view at every size.
+        holds &= result.over_budget == 0 && result.two_heirs == 0;
+        runs.push(run_to_json(plan, result));
     }
-    let mut aims = Vec::new();
-    let mut aim = |what: String, met: bool| {
-        println!("{} {what}", if met { "met:    " } else { "not met:" });
-        aims.push(json!({"aim": what, "met": met}));
+    let mut targets = Vec::new();
+    let mut report_target = |text: String, met: bool| {
+        println!("{} {text}", if met { "met:    " } else { "not met:" });
+        targets.push(json!({"aim": text, "met": met}));
     };
-    for (place, plan) in
-        plans.iter().enumerate().filter(|(_, plan)| plan.controllers == SIZE && plan.views != Views::Mesh)
+    for (index, plan) in plans
+        .iter()
+        .enumerate()
+        .filter(|(_, plan)| plan.controllers == TARGET_FLEET_SIZE && plan.views != Views::Mesh)
     {
-        let same = |other: &Plan| (other.controllers, other.changing) == (plan.controllers, plan.changing);
-        let Some(mesh) = plans.iter().position(|other| other.views == Views::Mesh && same(other)) else {
+        let same_size_and_traffic =
+            |other: &Plan| (other.controllers, other.changing) == (plan.controllers, plan.changing);
+        let Some(mesh) =
+            plans.iter().position(|other| other.views == Views::Mesh && same_size_and_traffic(other))
+        else {
             continue;
         };
-        let (here, mesh) = (&done[place].1, &done[mesh].1);
-        let of = format!("{}, {}", name(plan.views), if plan.changing { "changing" } else { "steady" });
-        let part = here.stood / mesh.stood.max(1.0);
-        aim(format!("{of}: connections at most a quarter of the mesh's: {part:.2}"), part <= CONNECTIONS);
-        let less = mesh.gain - here.gain;
-        aim(format!("{of}: gain no lower than the mesh's: {less:+.3} less"), less <= NOISE);
-        let over = here.busiest / mesh.busiest.max(1e-9);
-        aim(format!("{of}: busiest over mean at most {BUSIEST} of the mesh's: {over:.2}"), over <= BUSIEST);
+        let (result, mesh) = (&results[index].1, &results[mesh].1);
+        let label =
+            format!("{}, {}", view_name(plan.views), if plan.changing { "changing" } else { "steady" });
+        let ratio = result.stood / mesh.stood.max(1.0);
+        report_target(
+            format!("{label}: connections at most a quarter of the mesh's: {ratio:.2}"),
+            ratio <= MAX_CONNECTIONS_RATIO,
+        );
+        let gain_loss = mesh.gain - result.gain;
+        report_target(
+            format!("{label}: gain no lower than the mesh's: {gain_loss:+.3} lower"),
+            gain_loss <= GAIN_TOLERANCE,
+        );
+        let ratio = result.busiest / mesh.busiest.max(1e-9);
+        report_target(
+            format!("{label}: busiest over its share at most {MAX_BUSIEST_RATIO} of the mesh's: {ratio:.2}"),
+            ratio <= MAX_BUSIEST_RATIO,
+        );
     }
-    let mut moves = Vec::new();
+    let mut moved = Vec::new();
     for controllers in &args.sizes {
-        let (instance, streamer) = moved(*controllers, args.streamers);
-        let least = 3.0 / *controllers as f64;
-        aim(format!("{controllers} controllers: first choices that move when one leaves: {instance:.4}, at most {least:.4}"), instance <= least);
+        let (instance, streamer) = moved_shares(*controllers, args.streamers);
+        let max_share = 3.0 / *controllers as f64;
+        report_target(format!("{controllers} controllers: preferred holders that change when one leaves: {instance:.4}, at most {max_share:.4}"), instance <= max_share);
         println!("         when a streamer leaves: {streamer:.4}");
-        moves.push(json!({"controllers": controllers, "instance": instance, "streamer": streamer}));
+        moved.push(json!({"controllers": controllers, "instance": instance, "streamer": streamer}));
     }
     println!(
         "{}",
-        json!({"measure": "fleet", "streamers": args.streamers, "runs": runs, "moved": moves, "aims": aims, "holds": fine})
+        json!({"measure": "fleet", "streamers": args.streamers, "runs": runs, "moved": moved, "aims": targets, "holds": holds})
     );
-    Ok(if fine { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if holds { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/lemontide-cli/src/measure/front.rs
+++ b/crates/lemontide-cli/src/measure/front.rs
@@ -1,7 +1,7 @@
-//! `lemontide measure front`: what the controller adds to a constant answer by the same HTTP stack.
+//! `lemontide measure front`: the cost of the controller over a constant response by the same HTTP stack.
 
 use super::rig::{unlimited_capacity_day, write_list, Process};
-use crate::CommandResult;
+use crate::{BoxError, CommandResult};
 use lemontide_standin::load::{closed, open, Ask, Came};
 use lemontide_standin::streamer::Fleet;
 use lemontide_wire::clock::Clock;
@@ -13,29 +13,30 @@
 /// Arguments of `lemontide measure front`.
 #[derive(clap::Args)]
 pub struct FrontArgs {
-    /// Seconds of each part.
+    /// Length of each part, in seconds.
     #[arg(long, default_value_t = 5.0)]
     seconds: f64,
-    /// Connections that ask as fast as answers come.
+    /// Connections that send the next request as soon as the previous one is answered.
     #[arg(long, default_value_t = 32)]
     workers: usize,
-    /// Wishes a second of the part that measures latency.
-    #[arg(long, default_value_t = 500.0)]
-    rate: f64,
-    /// Sessions at which memory is measured.
+    /// Requests per second in the part that measures latency.
+    #[arg(long = "rate", value_name = "RATE", default_value_t = 500.0)]
+    requests_per_s: f64,
+    /// Number of playing sessions at which memory is measured.
     #[arg(long, default_value_t = 10_000)]
     sessions: usize,
 }
 
-fn quantiles(came: &Came) -> (f64, f64) {
-    let at = |q| came.latency_us.value_at_quantile(q) as f64 / 1e3;
-    (at(0.5), at(0.99))
+/// Median and 99th percentile of the latency, in milliseconds.
+fn latency_quantiles_ms(load: &Came) -> (f64, f64) {
+    let quantile = |q| load.latency_us.value_at_quantile(q) as f64 / 1e3;
+    (quantile(0.5), quantile(0.99))
 }
 
-/// Waits until the list is read and all links are up.
-fn linked(front: &Process, links: usize) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
+/// Waits until the controller has read the list and all links are up.
+fn wait_for_links(controller: &Process, links: usize) -> Result<(), BoxError> {
     for _ in 0..100 {
-        if front.state()?.links_up == links {
+        if controller.state()?.links_up == links {
             return Ok(());
         }
         std::thread::sleep(Duration::from_millis(50));
@@ -43,104 +44,111 @@
     Err("the controller did not reach all streamers within 5 s".into())
 }
 
+/// Runs the measurement. It fails if a request gets no valid answer, if one is rejected, or if fewer or more sessions play
+/// than were requested.
 pub fn run(args: &FrontArgs) -> CommandResult {
     let folder = tempfile::tempdir()?;
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     let day = unlimited_capacity_day(1, 20)?;
-    let list = folder.path().join("list.json");
+    let list_file = folder.path().join("list.json");
     let clock = Clock::start();
     let fleet = runtime.block_on(Fleet::start(&day, clock, Tap::disabled(clock), None))?;
-    write_list(&day, &fleet, &list)?;
-    let settings = day.settings(0, &list, None, 1);
-    let file = folder.path().join("front.json");
-    std::fs::write(&file, serde_json::to_vec(&settings)?)?;
+    write_list(&day, &fleet, &list_file)?;
+    let settings = day.settings(0, &list_file, None, 1);
+    let settings_file = folder.path().join("front.json");
+    std::fs::write(&settings_file, serde_json::to_vec(&settings)?)?;
     let constant = Process::start(&["measure", "constant"])?;
-    let front = Process::start(&["front", "--settings", &file.to_string_lossy()])?;
-    linked(&front, day.streamers.len())?;
-    let lasts = Duration::from_secs_f64(args.seconds);
+    let controller = Process::start(&["front", "--settings", &settings_file.to_string_lossy()])?;
+    wait_for_links(&controller, day.streamers.len())?;
+    let part_length = Duration::from_secs_f64(args.seconds);
     let titles: Vec<String> = day.titles.keys().cloned().collect();
-    let ask = |process: &Process, leave| Ask {
+    let requests = |process: &Process, leave| Ask {
         to: process.address,
         workers: args.workers,
         titles: titles.clone(),
         lane: "paid".into(),
         leave,
     };
-    let most = usize::MAX;
-    let base = runtime.block_on(closed(ask(&constant, true), lasts, most));
-    let (_, cpu_before) = front.usage()?;
-    let decided_before = front.state()?.deciding_s;
-    let full = runtime.block_on(closed(ask(&front, true), lasts, most));
-    let (_, cpu_after) = front.usage()?;
-    let decided = front.state()?.deciding_s - decided_before;
-    let base_paced = runtime.block_on(open(ask(&constant, true), args.rate, lasts));
-    let paced = runtime.block_on(open(ask(&front, true), args.rate, lasts));
-    // Memory is that of a fresh process: one that was under load has room left over from it.
-    drop(front);
-    let front = Process::start(&["front", "--settings", &file.to_string_lossy()])?;
-    linked(&front, day.streamers.len())?;
-    let (empty, _) = front.usage()?;
-    let kept = runtime.block_on(closed(ask(&front, false), Duration::from_secs(120), args.sessions));
-    let (held, _) = front.usage()?;
-    let playing = front.state()?.playing;
-    // And with them in hand, as fast as answers come.
-    let (_, cpu_at) = front.usage()?;
-    let decided_at = front.state()?.deciding_s;
-    let crowded = runtime.block_on(closed(ask(&front, true), lasts, most));
-    let cpu_crowded = front.usage()?.1 - cpu_at;
-    let decided_crowded = front.state()?.deciding_s - decided_at;
+    let constant_load = runtime.block_on(closed(requests(&constant, true), part_length, usize::MAX));
+    let (_, cpu_before) = controller.usage()?;
+    let decided_before = controller.state()?.deciding_s;
+    let controller_load = runtime.block_on(closed(requests(&controller, true), part_length, usize::MAX));
+    let (_, cpu_after) = controller.usage()?;
+    let decided_s = controller.state()?.deciding_s - decided_before;
+    let constant_paced = runtime.block_on(open(requests(&constant, true), args.requests_per_s, part_length));
+    let controller_paced =
+        runtime.block_on(open(requests(&controller, true), args.requests_per_s, part_length));
+    // Memory is measured in a new process, since a process that was under load keeps memory allocated from it.
+    drop(controller);
+    let controller = Process::start(&["front", "--settings", &settings_file.to_string_lossy()])?;
+    wait_for_links(&controller, day.streamers.len())?;
+    let (memory_empty, _) = controller.usage()?;
+    let session_load =
+        runtime.block_on(closed(requests(&controller, false), Duration::from_secs(120), args.sessions));
+    let (memory_with_sessions, _) = controller.usage()?;
+    let playing = controller.state()?.playing;
+    // The closed load once more, now with these sessions playing.
+    let (_, cpu_before_crowded) = controller.usage()?;
+    let decided_before_crowded = controller.state()?.deciding_s;
+    let crowded_load = runtime.block_on(closed(requests(&controller, true), part_length, usize::MAX));
+    let cpu_used_crowded = controller.usage()?.1 - cpu_before_crowded;
+    let decided_crowded_s = controller.state()?.deciding_s - decided_before_crowded;
 
-    let rate = |came: &Came| came.answers() as f64 / came.took_s;
-    let (base_p50, base_p99) = quantiles(&base_paced);
-    let (p50, p99) = quantiles(&paced);
-    let per_session = (held - empty) / args.sessions as f64;
-    let cpu = cpu_after - cpu_before;
+    let rate = |load: &Came| load.answers() as f64 / load.took_s;
+    let (constant_p50, constant_p99) = latency_quantiles_ms(&constant_paced);
+    let (p50, p99) = latency_quantiles_ms(&controller_paced);
+    let bytes_per_session = (memory_with_sessions - memory_empty) / args.sessions as f64;
+    let cpu_used = cpu_after - cpu_before;
     println!(
-        "one controller and a constant answer, as processes on one machine; stand-in streamers without delay"
+        "one controller and a constant response, as processes on one machine; simulated streamers without delay"
     );
     println!("{:<44} {:>12} {:>12} {:>8}", "", "constant", "controller", "ratio");
     println!(
         "{:<44} {:>12.0} {:>12.0} {:>8.2}",
-        format!("answers a second, {} connections", args.workers),
-        rate(&base),
-        rate(&full),
-        rate(&full) / rate(&base)
+        format!("answers per second, {} connections", args.workers),
+        rate(&constant_load),
+        rate(&controller_load),
+        rate(&controller_load) / rate(&constant_load)
     );
     println!(
-        "{:<44} {base_p50:>12.2} {p50:>12.2} {:>8.2}",
-        format!("p50 ms at {}/s", args.rate),
-        p50 / base_p50
+        "{:<44} {constant_p50:>12.2} {p50:>12.2} {:>8.2}",
+        format!("p50 ms at {}/s", args.requests_per_s),
+        p50 / constant_p50
     );
     println!(
-        "{:<44} {base_p99:>12.2} {p99:>12.2} {:>8.2}",
-        format!("p99 ms at {}/s", args.rate),
-        p99 / base_p99
+        "{:<44} {constant_p99:>12.2} {p99:>12.2} {:>8.2}",
+        format!("p99 ms at {}/s", args.requests_per_s),
+        p99 / constant_p99
     );
-    println!("latency added: p50 {:.2} ms, p99 {:.2} ms", p50 - base_p50, p99 - base_p99);
-    println!("resident memory per session at {}: {:.0} bytes", args.sessions, per_session);
-    println!("driver and module, part of the process's CPU: {:.2} empty", decided / cpu.max(1e-9));
+    println!("latency added: p50 {:.2} ms, p99 {:.2} ms", p50 - constant_p50, p99 - constant_p99);
+    println!("resident memory per session at {}: {:.0} bytes", args.sessions, bytes_per_session);
     println!(
-        "with {} sessions in hand: {:.0} answers a second, {:.2} of the empty controller's; driver and module {:.2}",
+        "share of the process's CPU in driver and module: {:.2} without sessions",
+        decided_s / cpu_used.max(1e-9)
+    );
+    println!(
+        "with {} sessions playing: {:.0} answers per second, {:.2} of the rate without sessions; driver and module {:.2}",
         playing,
-        rate(&crowded),
-        rate(&crowded) / rate(&full),
-        decided_crowded / cpu_crowded.max(1e-9)
+        rate(&crowded_load),
+        rate(&crowded_load) / rate(&controller_load),
+        decided_crowded_s / cpu_used_crowded.max(1e-9)
     );
-    let all = [&base, &full, &base_paced, &paced, &kept, &crowded];
-    let missing: u64 = all.iter().map(|came| came.missing + came.scrapped + came.not_taken).sum();
-    let turned_back: u64 = all.iter().map(|came| came.turned_back).sum();
-    let fine = missing == 0 && turned_back == 0 && playing == args.sessions;
-    println!("wishes without a fitting answer: {missing}; turned back with room for all: {turned_back}");
+    let loads =
+        [&constant_load, &controller_load, &constant_paced, &controller_paced, &session_load, &crowded_load];
+    let missing: u64 = loads.iter().map(|load| load.missing + load.scrapped + load.not_taken).sum();
+    let rejected: u64 = loads.iter().map(|load| load.turned_back).sum();
+    let holds = missing == 0 && rejected == 0 && playing == args.sessions;
+    println!("requests without a valid answer: {missing}; rejected although capacity was free: {rejected}");
     println!(
         "{}",
         json!({
-            "measure": "front", "seconds": args.seconds, "workers": args.workers, "rate": args.rate,
-            "answers_per_s": rate(&full), "constant_per_s": rate(&base), "ratio": rate(&full) / rate(&base),
-            "added_p50_ms": p50 - base_p50, "added_p99_ms": p99 - base_p99,
-            "bytes_per_session": per_session, "sessions": playing,
-            "deciding_share": decided / cpu.max(1e-9), "deciding_share_crowded": decided_crowded / cpu_crowded.max(1e-9),
-            "crowded_per_s": rate(&crowded), "missing": missing, "turned_back": turned_back, "holds": fine
+            "measure": "front", "seconds": args.seconds, "workers": args.workers, "rate": args.requests_per_s,
+            "answers_per_s": rate(&controller_load), "constant_per_s": rate(&constant_load), "ratio": rate(&controller_load) / rate(&constant_load),
+            "added_p50_ms": p50 - constant_p50, "added_p99_ms": p99 - constant_p99,
+            "bytes_per_session": bytes_per_session, "sessions": playing,
+            "deciding_share": decided_s / cpu_used.max(1e-9), "deciding_share_crowded": decided_crowded_s / cpu_used_crowded.max(1e-9),
+            "crowded_per_s": rate(&crowded_load), "missing": missing, "turned_back": rejected, "holds": holds
         })
     );
-    Ok(if fine { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if holds { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
