--- a/crates/lemontide-cli/src/measure/shedding.rs
+++ b/crates/lemontide-cli/src/measure/shedding.rs
@@ -1,5 +1,6 @@
-//! `lemontide measure shedding`: one controller on a small part of a core, at its limit and far over it, with shedding
-//! and two baselines; then a burst, a stall, returns, costs, the judge, and fifty controllers in virtual time.
+//! `lemontide measure shedding`: one controller on a small part of a core, at its limit and far over it, with load
+//! shedding and with two baselines. Then a burst, a stall, retries with the rules checked, the CPU cost of answers, and
+//! fifty controllers in virtual time.
 
 use super::rig::{unlimited_capacity_day, write_list, Process};
 use crate::{BoxError, CommandResult};
@@ -7,7 +8,7 @@
 use lemontide_standin::crowd;
 use lemontide_standin::day::Day;
 use lemontide_standin::judge::judge;
-use lemontide_standin::load::{mixed, Lane, Mix, Outcome as Of, Record};
+use lemontide_standin::load::{mixed, Lane, Mix, Outcome as RequestOutcome, Record};
 use lemontide_standin::streamer::Fleet;
 use lemontide_wire::clock::Clock;
 use lemontide_wire::tap::{self, Tap, TapEvent};
@@ -25,74 +26,77 @@
 /// Arguments of `lemontide measure shedding`.
 #[derive(clap::Args)]
 pub struct SheddingArgs {
-    /// Seconds of each part.
+    /// Length of each part, in seconds.
     #[arg(long, default_value_t = 3.0)]
     seconds: f64,
-    /// Part of one core that the controller gets, by stopping and continuing it.
-    #[arg(long, default_value_t = 0.05)]
-    core: f64,
-    /// Loads over the measured limit.
-    #[arg(long, value_delimiter = ',', default_values_t = [1.0, 2.0, 3.0, 5.0, 10.0])]
-    times: Vec<f64>,
-    /// Part of the wishes in the better lane, and its gain over the other's.
-    #[arg(long, default_value_t = 0.1)]
-    paid: f64,
-    #[arg(long, default_value_t = 4.0)]
-    gain: f64,
-    /// Leave out the baselines.
+    /// Part of one core that the controller gets, by stopping and continuing its process.
+    #[arg(long = "core", value_name = "CORE", default_value_t = 0.05)]
+    core_part: f64,
+    /// Loads, as multiples of the measured limit.
+    #[arg(long = "times", value_name = "TIMES", value_delimiter = ',', default_values_t = [1.0, 2.0, 3.0, 5.0, 10.0])]
+    load_multiples: Vec<f64>,
+    /// Share of the requests in the class `paid`; the rest are in the class `free`.
+    #[arg(long = "paid", value_name = "PAID", default_value_t = 0.1)]
+    paid_share: f64,
+    /// Gain of a session of the class `paid`, where one of the class `free` gains 1.
+    #[arg(long = "gain", value_name = "GAIN", default_value_t = 4.0)]
+    paid_gain: f64,
+    /// Skip the baselines.
     #[arg(long)]
     only_shedding: bool,
-    /// Take this limit, in viewers a second, instead of finding it.
-    #[arg(long)]
-    limit: Option<f64>,
+    /// Use this limit, in viewers per second, instead of measuring it.
+    #[arg(long = "limit", value_name = "LIMIT")]
+    limit_per_s: Option<f64>,
     /// Connections that are open before a load begins.
     #[arg(long, default_value_t = 1500)]
     connections: usize,
 }
 
-/// The period in which the allowance is given.
-const PERIOD: Duration = Duration::from_millis(20);
-/// Viewers a second while the costs of answers are measured.
-const RATE_OF_COSTS: f64 = 4000.0;
-/// The limit that is told is this part of the highest rate that was kept: machines are noisy.
-const MARGIN: f64 = 0.75;
-/// The 99th percentile of answers at the limit is under this.
-const LIMIT_P99_S: f64 = 0.3;
-const GOAL_S: f64 = 1.0;
-const CUT_OFF_S: f64 = 1.5;
-/// Seconds after a start in which nothing is counted.
-const WARM_S: f64 = 1.0;
+/// In each period the controller's process runs for its part and is stopped for the rest.
+const THROTTLE_PERIOD: Duration = Duration::from_millis(20);
+/// Viewers per second while the CPU cost of answers is measured.
+const COST_LOAD_PER_S: f64 = 4000.0;
+/// The limit is this part of the highest rate that the controller kept up with, as the speed of machines varies.
+const LIMIT_SAFETY_FACTOR: f64 = 0.75;
+/// The 99th percentile of the answer times at the limit is below this.
+const MAX_P99_AT_LIMIT_S: f64 = 0.3;
+/// Latency goal of both classes.
+const LATENCY_GOAL_S: f64 = 1.0;
+/// Deadline of the requests of both classes, after which viewers give up.
+const DEADLINE_S: f64 = 1.5;
+/// Time after the start of a controller in which nothing is counted.
+const WARM_UP_S: f64 = 1.0;
 
-/// Gives a process a part of a core: it runs so long of each period, as a quota would let it.
-struct Throttle {
+/// Limits a process to a part of a core, as a CPU quota would: it runs for that part of each period.
+struct CpuThrottle {
     stop: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Throttle {
-    fn start(pid: i32, part: f64) -> Throttle {
+impl CpuThrottle {
+    fn start(pid: i32, part: f64) -> CpuThrottle {
         let stop = Arc::new(AtomicBool::new(false));
-        let told = stop.clone();
+        let stop_requested = stop.clone();
         let thread = std::thread::spawn(move || {
             let pid = Pid::from_raw(pid);
-            let run = PERIOD.mul_f64(part.clamp(0.01, 1.0));
+            let run_time = THROTTLE_PERIOD.mul_f64(part.clamp(0.01, 1.0));
             let mut next = Instant::now();
-            while !told.load(Ordering::Relaxed) {
+            while !stop_requested.load(Ordering::Relaxed) {
                 let _ = kill(pid, Signal::SIGCONT);
-                std::thread::sleep(run);
+                std::thread::sleep(run_time);
                 if part < 1.0 {
                     let _ = kill(pid, Signal::SIGSTOP);
                 }
-                next += PERIOD;
+                next += THROTTLE_PERIOD;
                 std::thread::sleep(next.saturating_duration_since(Instant::now()));
             }
             let _ = kill(pid, Signal::SIGCONT);
         });
-        Throttle { stop, thread: Some(thread) }
+        CpuThrottle { stop, thread: Some(thread) }
     }
 }
 
-impl Drop for Throttle {
+impl Drop for CpuThrottle {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
@@ -101,30 +105,37 @@
     }
 }
 
+/// How a controller handles overload. The names are printed in the JSON.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Variant {
+    /// No load shedding.
     None,
+    /// No load shedding, but a bounded queue: the newest requests are rejected once it is full.
     Newest,
+    /// Load shedding.
     Sheds,
 }
 
 const VARIANTS: [(Variant, &str); 3] =
     [(Variant::None, "no shedding"), (Variant::Newest, "newest dropped"), (Variant::Sheds, "shedding")];
 
+/// What the measurements of one controller share.
 struct Rig {
     day: Day,
     fleet: Fleet,
     titles: Vec<String>,
-    lanes: Vec<Lane>,
+    classes: Vec<Lane>,
     folder: tempfile::TempDir,
     runtime: Runtime,
-    core: f64,
-    /// Cores that a controller gets of it, as it was measured.
-    allowance: f64,
+    /// Part of a core that the controller is meant to get.
+    core_part: f64,
+    /// Part of a core that an overloaded controller gets, as measured.
+    measured_cores: f64,
     connections: usize,
 }
 
 impl Rig {
+    /// The controller's settings for this variant.
     fn settings(&self, variant: Variant, tap: Option<PathBuf>) -> Settings {
         let list = self.folder.path().join("list.json");
         let mut settings = self.day.settings(0, &list, tap, 1);
@@ -135,7 +146,7 @@
             Variant::Sheds => {
                 settings.shedding = Some(Shedding {
                     delay_s: 0.1,
-                    cores: self.allowance,
+                    cores: self.measured_cores,
                     memory_bytes: 2e9,
                     files: 1e6,
                     lane_shares: Vec::new(),
@@ -147,36 +158,38 @@
         settings
     }
 
+    /// Starts a controller, and waits until it is connected to all streamers.
     fn start(&self, settings: &Settings) -> Result<Process, BoxError> {
         let file = self.folder.path().join("front.json");
         std::fs::write(&file, serde_json::to_vec(settings)?)?;
-        // The child gets the core that its parent has at that moment.
-        let me = Pid::from_raw(0);
-        let before = sched_getaffinity(me)?;
-        let mut one = CpuSet::new();
-        let first = (0..CpuSet::count()).find(|cpu| before.is_set(*cpu).unwrap_or(false)).unwrap_or(0);
-        one.set(first)?;
-        sched_setaffinity(me, &one)?;
-        let front = Process::start(&["front", "--settings", &file.to_string_lossy()]);
-        sched_setaffinity(me, &before)?;
-        let front = front?;
+        // The child inherits the CPU affinity of its parent, which is set to one core while it is started.
+        let own_pid = Pid::from_raw(0);
+        let before = sched_getaffinity(own_pid)?;
+        let mut one_core = CpuSet::new();
+        let first_core = (0..CpuSet::count()).find(|cpu| before.is_set(*cpu).unwrap_or(false)).unwrap_or(0);
+        one_core.set(first_core)?;
+        sched_setaffinity(own_pid, &one_core)?;
+        let controller = Process::start(&["front", "--settings", &file.to_string_lossy()]);
+        sched_setaffinity(own_pid, &before)?;
+        let controller = controller?;
         for _ in 0..100 {
-            if front.state()?.links_up == self.day.streamers.len() {
-                return Ok(front);
+            if controller.state()?.links_up == self.day.streamers.len() {
+                return Ok(controller);
             }
             std::thread::sleep(Duration::from_millis(50));
         }
         Err("the controller did not reach all streamers within 5 s".into())
     }
 
-    fn mix(&self, to: &Process, rate: Vec<(f64, f64)>) -> Mix {
+    /// A load on this controller; `rate` has pairs of a time in seconds and the viewers per second from then on.
+    fn load(&self, controller: &Process, rate: Vec<(f64, f64)>) -> Mix {
         Mix {
-            to: to.address,
+            to: controller.address,
             titles: self.titles.clone(),
-            lanes: self.lanes.clone(),
+            lanes: self.classes.clone(),
             rate,
-            goal_s: GOAL_S,
-            cut_off_s: CUT_OFF_S,
+            goal_s: LATENCY_GOAL_S,
+            cut_off_s: DEADLINE_S,
             again: 0,
             hinted: true,
             follows: true,
@@ -186,335 +199,393 @@
         }
     }
 
-    /// A steady load on a fresh controller, after a second at half of the limit.
-    fn steady(&self, variant: Variant, limit: f64, times: f64, seconds: f64) -> Result<Part, BoxError> {
-        let front = self.start(&self.settings(variant, None))?;
-        let _throttle = Throttle::start(front.id(), self.core);
-        let rate = vec![(0.0, limit * 0.5), (WARM_S, limit * times), (WARM_S + seconds, 0.0)];
-        let records = self.runtime.block_on(mixed(self.mix(&front, rate)));
-        // Steady means after the first second of the load itself.
-        Ok(self.part(&records, WARM_S + 1.0, WARM_S + seconds))
+    /// A steady load on a new controller, after a second at half of the limit.
+    fn steady_load(
+        &self,
+        variant: Variant,
+        limit: f64,
+        load_multiple: f64,
+        seconds: f64,
+    ) -> Result<LoadSummary, BoxError> {
+        let controller = self.start(&self.settings(variant, None))?;
+        let _throttle = CpuThrottle::start(controller.id(), self.core_part);
+        let rate = vec![(0.0, limit * 0.5), (WARM_UP_S, limit * load_multiple), (WARM_UP_S + seconds, 0.0)];
+        let records = self.runtime.block_on(mixed(self.load(&controller, rate)));
+        // The first second of the load itself does not count as steady.
+        Ok(self.summarize(&records, WARM_UP_S + 1.0, WARM_UP_S + seconds))
     }
 
-    fn part(&self, records: &[Record], from: f64, to: f64) -> Part {
-        let mut part = Part::default();
-        let mut took = Vec::new();
-        for record in records.iter().filter(|record| (from..to).contains(&record.due)) {
-            part.asks += 1;
+    /// Summary of the requests due in this time window.
+    fn summarize(&self, records: &[Record], from_s: f64, to_s: f64) -> LoadSummary {
+        let mut summary = LoadSummary::default();
+        let mut answer_times = Vec::new();
+        for record in records.iter().filter(|record| (from_s..to_s).contains(&record.due)) {
+            summary.requests += 1;
             match record.outcome {
-                Of::Late => part.late += 1,
-                Of::Broken => part.broken += 1,
-                Of::Plays => {
-                    part.plays += 1;
-                    if record.took <= GOAL_S {
-                        part.gain += self.lanes[record.lane].gain / (to - from);
-                        part.paid_plays += usize::from(record.lane == 0);
+                RequestOutcome::Late => summary.late += 1,
+                RequestOutcome::Broken => summary.broken += 1,
+                RequestOutcome::Plays => {
+                    summary.plays += 1;
+                    if record.took <= LATENCY_GOAL_S {
+                        summary.gain_per_s += self.classes[record.lane].gain / (to_s - from_s);
+                        summary.paid_plays += usize::from(record.lane == 0);
                     }
                 }
-                Of::TurnedBack | Of::NotTaken | Of::Scrapped => {}
+                RequestOutcome::TurnedBack | RequestOutcome::NotTaken | RequestOutcome::Scrapped => {}
             }
-            part.paid += usize::from(record.lane == 0);
-            took.push(record.took);
+            summary.paid_requests += usize::from(record.lane == 0);
+            answer_times.push(record.took);
         }
-        took.sort_by(f64::total_cmp);
-        part.p99 = took.get((took.len() as f64 * 0.99) as usize).copied().unwrap_or(0.0);
-        part
+        answer_times.sort_by(f64::total_cmp);
+        summary.p99_s = answer_times.get((answer_times.len() as f64 * 0.99) as usize).copied().unwrap_or(0.0);
+        summary
     }
 }
 
+/// Results of a load.
 #[derive(Clone, Debug, Default)]
-struct Part {
-    asks: usize,
+struct LoadSummary {
+    requests: usize,
     plays: usize,
+    /// Requests without an answer at their deadline.
     late: usize,
+    /// Requests whose connection failed or ended without an answer.
     broken: usize,
-    /// Gain a second of what played within the latency goal.
-    gain: f64,
-    paid: usize,
+    /// Gain per second of the sessions that play within the latency goal.
+    gain_per_s: f64,
+    paid_requests: usize,
+    /// Requests of the class `paid` that play within the latency goal.
     paid_plays: usize,
-    p99: f64,
+    /// 99th percentile of the time to the answer.
+    p99_s: f64,
 }
 
-impl Part {
-    fn paid_served(&self) -> f64 {
-        self.paid_plays as f64 / self.paid.max(1) as f64
+impl LoadSummary {
+    /// The share of the requests of the class `paid` that play within the latency goal.
+    fn paid_served_share(&self) -> f64 {
+        self.paid_plays as f64 / self.paid_requests.max(1) as f64
     }
 }
 
-/// CPU of the controller for each answer, in microseconds, by what the answers are.
-fn costs(rig: &Rig) -> Result<[f64; 3], BoxError> {
-    let cost = |full: bool, hinted: bool| -> Result<f64, BoxError> {
+/// CPU time of the controller per viewer, in microseconds: for one that plays, listens and leaves, for one that is
+/// rejected from the request head, and for one that is rejected after parsing.
+fn answer_costs_us(rig: &Rig) -> Result<[f64; 3], BoxError> {
+    let cost_us = |rejects_all: bool, has_hint: bool| -> Result<f64, BoxError> {
         let mut settings = rig.settings(Variant::Sheds, None);
         if let Some(shedding) = &mut settings.shedding {
             shedding.cores = 64.0;
             shedding.delay_s = 10.0;
-            if full {
+            if rejects_all {
                 shedding.memory_bytes = 1.0;
             }
         }
-        let front = rig.start(&settings)?;
+        let controller = rig.start(&settings)?;
         std::thread::sleep(Duration::from_millis(300));
-        let before = front.usage()?.1;
-        // Few connections: opening them is no part of an answer.
-        let mix = Mix { hinted, connections: 20, ..rig.mix(&front, vec![(0.0, RATE_OF_COSTS), (2.0, 0.0)]) };
-        let answers = rig.runtime.block_on(mixed(mix)).len() as f64;
-        Ok((front.usage()?.1 - before) / answers.max(1.0) * 1e6)
+        let before = controller.usage()?.1;
+        // Few connections, since opening them is not part of the cost of an answer.
+        let load = Mix {
+            hinted: has_hint,
+            connections: 20,
+            ..rig.load(&controller, vec![(0.0, COST_LOAD_PER_S), (2.0, 0.0)])
+        };
+        let answers = rig.runtime.block_on(mixed(load)).len() as f64;
+        Ok((controller.usage()?.1 - before) / answers.max(1.0) * 1e6)
     };
-    Ok([cost(false, false)?, cost(true, true)?, cost(true, false)?])
+    Ok([cost_us(false, false)?, cost_us(true, true)?, cost_us(true, false)?])
 }
 
-/// The highest rate at which nobody is late and the 99th percentile is low, found by steps on no shedding.
+/// The highest rate at which a controller without load shedding answers all requests before their deadline with a low
+/// 99th percentile, times the safety factor. The search raises the rate until the controller falls behind, then bisects.
 fn find_limit(rig: &Rig) -> Result<f64, BoxError> {
-    let keeps = |per_s: f64| -> Result<bool, BoxError> {
-        let front = rig.start(&rig.settings(Variant::None, None))?;
-        let _throttle = Throttle::start(front.id(), rig.core);
-        let records = rig.runtime.block_on(mixed(rig.mix(&front, vec![(0.0, per_s), (2.5, 0.0)])));
-        let part = rig.part(&records, 1.0, 2.5);
-        Ok(part.late == 0 && part.broken == 0 && part.p99 < LIMIT_P99_S)
+    let keeps_up = |per_s: f64| -> Result<bool, BoxError> {
+        let controller = rig.start(&rig.settings(Variant::None, None))?;
+        let _throttle = CpuThrottle::start(controller.id(), rig.core_part);
+        let records = rig.runtime.block_on(mixed(rig.load(&controller, vec![(0.0, per_s), (2.5, 0.0)])));
+        let summary = rig.summarize(&records, 1.0, 2.5);
+        Ok(summary.late == 0 && summary.broken == 0 && summary.p99_s < MAX_P99_AT_LIMIT_S)
     };
     let (mut low, mut high) = (0.0, 200.0);
-    while keeps(high)? && high < 1e5 {
+    while keeps_up(high)? && high < 1e5 {
         (low, high) = (high, high * 1.6);
     }
     for _ in 0..3 {
         let middle = (low + high) / 2.0;
-        if keeps(middle)? {
+        if keeps_up(middle)? {
             low = middle;
         } else {
             high = middle;
         }
     }
     if low <= 0.0 {
-        return Err("the controller does not keep up with two hundred viewers a second".into());
+        return Err("the controller does not keep up with 200 viewers per second".into());
     }
-    Ok(low * MARGIN)
+    Ok(low * LIMIT_SAFETY_FACTOR)
 }
 
-/// Cores that an overloaded controller gets: a stop comes a little late each time.
-fn allowance(rig: &Rig, limit: f64) -> Result<f64, BoxError> {
-    let front = rig.start(&rig.settings(Variant::None, None))?;
-    let _throttle = Throttle::start(front.id(), rig.core);
-    let load = rig.mix(&front, vec![(0.0, limit * 4.0), (3.0, 0.0)]);
-    let playing = rig.runtime.spawn(mixed(load));
+/// Cores that an overloaded controller gets. This is more than the part it is meant to get, as each stop of the process
+/// is a little late.
+fn measure_cores(rig: &Rig, limit: f64) -> Result<f64, BoxError> {
+    let controller = rig.start(&rig.settings(Variant::None, None))?;
+    let _throttle = CpuThrottle::start(controller.id(), rig.core_part);
+    let load = rig.load(&controller, vec![(0.0, limit * 4.0), (3.0, 0.0)]);
+    let running_load = rig.runtime.spawn(mixed(load));
     std::thread::sleep(Duration::from_millis(2500));
-    let (before, since) = (front.usage()?.1, Instant::now());
+    let (before, since) = (controller.usage()?.1, Instant::now());
     std::thread::sleep(Duration::from_millis(1500));
-    let cores = (front.usage()?.1 - before) / since.elapsed().as_secs_f64();
-    rig.runtime.block_on(playing)?;
-    Ok(cores.max(rig.core))
+    let cores = (controller.usage()?.1 - before) / since.elapsed().as_secs_f64();
+    rig.runtime.block_on(running_load)?;
+    Ok(cores.max(rig.core_part))
+}
+
+/// Results of a burst.
+struct BurstResult {
+    /// Seconds from the start of the burst until the first request is rejected.
+    first_rejection_s: f64,
+    /// Seconds from the end of the burst until no request is rejected any more.
+    recovery_s: f64,
+    /// Most set-ups in a tenth of a second after the burst over the mean.
+    peak_over_mean: f64,
+    summary: LoadSummary,
 }
 
-/// A burst: seconds until the first is turned back, seconds after its end until all are taken again, and the most
-/// set-ups in a tenth of a second after it over the mean.
-fn burst(rig: &Rig, limit: f64) -> Result<(f64, f64, f64, Part), BoxError> {
-    let front = rig.start(&rig.settings(Variant::Sheds, None))?;
-    let _throttle = Throttle::start(front.id(), rig.core);
-    let (from, to, end) = (2.0, 5.0, 13.0);
-    let rate = vec![(0.0, limit * 0.6), (from, limit * 5.0), (to, limit * 0.6), (end, 0.0)];
-    let records = rig.runtime.block_on(mixed(rig.mix(&front, rate)));
-    let back = |record: &&Record| matches!(record.outcome, Of::NotTaken | Of::TurnedBack);
-    let first =
-        records.iter().filter(back).find(|record| record.due >= from).map_or(f64::NAN, |r| r.due - from);
-    let last = records.iter().filter(back).map(|record| record.due).fold(to, f64::max) - to;
-    let mut tenths = vec![0.0f64; ((end - to) * 10.0) as usize];
-    let plays = records.iter().filter(|record| record.outcome == Of::Plays && record.due >= to);
+/// Five times the limit for 3 s, between loads at six tenths of it.
+fn measure_burst(rig: &Rig, limit: f64) -> Result<BurstResult, BoxError> {
+    let controller = rig.start(&rig.settings(Variant::Sheds, None))?;
+    let _throttle = CpuThrottle::start(controller.id(), rig.core_part);
+    let (burst_start_s, burst_end_s, end_s) = (2.0, 5.0, 13.0);
+    let rate =
+        vec![(0.0, limit * 0.6), (burst_start_s, limit * 5.0), (burst_end_s, limit * 0.6), (end_s, 0.0)];
+    let records = rig.runtime.block_on(mixed(rig.load(&controller, rate)));
+    let is_rejected =
+        |record: &&Record| matches!(record.outcome, RequestOutcome::NotTaken | RequestOutcome::TurnedBack);
+    let first_rejection_s = records
+        .iter()
+        .filter(is_rejected)
+        .find(|record| record.due >= burst_start_s)
+        .map_or(f64::NAN, |record| record.due - burst_start_s);
+    let recovery_s =
+        records.iter().filter(is_rejected).map(|record| record.due).fold(burst_end_s, f64::max) - burst_end_s;
+    let mut set_ups_by_tenth = vec![0.0f64; ((end_s - burst_end_s) * 10.0) as usize];
+    let plays =
+        records.iter().filter(|record| record.outcome == RequestOutcome::Plays && record.due >= burst_end_s);
     for record in plays {
-        let place = ((record.due + record.took - to) * 10.0) as usize;
-        if let Some(tenth) = tenths.get_mut(place) {
-            *tenth += 1.0;
+        let index = ((record.due + record.took - burst_end_s) * 10.0) as usize;
+        if let Some(set_ups) = set_ups_by_tenth.get_mut(index) {
+            *set_ups += 1.0;
         }
     }
-    let peak = tenths.iter().skip(2).copied().fold(0.0, f64::max) / (limit * 0.6 / 10.0);
-    Ok((first, last, peak, rig.part(&records, 0.0, end)))
+    let peak_over_mean = set_ups_by_tenth.iter().skip(2).copied().fold(0.0, f64::max) / (limit * 0.6 / 10.0);
+    Ok(BurstResult {
+        first_rejection_s,
+        recovery_s,
+        peak_over_mean,
+        summary: rig.summarize(&records, 0.0, end_s),
+    })
 }
 
-/// Stopped for 2 s and continued, at six tenths of the limit. What came of those who asked in the second before
-/// and during the stall, and of those from a second after it on.
-fn stall(rig: &Rig, limit: f64) -> Result<(Part, Part), BoxError> {
-    let front = rig.start(&rig.settings(Variant::Sheds, None))?;
-    let pid = front.id();
-    let mix = rig.mix(&front, vec![(0.0, limit * 0.6), (9.0, 0.0)]);
-    let core = rig.core;
-    let stalls = std::thread::spawn(move || {
-        let first = Throttle::start(pid, core);
+/// Stops the process for 2 s and continues it, at six tenths of the limit. Returns the results of the requests in the
+/// second before and during the stall, and of those from 1.5 s after it on.
+fn measure_stall(rig: &Rig, limit: f64) -> Result<(LoadSummary, LoadSummary), BoxError> {
+    let controller = rig.start(&rig.settings(Variant::Sheds, None))?;
+    let pid = controller.id();
+    let load = rig.load(&controller, vec![(0.0, limit * 0.6), (9.0, 0.0)]);
+    let core_part = rig.core_part;
+    let stalling_thread = std::thread::spawn(move || {
+        let throttle_before = CpuThrottle::start(pid, core_part);
         std::thread::sleep(Duration::from_secs(2));
-        drop(first);
+        drop(throttle_before);
         let _ = kill(Pid::from_raw(pid), Signal::SIGSTOP);
         std::thread::sleep(Duration::from_secs(2));
         let _ = kill(Pid::from_raw(pid), Signal::SIGCONT);
-        let _then = Throttle::start(pid, core);
+        let _throttle_after = CpuThrottle::start(pid, core_part);
         std::thread::sleep(Duration::from_secs(6));
     });
-    let records = rig.runtime.block_on(mixed(mix));
-    let _ = stalls.join();
-    Ok((rig.part(&records, 1.0, 4.0), rig.part(&records, 5.5, 9.0)))
+    let records = rig.runtime.block_on(mixed(load));
+    let _ = stalling_thread.join();
+    Ok((rig.summarize(&records, 1.0, 4.0), rig.summarize(&records, 5.5, 9.0)))
 }
 
-/// Ten times the limit with all taps on: whether the judge finds the rules kept, its table, and the retries' part.
-fn judged(rig: &Rig, limit: f64) -> Result<(bool, String, Part), BoxError> {
+/// Ten times the limit with retries and all taps. Returns whether no rule is broken, the table of the rules, and the
+/// results of the load.
+fn measure_with_rules(rig: &Rig, limit: f64) -> Result<(bool, String, LoadSummary), BoxError> {
     let folder = rig.folder.path();
-    let (own, players, streamers) =
+    let (controller_tap, player_tap, streamer_tap) =
         (folder.join("own.tap"), folder.join("players.tap"), folder.join("streamers.tap"));
     let clock = Clock::start();
-    let tap = Tap::open(&players, clock, "player")?;
+    let tap = Tap::open(&player_tap, clock, "player")?;
     tap.record(TapEvent::Rules { rules: rig.day.terms() });
     let fleet = rig.runtime.block_on(Fleet::start(
         &rig.day,
         clock,
-        Tap::open(&streamers, clock, "streamer")?,
+        Tap::open(&streamer_tap, clock, "streamer")?,
         None,
     ))?;
     write_list(&rig.day, &fleet, &folder.join("list.json"))?;
-    let front = rig.start(&rig.settings(Variant::Sheds, Some(own.clone())))?;
-    let part = {
-        let _throttle = Throttle::start(front.id(), rig.core);
+    let controller = rig.start(&rig.settings(Variant::Sheds, Some(controller_tap.clone())))?;
+    let summary = {
+        let _throttle = CpuThrottle::start(controller.id(), rig.core_part);
         let rate = vec![(0.0, limit * 0.5), (1.0, limit * 10.0), (3.0, limit * 0.5), (4.0, 0.0)];
-        let mix = Mix { tap: Some((tap, 0)), again: 1, ..rig.mix(&front, rate) };
-        let records = rig.runtime.block_on(mixed(mix));
-        rig.part(&records, 0.0, 60.0)
+        let load = Mix { tap: Some((tap, 0)), again: 1, ..rig.load(&controller, rate) };
+        let records = rig.runtime.block_on(mixed(load));
+        rig.summarize(&records, 0.0, 60.0)
     };
-    drop(front);
+    drop(controller);
     write_list(&rig.day, &rig.fleet, &folder.join("list.json"))?;
-    let mut lines = Vec::new();
-    for path in [own, players, streamers] {
-        lines.extend(tap::read_records(&path)?);
+    let mut tap_records = Vec::new();
+    for path in [controller_tap, player_tap, streamer_tap] {
+        tap_records.extend(tap::read_records(&path)?);
     }
-    let verdict = judge(&lines).ok_or("the taps state no terms")?;
-    Ok((verdict.is_clean(), verdict.table(), part))
+    let verdict = judge(&tap_records).ok_or("the taps do not contain the rules of the day")?;
+    Ok((verdict.is_clean(), verdict.table(), summary))
 }
 
+/// Runs all parts. It fails if a request is late or broken under load shedding, if requests are late after the stall, if a
+/// rule is broken, or if the simulated controllers do not recover.
 pub fn run(args: &SheddingArgs) -> CommandResult {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     let mut day = unlimited_capacity_day(1, 20)?;
     let mut free = day.lanes[0].clone();
     free.lane.name = "free".into();
-    day.lanes[0].lane.gain = args.gain;
+    day.lanes[0].lane.gain = args.paid_gain;
     day.lanes.push(free);
-    for lane in &mut day.lanes {
-        (lane.lane.latency_goal_s, lane.lane.cut_off_s) = (GOAL_S, CUT_OFF_S);
+    for class in &mut day.lanes {
+        (class.lane.latency_goal_s, class.lane.cut_off_s) = (LATENCY_GOAL_S, DEADLINE_S);
     }
     let clock = Clock::start();
     let fleet = runtime.block_on(Fleet::start(&day, clock, Tap::disabled(clock), None))?;
     let folder = tempfile::tempdir()?;
     write_list(&day, &fleet, &folder.path().join("list.json"))?;
-    let lane = |name: &str, gain, part| Lane { name: name.into(), gain, part };
-    let lanes = vec![lane("paid", args.gain, args.paid), lane("free", 1.0, 1.0 - args.paid)];
+    let class = |name: &str, gain, part| Lane { name: name.into(), gain, part };
+    let classes =
+        vec![class("paid", args.paid_gain, args.paid_share), class("free", 1.0, 1.0 - args.paid_share)];
     let titles = day.titles.keys().cloned().collect();
     let mut rig = Rig {
         day,
         fleet,
         titles,
-        lanes,
+        classes,
         folder,
         runtime,
-        core: args.core,
-        allowance: args.core,
+        core_part: args.core_part,
+        measured_cores: args.core_part,
         connections: args.connections,
     };
 
-    let [set_up, at_door, parsed] = costs(&rig)?;
+    let [set_up_us, rejected_from_head_us, rejected_parsed_us] = answer_costs_us(&rig)?;
     println!(
-        "one controller on {} of a core, given in periods of 20 ms; stand-in streamers without delay",
-        args.core
+        "one controller on {} of a core, in periods of 20 ms; simulated streamers without delay",
+        args.core_part
     );
-    println!("CPU of an answer: a viewer that plays, listens and leaves {set_up:.0} us; turned back at the doorway {at_door:.1} us, {:.3} of it; after parsing {parsed:.1} us, {:.3}", at_door / set_up, parsed / set_up);
-    let limit = match args.limit {
+    println!("CPU time per viewer: one that plays, listens and leaves {set_up_us:.0} us; one rejected from the request head {rejected_from_head_us:.1} us, {:.3} of it; one rejected after parsing {rejected_parsed_us:.1} us, {:.3}", rejected_from_head_us / set_up_us, rejected_parsed_us / set_up_us);
+    let limit = match args.limit_per_s {
         Some(limit) => limit,
         None => find_limit(&rig)?,
     };
-    rig.allowance = allowance(&rig, limit)?;
-    println!("cores that it got of {} when it had more to do: {:.3}", args.core, rig.allowance);
-    println!("limit, without shedding: {limit:.0} viewers a second, {MARGIN} of the most with p99 under {LIMIT_P99_S} s");
+    rig.measured_cores = measure_cores(&rig, limit)?;
+    println!("cores that it got under overload, of {}: {:.3}", args.core_part, rig.measured_cores);
+    println!("limit, without shedding: {limit:.0} viewers per second, {LIMIT_SAFETY_FACTOR} of the highest rate with p99 under {MAX_P99_AT_LIMIT_S} s");
     println!(
         "{:<16} {:>6} {:>7} {:>7} {:>6} {:>7} {:>9} {:>9} {:>8} {:>8}",
-        "", "times", "asks", "plays", "late", "broken", "gain/s", "of limit", "paid", "p99 s"
+        "", "times", "reqs", "plays", "late", "broken", "gain/s", "of limit", "paid", "p99 s"
     );
-    let mut rows: Vec<(Variant, f64, Part)> = Vec::new();
+    let mut rows: Vec<(Variant, f64, LoadSummary)> = Vec::new();
     for (variant, name) in VARIANTS {
         if args.only_shedding && variant != Variant::Sheds {
             continue;
         }
-        for times in &args.times {
-            let part = rig.steady(variant, limit, *times, args.seconds)?;
-            let worth = limit * (args.paid * args.gain + 1.0 - args.paid);
+        for load_multiple in &args.load_multiples {
+            let summary = rig.steady_load(variant, limit, *load_multiple, args.seconds)?;
+            let gain_at_limit = limit * (args.paid_share * args.paid_gain + 1.0 - args.paid_share);
             println!(
-                "{name:<16} {times:>6} {:>7} {:>7} {:>6} {:>7} {:>9.0} {:>9.2} {:>8.2} {:>8.2}",
-                part.asks,
-                part.plays,
-                part.late,
-                part.broken,
-                part.gain,
-                part.gain / worth,
-                part.paid_served(),
-                part.p99
+                "{name:<16} {load_multiple:>6} {:>7} {:>7} {:>6} {:>7} {:>9.0} {:>9.2} {:>8.2} {:>8.2}",
+                summary.requests,
+                summary.plays,
+                summary.late,
+                summary.broken,
+                summary.gain_per_s,
+                summary.gain_per_s / gain_at_limit,
+                summary.paid_served_share(),
+                summary.p99_s
             );
-            rows.push((variant, *times, part));
+            rows.push((variant, *load_multiple, summary));
         }
     }
-    let best = rows.iter().map(|(_, _, part)| part.gain).fold(1e-9, f64::max);
-    let top = args.times.iter().copied().fold(0.0, f64::max);
-    let at = |variant| {
-        rows.iter().find(|(v, times, _)| *v == variant && *times == top).map(|(_, _, part)| part.clone())
-    };
-    let last = at(Variant::Sheds).unwrap_or_default();
-    println!("shedding at {top} times: {:.2} of the best gain of all rows", last.gain / best);
-    let (notice, recover, peak, burst_part) = burst(&rig, limit)?;
-    println!("burst of 5 times for 3 s: noticed after {notice:.2} s, all taken again {recover:.1} s after its end; most set-ups in a tenth of a second after it {peak:.2} of the mean; late {}, broken {}", burst_part.late, burst_part.broken);
-    let (during, after) = stall(&rig, limit)?;
+    let best_gain = rows.iter().map(|(_, _, summary)| summary.gain_per_s).fold(1e-9, f64::max);
+    let max_multiple = args.load_multiples.iter().copied().fold(0.0, f64::max);
+    let at_max_load = rows
+        .iter()
+        .find(|(variant, multiple, _)| *variant == Variant::Sheds && *multiple == max_multiple)
+        .map(|(_, _, summary)| summary.clone())
+        .unwrap_or_default();
+    println!(
+        "shedding at {max_multiple} times: {:.2} of the best gain of all rows",
+        at_max_load.gain_per_s / best_gain
+    );
+    let burst = measure_burst(&rig, limit)?;
+    println!("burst of 5 times for 3 s: first rejection after {:.2} s, no more rejections {:.1} s after its end; most set-ups in a tenth of a second after it {:.2} of the mean; late {}, broken {}", burst.first_rejection_s, burst.recovery_s, burst.peak_over_mean, burst.summary.late, burst.summary.broken);
+    let (during, after) = measure_stall(&rig, limit)?;
     println!(
-        "stopped for 2 s: of {} who asked around it {} late; of {} from 1.5 s after it {} late, {} play",
-        during.asks, during.late, after.asks, after.late, after.plays
+        "stopped for 2 s: of {} requests around it {} late; of {} from 1.5 s after it {} late, {} play",
+        during.requests, during.late, after.requests, after.late, after.plays
     );
-    let (clean, table, retried) = judged(&rig, limit)?;
+    let (is_clean, rules_table, retries) = measure_with_rules(&rig, limit)?;
     println!(
-        "ten times the limit with returns and all taps, {} asks, {} late, {} broken:\n{table}",
-        retried.asks, retried.late, retried.broken
+        "ten times the limit with retries and all taps, {} requests, {} late, {} broken:\n{rules_table}",
+        retries.requests, retries.late, retries.broken
     );
-    let crowd = crowd_rows(at_door / set_up);
-    let none_lost = |part: &Part| part.late == 0 && part.broken == 0;
-    let shed_fine = rows.iter().filter(|(v, ..)| *v == Variant::Sheds).all(|(_, _, part)| none_lost(part));
-    let fine =
-        shed_fine && clean && none_lost(&burst_part) && none_lost(&retried) && after.late == 0 && crowd.1;
-    let told = rows.iter().map(|(variant, times, part)| json!({
-        "variant": format!("{variant:?}"), "times": times, "asks": part.asks, "plays": part.plays, "late": part.late,
-        "broken": part.broken, "gain_per_s": part.gain, "paid_served": part.paid_served(), "p99_s": part.p99
+    let (crowd_rows, crowd_holds) = measure_crowd(rejected_from_head_us / set_up_us);
+    let none_lost = |summary: &LoadSummary| summary.late == 0 && summary.broken == 0;
+    let shedding_holds = rows
+        .iter()
+        .filter(|(variant, ..)| *variant == Variant::Sheds)
+        .all(|(_, _, summary)| none_lost(summary));
+    let holds = shedding_holds
+        && is_clean
+        && none_lost(&burst.summary)
+        && none_lost(&retries)
+        && after.late == 0
+        && crowd_holds;
+    let json_rows = rows.iter().map(|(variant, load_multiple, summary)| json!({
+        "variant": format!("{variant:?}"), "times": load_multiple, "asks": summary.requests, "plays": summary.plays, "late": summary.late,
+        "broken": summary.broken, "gain_per_s": summary.gain_per_s, "paid_served": summary.paid_served_share(), "p99_s": summary.p99_s
     }));
     println!(
         "{}",
         json!({
-            "measure": "shedding", "core": args.core, "limit_per_s": limit, "set_up_us": set_up, "turn_back_us": at_door,
-            "turn_back_parsed_us": parsed, "rows": told.collect::<Vec<Value>>(), "of_best": last.gain / best,
-            "notice_s": notice, "recover_s": recover, "peak": peak, "judge_clean": clean, "crowd": crowd.0, "holds": fine
+            "measure": "shedding", "core": args.core_part, "limit_per_s": limit, "set_up_us": set_up_us, "turn_back_us": rejected_from_head_us,
+            "turn_back_parsed_us": rejected_parsed_us, "rows": json_rows.collect::<Vec<Value>>(), "of_best": at_max_load.gain_per_s / best_gain,
+            "notice_s": burst.first_rejection_s, "recover_s": burst.recovery_s, "peak": burst.peak_over_mean, "judge_clean": is_clean, "crowd": crowd_rows, "holds": holds
         })
     );
-    Ok(if fine { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if holds { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Fifty controllers at once, simulated, with the cost of a turn-back as it was measured.
-fn crowd_rows(cost: f64) -> (Value, bool) {
-    println!("fifty controllers at three times their capacity for 8 s (simulated), viewers come again once:");
+/// Simulates fifty controllers in overload, with the measured cost of a rejection relative to a set-up. Returns the rows of
+/// the table, and whether the controllers with load shedding recover without late answers.
+fn measure_crowd(rejection_cost: f64) -> (Value, bool) {
+    println!("fifty controllers at three times their capacity for 8 s (simulated), viewers retry once:");
     println!(
         "{:<28} {:>8} {:>8} {:>8} {:>6} {:>9} {:>7} {:>8}",
-        "", "gain", "paid", "asks", "late", "offered", "peak", "back s"
+        "", "gain", "paid", "reqs", "late", "offered", "peak", "recov. s"
     );
-    let plan = crowd::Plan { turn_back_cost: cost.clamp(0.01, 1.0), ..crowd::Plan::default() };
-    let (mut told, mut fine) = (Vec::new(), true);
+    let plan = crowd::Plan { turn_back_cost: rejection_cost.clamp(0.01, 1.0), ..crowd::Plan::default() };
+    let (mut rows, mut holds) = (Vec::new(), true);
     for (name, plan) in [
         ("no shedding", crowd::Plan { sheds: false, ..plan.clone() }),
         ("shedding, one wait for all", crowd::Plan { spread: false, ..plan.clone() }),
         ("shedding", plan),
     ] {
-        let came = crowd::play(&plan);
-        let most = came.offered.iter().copied().fold(0.0, f64::max);
+        let result = crowd::play(&plan);
+        let max_offered = result.offered.iter().copied().fold(0.0, f64::max);
         println!(
-            "{name:<28} {:>8.3} {:>8.3} {:>8} {:>6} {most:>9.1} {:>7.2} {:>8.1}",
-            came.gain, came.paid_served, came.wishes, came.late, came.peak, came.recovered_s
+            "{name:<28} {:>8.3} {:>8.3} {:>8} {:>6} {max_offered:>9.1} {:>7.2} {:>8.1}",
+            result.gain, result.paid_served, result.wishes, result.late, result.peak, result.recovered_s
         );
-        // Whoever comes comes twice at most, so the sum of all is bounded, and it ends.
-        let last = came.offered.last().copied().unwrap_or(0.0);
-        fine &= !(plan.sheds && plan.spread) || came.late == 0 && last < 1.0 && came.peak < 1.5;
-        told.push(json!({"name": name, "gain": came.gain, "paid": came.paid_served, "late": came.late,
-            "offered_most": most, "peak": came.peak, "recovered_s": came.recovered_s}));
+        // Each viewer sends at most two requests, so their total is bounded and the overload ends.
+        let last_offered = result.offered.last().copied().unwrap_or(0.0);
+        holds &= !(plan.sheds && plan.spread) || result.late == 0 && last_offered < 1.0 && result.peak < 1.5;
+        rows.push(json!({"name": name, "gain": result.gain, "paid": result.paid_served, "late": result.late,
+            "offered_most": max_offered, "peak": result.peak, "recovered_s": result.recovered_s}));
     }
-    (Value::Array(told), fine)
+    (Value::Array(rows), holds)
 }
