--- a/crates/lemontide-front/src/server.rs
+++ b/crates/lemontide-front/src/server.rs
@@ -125,7 +125,11 @@
         let stop_timeout_s = settings.limits.stop_timeout_s;
         let deciding_thread = std::thread::Builder::new().name("decides".into()).spawn(move || {
             let Ok(timers) = tokio::runtime::Builder::new_current_thread().enable_time().build() else {
-                return tracing::error!("the deciding thread could not start its timers");
+                // The target is an outer name, which the module's name doesn't follow.
+                return tracing::error!(
+                    target: "lemontide_front::front",
+                    "the deciding thread could not start its timers"
+                );
             };
             let driver = Driver::new(
                 Point::at(clock.now()),
