--- a/crates/lemontide-platform/src/codec.rs
+++ b/crates/lemontide-platform/src/codec.rs
@@ -231,32 +231,31 @@
         load
     }
 
+    /// A set-up, or why it is not valid. The reason is the value of the log field `why`; log readers match it.
     fn set_up(&self) -> Result<SetUp, &'static str> {
         let text = |code, missing| self.text(code).map(str::to_owned).ok_or(missing);
         let details = match self.bytes(code::DETAILS) {
-            Some(_) => {
-                Some(parse_details(self.text(code::DETAILS).ok_or("the request details are not text")?)?)
-            }
+            Some(_) => Some(parse_details(self.text(code::DETAILS).ok_or("figures are no text")?)?),
             None => None,
         };
         let rung = match self.bytes(code::RUNG) {
-            Some(_) => Some(self.whole_number(code::RUNG).ok_or("the rung is not a number")? as usize),
+            Some(_) => Some(self.whole_number(code::RUNG).ok_or("the rung is no number")? as usize),
             None => None,
         };
         let is_retry = match self.bytes(code::RETRY).map(|value| &value[..]) {
             None | Some(b"0") => false,
             Some(b"1") => true,
-            Some(_) => return Err("the retry flag is neither 0 nor 1"),
+            Some(_) => return Err("the mark of a retry is neither 0 nor 1"),
         };
         Ok(SetUp {
-            class: text(code::CLASS, "the class is missing")?,
+            class: text(code::CLASS, "no lane")?,
             tenant: self.text(code::TENANT).unwrap_or_default().to_owned(),
-            title: text(code::TITLE, "the title is missing")?,
-            wait_ms: self.whole_number(code::WAIT_MS).ok_or("the wait in milliseconds is missing")?,
+            title: text(code::TITLE, "no title")?,
+            wait_ms: self.whole_number(code::WAIT_MS).ok_or("no wait in milliseconds")?,
             is_retry,
             details,
             rung,
-            description: self.bytes(code::DESCRIPTION).cloned().ok_or("the description is missing")?,
+            description: self.bytes(code::DESCRIPTION).cloned().ok_or("no description")?,
         })
     }
 
@@ -289,16 +288,15 @@
     text.split(';').filter_map(|pair| pair.split_once(':'))
 }
 
+/// The details of a request, or why they are not valid. The reason is the value of the log field `why`; log readers
+/// match it.
 fn parse_details(text: &str) -> Result<RequestDetails, &'static str> {
     let mut details = RequestDetails::default();
     // One bit for each required name that was found.
     let mut found = 0;
     for (name, value) in named_values(text) {
-        let number = || {
-            parse_whole_number(value)
-                .and_then(|n| usize::try_from(n).ok())
-                .ok_or("a number in the request details is not valid")
-        };
+        let number =
+            || parse_whole_number(value).and_then(|n| usize::try_from(n).ok()).ok_or("a figure is no number");
         match name {
             "home" => (details.first_cell, found) = (number()?, found | 1),
             "copies" => (details.replicas, found) = (number()?, found | 2),
