--- a/crates/lemontide-front/src/core/driver.rs
+++ b/crates/lemontide-front/src/core/driver.rs
@@ -14,6 +14,7 @@
 use lemontide::interface::{
     AttemptOutcome, ControllerSettings, Load, NewAttempt, StreamerEntry, StreamerState,
 };
+use lemontide::log_values::Logged;
 use lemontide_shed::concurrency::ConcurrencyLimit;
 use lemontide_wire::cmcd::Cmcd;
 use lemontide_wire::cmsd::CmsdDynamic;
@@ -911,7 +912,7 @@
             title = session.title,
             verdict,
             shots = session.attempt_count,
-            last_ending = ?session.last_outcome,
+            last_ending = ?Logged(session.last_outcome),
             left_s = (session.deadline - now).seconds(),
             in_hand = self.sessions.len(),
         );
--- a/crates/lemontide-front/src/core/driver/attempts.rs
+++ b/crates/lemontide-front/src/core/driver/attempts.rs
@@ -128,7 +128,8 @@
             test,
         });
         tracing::debug!(
-            target: "attempt", ask = session.request_id, number, on = ?connection, ending = ?outcome, ?test,
+            target: "attempt",
+            ask = session.request_id, number, on = ?connection, ending = ?Logged(outcome), ?test,
             "abandoned, not proven over"
         );
         let viewer_left = session.viewer_left;
@@ -149,7 +150,8 @@
             self.sessions.iter().filter_map(|(id, session)| Some((*id, proven(session)?))).collect();
         for (id, (outcome, proof)) in proven {
             tracing::debug!(
-                target: "attempt", ask = self.sessions[&id].request_id, on = ?connection, ending = ?outcome, ?proof,
+                target: "attempt",
+                ask = self.sessions[&id].request_id, on = ?connection, ending = ?Logged(outcome), ?proof,
                 "proven over"
             );
             self.attempt_ended(now, id, outcome, Load::default());
--- a/crates/lemontide-front/src/lib.rs
+++ b/crates/lemontide-front/src/lib.rs
@@ -17,6 +17,7 @@
 pub mod http;
 pub mod link;
 pub mod list_source;
+mod log_values;
 pub mod overload_control;
 pub mod request_queue;
 pub mod server;
--- a/crates/lemontide-platform/src/dispatcher.rs
+++ b/crates/lemontide-platform/src/dispatcher.rs
@@ -26,6 +26,7 @@
 use lemontide::interface::{
     AttemptOutcome, ControllerSettings, Load, NewAttempt, Request, SettingValue, StreamerEntry, StreamerState,
 };
+use lemontide::log_values::Logged;
 use lemontide_front::core::{AbandonedAttempt, Connection, Evidence, Link, LinkAction, Proof, QueuedMessage};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/crates/lemontide-platform/src/dispatcher/attempts.rs
+++ b/crates/lemontide-platform/src/dispatcher/attempts.rs
@@ -195,7 +195,8 @@
         let Some(attempt) = tracked.attempt.as_ref() else { return };
         let (number, given_up) = (attempt.number, attempt.given_up);
         tracing::debug!(
-            target: "attempt", session = format!("{session:016x}"), number, ?given_up, "given up, not proven over"
+            target: "attempt",
+            session = format!("{session:016x}"), number, given_up = ?Logged(given_up), "given up, not proven over"
         );
         if !handle.attempt_in_doubt(&mut self.controller, now) {
             return self.end_without_proof(now, id);
@@ -336,7 +337,8 @@
         }
         tracing::debug!(
             target: "attempt",
-            session = format!("{:016x}", tracked.session), number = attempt.number, on = ?attempt.on, ?ending, ?proof, "over"
+            session = format!("{:016x}", tracked.session), number = attempt.number, on = ?attempt.on,
+            ending = ?Logged(ending), ?proof, "over"
         );
         self.report_ended(now, id, ending, load);
     }
@@ -361,7 +363,8 @@
         let (handle, plays) = (tracked.handle, tracked.playing_since.is_some());
         tracing::debug!(
             target: "decision",
-            session = format!("{:016x}", tracked.session), streamer = &*tracked.streamer, ?ending, plays, ?load
+            session = format!("{:016x}", tracked.session), streamer = &*tracked.streamer,
+            ending = ?Logged(ending), plays, load = ?Logged(load)
         );
         handle.attempt_ended(&mut self.controller, now, ending, plays, load);
     }
@@ -408,7 +411,8 @@
         self.remember_rejected(tracked.conn, tracked.session);
         tracing::debug!(
             target: "decision",
-            session = format!("{:016x}", tracked.session), lane = tracked.set_up.class, shots = tracked.attempt_count, ?body
+            session = format!("{:016x}", tracked.session), lane = tracked.set_up.class, shots = tracked.attempt_count,
+            body = ?Logged(&body)
         );
         let steps = Self::steps(&tracked, outcome, now);
         if let Some(reply) = tracked.reply.take() {
--- a/crates/lemontide-platform/src/dispatcher/viewers.rs
+++ b/crates/lemontide-platform/src/dispatcher/viewers.rs
@@ -264,7 +264,8 @@
         viewer_connection.rejected_sessions.push_back(session);
     }
 
-    /// The part of a set-up that the settings show to be unusable.
+    /// The part of a set-up that the settings show to be unusable, as the value of the log field `why`; log readers
+    /// match it.
     pub(super) fn unusable_part(&self, set_up: &SetUp) -> Option<&'static str> {
         let Some(figures) = &set_up.details else { return Some("no figures") };
         let settings = &self.settings;
@@ -273,7 +274,7 @@
         let has_cells =
             (1..=settings.cells).contains(&figures.replicas) && figures.first_cell < settings.cells;
         match () {
-            () if !is_known_class => Some("no such class"),
+            () if !is_known_class => Some("no such lane"),
             () if !is_known_tenant => Some("no such tenant"),
             () if !has_cells => Some("no such cells"),
             () if figures.max_rung >= settings.rungs => Some("no such rung"),
@@ -312,7 +313,7 @@
 
     /// Why a set-up is unusable, its session number included. The reason is logged.
     fn why_unusable(&self, (conn, session): (u64, u64), set_up: &SetUp) -> Option<&'static str> {
-        tracing::debug!(target: "decision", session = format!("{session:016x}"), conn, ?set_up);
+        tracing::debug!(target: "decision", session = format!("{session:016x}"), conn, set_up = ?Logged(set_up));
         let why = if session == 0 { Some("no id") } else { self.unusable_part(set_up) };
         if let Some(why) = why {
             tracing::info!(target: "viewers", why, "set-up is not usable");
--- a/crates/lemontide-platform/src/lib.rs
+++ b/crates/lemontide-platform/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod config;
 pub mod dispatcher;
 pub mod journal;
+mod log_values;
 mod outbox;
 pub mod permit;
 mod reader;
--- a/crates/lemontide-platform/src/serve.rs
+++ b/crates/lemontide-platform/src/serve.rs
@@ -11,6 +11,7 @@
 use futures::FutureExt;
 use lemontide::clock::{Point, Span};
 use lemontide::interface::{get_number, get_text, ControllerSettings};
+use lemontide::log_values::Logged;
 use lemontide_front::core::{Connection, QueuedMessage};
 use lemontide_wire::clock::Clock;
 use std::collections::HashMap;
@@ -309,7 +310,7 @@
     }
     let (journal_address, address_changes) = watch::channel(config.journal.clone());
     let journal = tokio::spawn(journal::follow(address_changes, config.known.position, list_updates));
-    tracing::debug!(target: "config", settings = %config.settings, known = ?config.known);
+    tracing::debug!(target: "config", settings = %config.settings, known = ?Logged(&config.known));
     tracing::info!(listen = %config.listen, streamers = dispatcher.streamer_count(), "serving");
     let mut last_connection_id = 0;
     // An accepted connection that waits for another one to close.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,5 +5,6 @@
 pub mod clock;
 pub mod control;
 pub mod interface;
+pub mod log_values;
 pub mod random;
 mod records;
