--- a/crates/lemontide-standin/src/model.rs
+++ b/crates/lemontide-standin/src/model.rs
@@ -1,366 +1,423 @@
-//! The fleet as it really is, in its own time: links and uplinks shared in equal parts, cold starts and falling
-//! over, late and noisy reports, and everything that troubles do to it. No sockets: `streamer` carries what goes
-//! in and comes out.
+//! Capacity model of a fleet of simulated streamers: links and uplinks shared in equal parts, warm-up and crashes,
+//! late and noisy load reports, and the effects of troubles. It has no sockets and no clock; its caller passes in
+//! events with their time and carries out the outputs.
 
 use crate::day::{Day, What};
 use lemontide_wire::cmsd::CmsdDynamic;
 use lemontide_wire::link::{Ended, Fullness, How, Plays, RungInForce, Short, StreamerMessage};
-use lemontide_wire::tap::{self, TapEvent};
+use lemontide_wire::tap::{TapEvent, TapOutcome};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Set-ups that a streamer works on at a time, and that wait beside them.
+/// Set-ups that a streamer works on at the same time.
 const CORES: usize = 2;
-const QUEUE: usize = 24;
-/// Smoothing of the share that notes tell, a second.
-const SMOOTH: f64 = 1.0;
-/// Under this share viewers begin to leave.
-const LEAVING: f64 = 0.75;
-
-/// One link of a controller at a streamer; numbers are never used again.
-pub type Conn = u64;
-type Key = (Conn, u32);
-
-/// What comes out of the model for the sockets.
+/// Set-ups that a streamer has accepted and not finished; it refuses more.
+const MAX_PENDING_SET_UPS: usize = 24;
+/// Time constant by which the delivered share is smoothed for reports.
+const SHARE_SMOOTHING_S: f64 = 1.0;
+/// Viewers begin to leave when a smaller share of their rate is delivered.
+const LEAVE_BELOW_SHARE: f64 = 0.75;
+
+/// Identifies one connection of a controller to a streamer; ids are not reused.
+pub type ConnectionId = u64;
+type StreamKey = (ConnectionId, u32);
+
+/// What the caller of the model has to carry out.
 #[derive(Debug, PartialEq)]
-pub enum Out {
-    Say {
-        conn: Conn,
-        told: StreamerMessage,
-    },
-    /// The connection breaks.
-    Cut {
-        conn: Conn,
-    },
-    Tap {
-        streamer: usize,
-        seen: TapEvent,
-    },
+pub enum Output {
+    /// Send a message to the controller.
+    Send { connection: ConnectionId, message: StreamerMessage },
+    /// Break the connection.
+    Disconnect { connection: ConnectionId },
+    /// Record an event in the tap of a streamer.
+    Tap { streamer: usize, event: TapEvent },
 }
 
-/// How a streamer stands towards its sockets.
+/// What a streamer does with its sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stand {
+pub enum SocketState {
+    /// Accepts, reads and writes.
     Up,
-    /// Neither reads nor writes nor accepts; nothing is reset.
+    /// Neither accepts, reads nor writes; connections stay open.
     Silent,
-    /// Talks, and never reads.
-    Deaf,
-    /// Not there: connections are refused.
+    /// Accepts and writes, but does not read.
+    NotReading,
+    /// Not running: connections are refused.
     Down,
 }
 
 struct Stream {
-    ask: String,
-    lane: String,
-    shot: u32,
+    request_id: String,
+    class: String,
+    attempt: u32,
     rung: usize,
     rate_kb: f64,
     /// Seconds that the viewer still watches.
-    left_s: f64,
-    /// Given since the last line of the tap: seconds, and the share times them.
-    given: (f64, f64),
-    /// The controller never heard that it plays.
-    lost: bool,
+    remaining_s: f64,
+    /// Delivery since the last tap record: seconds, and the sum of share times seconds.
+    delivered: (f64, f64),
+    /// The controller was not notified that it plays.
+    start_message_lost: bool,
 }
 
-struct SettingUp {
-    key: Key,
-    shot: u32,
-    ask: String,
-    lane: String,
+struct PendingSetUp {
+    key: StreamKey,
+    attempt: u32,
+    request_id: String,
+    class: String,
     rung: usize,
     rate_kb: f64,
     ready_at: f64,
 }
 
-struct Machine {
+struct SimulatedStreamer {
     name: String,
     rack: usize,
     link_kb: f64,
-    stand: Stand,
-    /// It fell over, or is gone for good.
-    dead: bool,
-    started: Option<f64>,
-    conns: BTreeMap<Conn, Link>,
-    streams: BTreeMap<Key, Stream>,
-    setting_up: VecDeque<SettingUp>,
-    cores: [f64; CORES],
-    got: VecDeque<f64>,
-    smooth: f64,
-    // What troubles do to it now.
-    errors: f64,
-    hangs: bool,
-    times: f64,
+    socket_state: SocketState,
+    /// It crashed under overload and is not restarted.
+    has_crashed: bool,
+    started_at: Option<f64>,
+    connections: BTreeMap<ConnectionId, ControllerLink>,
+    streams: BTreeMap<StreamKey, Stream>,
+    pending_set_ups: VecDeque<PendingSetUp>,
+    cores_busy_until: [f64; CORES],
+    /// Times of the set-ups in the last window.
+    recent_set_ups: VecDeque<f64>,
+    smoothed_share: f64,
+    // Effects of the troubles in force.
+    error_share: f64,
+    is_stalled: bool,
+    /// By how much its link is slower.
+    link_slowdown: f64,
     ageing_since: Option<f64>,
-    lost: f64,
-    lost_resets: bool,
+    /// Share of the start messages that get lost.
+    start_message_loss: f64,
+    /// A lost start message resets its connection.
+    loss_resets_connection: bool,
 }
 
-struct Link {
+struct ControllerLink {
     controller: usize,
-    next_short: f64,
-    next_full: f64,
+    next_shortfall_report_at: f64,
+    next_load_report_at: f64,
     was_short: bool,
 }
 
-/// All streamers of a day.
-pub struct Model {
-    machines: Vec<Machine>,
+/// Model of all streamers of a day.
+pub struct CapacityModel {
+    streamers: Vec<SimulatedStreamer>,
+    /// Capacity of each rack's uplink, and by how much it is reduced.
     uplinks: Vec<(f64, f64)>,
-    lanes: BTreeMap<String, f64>,
+    /// Mean duration of a set-up by class.
+    mean_set_up_s: BTreeMap<String, f64>,
     day: Day,
-    wanted: BTreeMap<String, f64>,
-    later: Vec<(f64, Conn, StreamerMessage)>,
-    late_by: f64,
-    chance: StdRng,
-    at: f64,
-    next_conn: Conn,
-    out: Vec<Out>,
+    /// Viewing time by request id.
+    viewing_s: BTreeMap<String, f64>,
+    /// Reports to be sent: when, on which connection.
+    delayed_reports: Vec<(f64, ConnectionId, StreamerMessage)>,
+    extra_report_delay_s: f64,
+    rng: StdRng,
+    now: f64,
+    last_connection_id: ConnectionId,
+    outputs: Vec<Output>,
 }
 
-impl Model {
-    pub fn new(day: &Day, now: f64) -> Model {
+impl CapacityModel {
+    /// A model of the day's streamers; the spare ones are down.
+    pub fn new(day: &Day, now: f64) -> CapacityModel {
         let racks = day.uplinks_kb.len();
-        let machine = |streamer: &crate::day::Streamer| Machine {
+        let simulated = |streamer: &crate::day::Streamer| SimulatedStreamer {
             name: streamer.name.clone(),
             rack: streamer.cell % racks,
             link_kb: streamer.link_kb,
-            stand: if streamer.spare { Stand::Down } else { Stand::Up },
-            dead: false,
-            started: None,
-            conns: BTreeMap::new(),
+            socket_state: if streamer.spare { SocketState::Down } else { SocketState::Up },
+            has_crashed: false,
+            started_at: None,
+            connections: BTreeMap::new(),
             streams: BTreeMap::new(),
-            setting_up: VecDeque::new(),
-            cores: [now; CORES],
-            got: VecDeque::new(),
-            smooth: 1.0,
-            errors: 0.0,
-            hangs: false,
-            times: 1.0,
+            pending_set_ups: VecDeque::new(),
+            cores_busy_until: [now; CORES],
+            recent_set_ups: VecDeque::new(),
+            smoothed_share: 1.0,
+            error_share: 0.0,
+            is_stalled: false,
+            link_slowdown: 1.0,
             ageing_since: None,
-            lost: 0.0,
-            lost_resets: false,
+            start_message_loss: 0.0,
+            loss_resets_connection: false,
         };
-        Model {
-            machines: day.streamers.iter().map(machine).collect(),
+        CapacityModel {
+            streamers: day.streamers.iter().map(simulated).collect(),
             uplinks: day.uplinks_kb.iter().map(|kb| (*kb, 1.0)).collect(),
-            lanes: day.lanes.iter().map(|lane| (lane.lane.name.clone(), lane.set_up_s)).collect(),
+            mean_set_up_s: day.lanes.iter().map(|class| (class.lane.name.clone(), class.set_up_s)).collect(),
             day: day.clone(),
-            wanted: BTreeMap::new(),
-            later: Vec::new(),
-            late_by: 0.0,
-            chance: StdRng::seed_from_u64(day.seed ^ 0x5eed),
-            at: now,
-            next_conn: 0,
-            out: Vec::new(),
+            viewing_s: BTreeMap::new(),
+            delayed_reports: Vec::new(),
+            extra_report_delay_s: 0.0,
+            rng: StdRng::seed_from_u64(day.seed ^ 0x5eed),
+            now,
+            last_connection_id: 0,
+            outputs: Vec::new(),
         }
     }
 
-    pub fn stand(&self, at: usize) -> Stand {
-        self.machines[at].stand
+    /// What a streamer does with its sockets.
+    pub fn socket_state(&self, index: usize) -> SocketState {
+        self.streamers[index].socket_state
     }
 
-    /// Its last start, where it had one this day.
-    pub fn started(&self, at: usize) -> Option<f64> {
-        self.machines[at].started
+    /// When a streamer last started, if it did during the day.
+    pub fn started_at(&self, index: usize) -> Option<f64> {
+        self.streamers[index].started_at
     }
 
-    pub fn is_dead(&self, at: usize) -> bool {
-        self.machines[at].dead
+    /// Whether a streamer crashed under overload.
+    pub fn has_crashed(&self, index: usize) -> bool {
+        self.streamers[index].has_crashed
     }
 
-    pub fn streams(&self) -> usize {
-        self.machines.iter().map(|machine| machine.streams.len()).sum()
+    /// Number of streams that play on all streamers.
+    pub fn stream_count(&self) -> usize {
+        self.streamers.iter().map(|simulated| simulated.streams.len()).sum()
     }
 
-    /// Takes what has come out since the last call.
-    pub fn take(&mut self) -> Vec<Out> {
-        std::mem::take(&mut self.out)
+    /// Takes the outputs since the last call.
+    pub fn take_outputs(&mut self) -> Vec<Output> {
+        std::mem::take(&mut self.outputs)
     }
 
-    /// How long the viewer behind an ask would watch; told by the player's end.
-    pub fn wants(&mut self, ask: &str, seconds: f64) {
-        self.wanted.insert(ask.to_owned(), seconds);
+    /// Sets how long the viewer of a request would watch.
+    pub fn set_viewing_time(&mut self, request_id: &str, seconds: f64) {
+        self.viewing_s.insert(request_id.to_owned(), seconds);
     }
 
-    fn tap(&mut self, streamer: usize, seen: TapEvent) {
-        self.out.push(Out::Tap { streamer, seen });
+    fn record(&mut self, streamer: usize, event: TapEvent) {
+        self.outputs.push(Output::Tap { streamer, event });
     }
 
-    // What comes from sockets.
-
-    pub fn connected(&mut self, now: f64, at: usize, controller: usize) -> Conn {
-        self.next_conn += 1;
-        let conn = self.next_conn;
-        let every = self.day.reports.every_s;
-        let next_full = now + every * self.chance.random::<f64>();
-        let link = Link { controller, next_short: now, next_full, was_short: false };
-        self.machines[at].conns.insert(conn, link);
-        conn
-    }
+    // Events of the sockets.
 
-    /// A link is gone, and with it all that its controller had here.
-    pub fn disconnected(&mut self, at: usize, conn: Conn) {
-        let machine = &mut self.machines[at];
-        machine.conns.remove(&conn);
-        machine.setting_up.retain(|set_up| set_up.key.0 != conn);
-        let gone: Vec<Key> = machine.streams.keys().filter(|key| key.0 == conn).copied().collect();
-        for key in gone {
-            self.finish(at, key, tap::TapOutcome::ConnectionLost, None);
+    /// A controller has connected to a streamer.
+    pub fn connection_opened(&mut self, now: f64, index: usize, controller: usize) -> ConnectionId {
+        self.last_connection_id += 1;
+        let connection = self.last_connection_id;
+        let interval_s = self.day.reports.every_s;
+        let next_load_report_at = now + interval_s * self.rng.random::<f64>();
+        let link = ControllerLink {
+            controller,
+            next_shortfall_report_at: now,
+            next_load_report_at,
+            was_short: false,
+        };
+        self.streamers[index].connections.insert(connection, link);
+        connection
+    }
+
+    /// A connection has closed: its streams and pending set-ups end.
+    pub fn connection_closed(&mut self, index: usize, connection: ConnectionId) {
+        let simulated = &mut self.streamers[index];
+        simulated.connections.remove(&connection);
+        simulated.pending_set_ups.retain(|set_up| set_up.key.0 != connection);
+        let ended: Vec<StreamKey> =
+            simulated.streams.keys().filter(|key| key.0 == connection).copied().collect();
+        for key in ended {
+            self.end_stream(index, key, TapOutcome::ConnectionLost, None);
         }
-        self.later.retain(|(_, of, _)| *of != conn);
-    }
-
-    pub fn set_up(&mut self, now: f64, at: usize, conn: Conn, set_up: lemontide_wire::link::SetUp) {
-        let machine = &mut self.machines[at];
-        let Some(link) = machine.conns.get(&conn) else { return };
-        let (controller, streamer) = (link.controller, machine.name.clone());
+        self.delayed_reports.retain(|(_, of, _)| *of != connection);
+    }
+
+    /// Accepts or refuses a set-up; too many of them crash a streamer that is warming up.
+    pub fn set_up(
+        &mut self,
+        now: f64,
+        index: usize,
+        connection: ConnectionId,
+        set_up: lemontide_wire::link::SetUp,
+    ) {
+        let simulated = &mut self.streamers[index];
+        let Some(link) = simulated.connections.get(&connection) else { return };
+        let (controller, streamer) = (link.controller, simulated.name.clone());
         let rung = set_up.rung as usize;
-        let (ask, lane, shot) = (set_up.ask, set_up.lane, set_up.shot);
-        self.tap(
-            at,
+        let (request_id, class, attempt) = (set_up.ask, set_up.lane, set_up.shot);
+        self.record(
+            index,
             TapEvent::AttemptReceived {
                 streamer,
                 controller,
-                request_id: ask.clone(),
-                attempt: shot,
-                class: lane.clone(),
+                request_id: request_id.clone(),
+                attempt,
+                class: class.clone(),
                 title: set_up.title,
                 rung,
             },
         );
-        if self.falls(now, at) {
+        if self.crashes_by_overload(now, index) {
             return;
         }
-        let (id, key) = (set_up.id, (conn, set_up.id));
-        let full = self.machines[at].streams.len() + self.machines[at].setting_up.len();
-        let waiting = self.machines[at].setting_up.len();
-        if full as f64 >= self.day.places || waiting >= QUEUE {
-            let cmsd_dynamic = self.report(at, true);
+        let (id, key) = (set_up.id, (connection, set_up.id));
+        let accepted = self.streamers[index].streams.len() + self.streamers[index].pending_set_ups.len();
+        let pending = self.streamers[index].pending_set_ups.len();
+        if accepted as f64 >= self.day.places || pending >= MAX_PENDING_SET_UPS {
+            let cmsd_dynamic = self.load_report(index, true);
             let how = How::SentBack.into();
-            return self.over(
-                at,
-                conn,
-                &ask,
-                shot,
-                Ended { id, shot, how, cmsd_dynamic },
-                tap::TapOutcome::Refused,
+            return self.end_attempt(
+                index,
+                connection,
+                &request_id,
+                attempt,
+                Ended { id, shot: attempt, how, cmsd_dynamic },
+                TapOutcome::Refused,
             );
         }
-        if self.chance.random::<f64>() < self.machines[at].errors {
-            let cmsd_dynamic = self.report(at, true);
+        if self.rng.random::<f64>() < self.streamers[index].error_share {
+            let cmsd_dynamic = self.load_report(index, true);
             let how = How::Errored.into();
-            return self.over(
-                at,
-                conn,
-                &ask,
-                shot,
-                Ended { id, shot, how, cmsd_dynamic },
-                tap::TapOutcome::Errored,
+            return self.end_attempt(
+                index,
+                connection,
+                &request_id,
+                attempt,
+                Ended { id, shot: attempt, how, cmsd_dynamic },
+                TapOutcome::Errored,
             );
         }
-        let mean = self.lanes.get(&lane).copied().unwrap_or(0.05);
-        let slow = self.ageing(now, at) / self.warmth(now, at).max(0.1);
-        let work = mean * slow * (0.5 + self.chance.random::<f64>());
-        let machine = &mut self.machines[at];
-        let core = (0..CORES).min_by(|a, b| machine.cores[*a].total_cmp(&machine.cores[*b])).unwrap_or(0);
-        let ready_at = machine.cores[core].max(now) + work;
-        machine.cores[core] = ready_at;
+        let mean_s = self.mean_set_up_s.get(&class).copied().unwrap_or(0.05);
+        let slowdown = self.ageing_slowdown(now, index) / self.warm_up_part(now, index).max(0.1);
+        let work_s = mean_s * slowdown * (0.5 + self.rng.random::<f64>());
+        let simulated = &mut self.streamers[index];
+        let core = (0..CORES)
+            .min_by(|a, b| simulated.cores_busy_until[*a].total_cmp(&simulated.cores_busy_until[*b]))
+            .unwrap_or(0);
+        let ready_at = simulated.cores_busy_until[core].max(now) + work_s;
+        simulated.cores_busy_until[core] = ready_at;
         let rate_kb = f64::from(set_up.rate_kb);
-        machine.setting_up.push_back(SettingUp { key, shot, ask, lane, rung, rate_kb, ready_at });
+        simulated.pending_set_ups.push_back(PendingSetUp {
+            key,
+            attempt,
+            request_id,
+            class,
+            rung,
+            rate_kb,
+            ready_at,
+        });
         if ready_at <= now {
-            self.ready(now, at);
+            self.start_ready_streams(now, index);
         }
     }
 
-    fn over(&mut self, at: usize, conn: Conn, ask: &str, shot: u32, ended: Ended, how: tap::TapOutcome) {
-        let streamer = self.machines[at].name.clone();
-        self.tap(
-            at,
-            TapEvent::AttemptEnded { streamer, request_id: ask.to_owned(), attempt: shot, outcome: how },
+    /// Records and reports the end of an attempt that never played.
+    fn end_attempt(
+        &mut self,
+        index: usize,
+        connection: ConnectionId,
+        request_id: &str,
+        attempt: u32,
+        ended: Ended,
+        outcome: TapOutcome,
+    ) {
+        let streamer = self.streamers[index].name.clone();
+        self.record(
+            index,
+            TapEvent::AttemptEnded { streamer, request_id: request_id.to_owned(), attempt, outcome },
         );
-        self.out.push(Out::Say { conn, told: StreamerMessage::Ended(ended) });
+        self.outputs.push(Output::Send { connection, message: StreamerMessage::Ended(ended) });
     }
 
-    pub fn set_rung(&mut self, at: usize, conn: Conn, id: u32, rung: usize, rate_kb: f64) {
-        let Some(stream) = self.machines[at].streams.get_mut(&(conn, id)) else { return };
+    /// Changes the rung of a stream.
+    pub fn set_rung(&mut self, index: usize, connection: ConnectionId, id: u32, rung: usize, rate_kb: f64) {
+        let Some(stream) = self.streamers[index].streams.get_mut(&(connection, id)) else { return };
         (stream.rung, stream.rate_kb) = (rung, rate_kb);
-        let (ask, lane) = (stream.ask.clone(), stream.lane.clone());
-        let streamer = self.machines[at].name.clone();
-        self.tap(at, TapEvent::RungChanged { streamer, request_id: ask, class: lane, rung });
-        self.out.push(Out::Say { conn, told: StreamerMessage::Rung(RungInForce { id, rung: rung as u32 }) });
-    }
-
-    pub fn cancel(&mut self, at: usize, conn: Conn, id: u32, shot: u32) {
-        let key = (conn, id);
-        let machine = &mut self.machines[at];
-        let of = |set_up: &SettingUp| set_up.key == key && set_up.shot == shot;
-        let waiting = machine.setting_up.iter().position(of).and_then(|i| machine.setting_up.remove(i));
-        let streams = machine.streams.get(&key).is_some_and(|stream| stream.shot == shot);
+        let (request_id, class) = (stream.request_id.clone(), stream.class.clone());
+        let streamer = self.streamers[index].name.clone();
+        self.record(index, TapEvent::RungChanged { streamer, request_id, class, rung });
+        self.outputs.push(Output::Send {
+            connection,
+            message: StreamerMessage::Rung(RungInForce { id, rung: rung as u32 }),
+        });
+    }
+
+    /// Ends an attempt that the controller cancels, whether it is pending or plays.
+    pub fn cancel(&mut self, index: usize, connection: ConnectionId, id: u32, attempt: u32) {
+        let key = (connection, id);
+        let simulated = &mut self.streamers[index];
+        let is_cancelled = |set_up: &PendingSetUp| set_up.key == key && set_up.attempt == attempt;
+        let pending = simulated
+            .pending_set_ups
+            .iter()
+            .position(is_cancelled)
+            .and_then(|i| simulated.pending_set_ups.remove(i));
+        let is_playing = simulated.streams.get(&key).is_some_and(|stream| stream.attempt == attempt);
         let how = How::Cancelled.into();
-        let ended = Ended { id, shot, how, cmsd_dynamic: self.report(at, true) };
-        if let Some(set_up) = waiting {
-            self.over(at, conn, &set_up.ask, shot, ended, tap::TapOutcome::Cancelled);
-        } else if streams {
-            self.finish(at, key, tap::TapOutcome::Cancelled, Some(ended));
+        let ended = Ended { id, shot: attempt, how, cmsd_dynamic: self.load_report(index, true) };
+        if let Some(set_up) = pending {
+            self.end_attempt(index, connection, &set_up.request_id, attempt, ended, TapOutcome::Cancelled);
+        } else if is_playing {
+            self.end_stream(index, key, TapOutcome::Cancelled, Some(ended));
         }
     }
 
-    /// The load as a look finds it.
-    pub fn look(&mut self, at: usize) -> String {
-        self.report(at, true)
+    /// The load report that answers a probe.
+    pub fn probe(&mut self, index: usize) -> String {
+        self.load_report(index, true)
     }
 
-    // The troubles.
+    // Troubles.
 
-    /// A trouble begins, or ends. What it does to controllers, the list and the crowd is not the model's.
-    pub fn trouble(&mut self, now: f64, what: &What, begins: bool) {
+    /// Begins or ends a trouble. Its effects on controllers, on the list and on the arrival rate are not modelled here.
+    pub fn set_trouble(&mut self, now: f64, what: &What, begins: bool) {
         match what {
             What::QuickErrors { on, share } => {
-                on.iter().for_each(|at| self.machines[*at].errors = if begins { *share } else { 0.0 });
+                on.iter()
+                    .for_each(|index| self.streamers[*index].error_share = if begins { *share } else { 0.0 });
             }
-            What::Hang { on } => on.iter().for_each(|at| {
-                self.machines[*at].hangs = begins;
+            What::Hang { on } => on.iter().for_each(|index| {
+                self.streamers[*index].is_stalled = begins;
                 if !begins {
-                    // What it had taken is worked off from now on.
-                    let machine = &mut self.machines[*at];
-                    machine.setting_up.iter_mut().for_each(|s| s.ready_at = s.ready_at.max(now + 0.05));
+                    // The set-ups that it had accepted become ready from now on.
+                    let simulated = &mut self.streamers[*index];
+                    simulated
+                        .pending_set_ups
+                        .iter_mut()
+                        .for_each(|s| s.ready_at = s.ready_at.max(now + 0.05));
                 }
             }),
-            What::Vanish { on } => on.iter().for_each(|at| {
+            What::Vanish { on } => on.iter().for_each(|index| {
                 if begins {
-                    self.machines[*at].stand = Stand::Silent;
-                    // What it had to say is not said any more.
-                    let conns = &self.machines[*at].conns;
-                    self.later.retain(|(_, conn, _)| !conns.contains_key(conn));
+                    self.streamers[*index].socket_state = SocketState::Silent;
+                    // Its delayed reports are dropped.
+                    let connections = &self.streamers[*index].connections;
+                    self.delayed_reports.retain(|(_, connection, _)| !connections.contains_key(connection));
                 } else {
-                    self.restart(now, *at);
+                    self.restart(now, *index);
                 }
             }),
             What::SlowLink { on, times } => {
-                on.iter().for_each(|at| self.machines[*at].times = if begins { *times } else { 1.0 });
+                on.iter().for_each(|index| {
+                    self.streamers[*index].link_slowdown = if begins { *times } else { 1.0 }
+                });
             }
             What::WeakUplink { racks, times } => {
                 racks.iter().for_each(|rack| self.uplinks[*rack].1 = if begins { *times } else { 1.0 });
             }
-            What::LateReports { by_s } => self.late_by = if begins { *by_s } else { 0.0 },
-            What::AnswersLost { on, share, reset } => on.iter().for_each(|at| {
-                self.machines[*at].lost = if begins { *share } else { 0.0 };
-                self.machines[*at].lost_resets = *reset;
+            What::LateReports { by_s } => self.extra_report_delay_s = if begins { *by_s } else { 0.0 },
+            What::AnswersLost { on, share, reset } => on.iter().for_each(|index| {
+                self.streamers[*index].start_message_loss = if begins { *share } else { 0.0 };
+                self.streamers[*index].loss_resets_connection = *reset;
             }),
-            What::Ageing { on } => on.iter().for_each(|at| {
+            What::Ageing { on } => on.iter().for_each(|index| {
                 if begins {
-                    self.machines[*at].ageing_since = Some(now);
+                    self.streamers[*index].ageing_since = Some(now);
                 } else {
-                    self.machines[*at].ageing_since = None;
-                    self.restart(now, *at);
+                    self.streamers[*index].ageing_since = None;
+                    self.restart(now, *index);
                 }
             }),
-            What::Deaf { on } => on.iter().for_each(|at| {
-                if !self.machines[*at].dead {
-                    self.machines[*at].stand = if begins { Stand::Deaf } else { Stand::Up };
+            What::Deaf { on } => on.iter().for_each(|index| {
+                if !self.streamers[*index].has_crashed {
+                    self.streamers[*index].socket_state =
+                        if begins { SocketState::NotReading } else { SocketState::Up };
                 }
             }),
             What::Removal { .. }
@@ -373,256 +430,300 @@
         }
     }
 
-    /// The process ends: what it had is broken, and connections are refused.
-    pub fn kill(&mut self, at: usize) {
-        self.clear(at);
-        self.machines[at].stand = Stand::Down;
+    /// Ends the process: its streams and connections break, and new connections are refused.
+    pub fn kill(&mut self, index: usize) {
+        self.drop_all(index);
+        self.streamers[index].socket_state = SocketState::Down;
     }
 
-    /// A new process in its place: empty, and cold.
-    pub fn restart(&mut self, now: f64, at: usize) {
-        if self.machines[at].dead {
+    /// Starts a new process of a streamer, without streams and at the beginning of its warm-up. A streamer that crashed
+    /// stays down.
+    pub fn restart(&mut self, now: f64, index: usize) {
+        if self.streamers[index].has_crashed {
             return;
         }
-        self.clear(at);
-        let machine = &mut self.machines[at];
-        machine.stand = Stand::Up;
-        machine.started = Some(now);
-        machine.cores = [now; CORES];
-        machine.got.clear();
-        let streamer = machine.name.clone();
-        self.tap(at, TapEvent::StreamerStarted { streamer, started_at: now });
-    }
-
-    fn clear(&mut self, at: usize) {
-        let machine = &mut self.machines[at];
-        machine.setting_up.clear();
-        let conns: Vec<Conn> = machine.conns.keys().copied().collect();
-        let streams: Vec<Key> = machine.streams.keys().copied().collect();
+        self.drop_all(index);
+        let simulated = &mut self.streamers[index];
+        simulated.socket_state = SocketState::Up;
+        simulated.started_at = Some(now);
+        simulated.cores_busy_until = [now; CORES];
+        simulated.recent_set_ups.clear();
+        let streamer = simulated.name.clone();
+        self.record(index, TapEvent::StreamerStarted { streamer, started_at: now });
+    }
+
+    /// Breaks all streams and connections.
+    fn drop_all(&mut self, index: usize) {
+        let simulated = &mut self.streamers[index];
+        simulated.pending_set_ups.clear();
+        let connections: Vec<ConnectionId> = simulated.connections.keys().copied().collect();
+        let streams: Vec<StreamKey> = simulated.streams.keys().copied().collect();
         for key in streams {
-            self.finish(at, key, tap::TapOutcome::ConnectionLost, None);
+            self.end_stream(index, key, TapOutcome::ConnectionLost, None);
         }
-        for conn in conns {
-            self.out.push(Out::Cut { conn });
+        for connection in connections {
+            self.outputs.push(Output::Disconnect { connection });
         }
     }
 
-    /// Set-ups within the last window against what a cold streamer can take: it falls over as rule 4 counts.
-    fn falls(&mut self, now: f64, at: usize) -> bool {
+    /// Crashes a streamer that is warming up and got more set-ups within the last window than rule 4 of the judge allows.
+    fn crashes_by_overload(&mut self, now: f64, index: usize) -> bool {
         let cold = &self.day.cold;
-        let pace = self.day.places / cold.warm_up_s.max(1e-3) * self.warmth(now, at);
-        let machine = &mut self.machines[at];
-        if machine.started.is_none_or(|started| now - started >= cold.warm_up_s) {
+        let set_ups_per_s = self.day.places / cold.warm_up_s.max(1e-3) * self.warm_up_part(now, index);
+        let simulated = &mut self.streamers[index];
+        if simulated.started_at.is_none_or(|started| now - started >= cold.warm_up_s) {
             return false;
         }
-        machine.got.push_back(now);
-        while machine.got.front().is_some_and(|got| now - got > cold.window_s) {
-            machine.got.pop_front();
+        simulated.recent_set_ups.push_back(now);
+        while simulated.recent_set_ups.front().is_some_and(|then| now - then > cold.window_s) {
+            simulated.recent_set_ups.pop_front();
         }
-        let falls = machine.got.len() as f64 > cold.overload_multiple * pace * cold.window_s + 1.0;
-        if falls {
-            machine.dead = true;
-            let streamer = machine.name.clone();
-            self.tap(at, TapEvent::StreamerCrashed { streamer });
-            self.kill(at);
+        let crashes = simulated.recent_set_ups.len() as f64
+            > cold.overload_multiple * set_ups_per_s * cold.window_s + 1.0;
+        if crashes {
+            simulated.has_crashed = true;
+            let streamer = simulated.name.clone();
+            self.record(index, TapEvent::StreamerCrashed { streamer });
+            self.kill(index);
         }
-        falls
+        crashes
     }
 
-    fn warmth(&self, now: f64, at: usize) -> f64 {
+    /// Part of its capacity that a streamer has in its warm-up; 1 afterwards.
+    fn warm_up_part(&self, now: f64, index: usize) -> f64 {
         let cold = &self.day.cold;
-        let Some(started) = self.machines[at].started else { return 1.0 };
+        let Some(started) = self.streamers[index].started_at else { return 1.0 };
         (cold.initial_part + (1.0 - cold.initial_part) * (now - started) / cold.warm_up_s.max(1e-3))
             .clamp(0.0, 1.0)
     }
 
-    /// How many times slower an ageing streamer is by now.
-    fn ageing(&self, now: f64, at: usize) -> f64 {
-        self.machines[at].ageing_since.map_or(1.0, |since| 1.0 + (now - since) / 4.0)
+    /// By how many times an ageing streamer is slower by now.
+    fn ageing_slowdown(&self, now: f64, index: usize) -> f64 {
+        self.streamers[index].ageing_since.map_or(1.0, |since| 1.0 + (now - since) / 4.0)
     }
 
-    fn asked(&self, at: usize) -> f64 {
-        self.machines[at].streams.values().map(|stream| stream.rate_kb).sum()
+    /// Sum of the rates of all its streams.
+    fn demand_kb(&self, index: usize) -> f64 {
+        self.streamers[index].streams.values().map(|stream| stream.rate_kb).sum()
     }
 
-    fn link(&self, now: f64, at: usize) -> f64 {
-        let machine = &self.machines[at];
-        machine.link_kb * self.warmth(now, at) / (machine.times * self.ageing(now, at)).max(1e-3)
+    /// Capacity of its link now.
+    fn link_capacity_kb(&self, now: f64, index: usize) -> f64 {
+        let simulated = &self.streamers[index];
+        simulated.link_kb * self.warm_up_part(now, index)
+            / (simulated.link_slowdown * self.ageing_slowdown(now, index)).max(1e-3)
     }
 
-    fn uplink(&self, rack: usize) -> (f64, f64) {
-        let asked = (0..self.machines.len()).filter(|at| self.machines[*at].rack == rack);
-        (asked.map(|at| self.asked(at)).sum(), self.uplinks[rack].0 / self.uplinks[rack].1.max(1e-3))
+    /// Demand and capacity of a rack's uplink.
+    fn uplink_demand_and_capacity(&self, rack: usize) -> (f64, f64) {
+        let in_rack = (0..self.streamers.len()).filter(|index| self.streamers[*index].rack == rack);
+        (
+            in_rack.map(|index| self.demand_kb(index)).sum(),
+            self.uplinks[rack].0 / self.uplinks[rack].1.max(1e-3),
+        )
     }
 
-    /// The load report as it stands now, noisy where it is.
-    fn report(&mut self, at: usize, streams: bool) -> String {
+    /// The load report of now, with the day's noise; it holds the number of streams on request, if the day reports it.
+    fn load_report(&mut self, index: usize, with_streams: bool) -> String {
         let noise = self.day.reports.noise;
-        let noisy = 1.0 + noise * (2.0 * self.chance.random::<f64>() - 1.0);
-        let now = self.at;
-        let (asked, uplink) = self.uplink(self.machines[at].rack);
-        let machine = &self.machines[at];
+        let noise_factor = 1.0 + noise * (2.0 * self.rng.random::<f64>() - 1.0);
+        let now = self.now;
+        let (uplink_demand, uplink_capacity) = self.uplink_demand_and_capacity(self.streamers[index].rack);
+        let simulated = &self.streamers[index];
         let dynamic = CmsdDynamic {
-            server: machine.name.clone(),
-            streams: (streams && self.day.reports.streams)
-                .then_some((machine.streams.len() + machine.setting_up.len()) as f64),
-            link_utilization: Some(self.asked(at) / self.link(now, at).max(1e-3) * noisy),
-            uplink_utilization: self.day.reports.rack.then_some(asked / uplink.max(1e-3) * noisy),
+            server: simulated.name.clone(),
+            streams: (with_streams && self.day.reports.streams)
+                .then_some((simulated.streams.len() + simulated.pending_set_ups.len()) as f64),
+            link_utilization: Some(
+                self.demand_kb(index) / self.link_capacity_kb(now, index).max(1e-3) * noise_factor,
+            ),
+            uplink_utilization: self
+                .day
+                .reports
+                .rack
+                .then_some(uplink_demand / uplink_capacity.max(1e-3) * noise_factor),
             ..CmsdDynamic::default()
         };
         dynamic.to_header_value()
     }
 
-    fn finish(&mut self, at: usize, key: Key, how: tap::TapOutcome, ended: Option<Ended>) {
-        let Some(stream) = self.machines[at].streams.remove(&key) else { return };
-        let streamer = self.machines[at].name.clone();
-        self.given(at, &streamer, &stream);
-        self.tap(
-            at,
-            TapEvent::AttemptEnded { streamer, request_id: stream.ask, attempt: stream.shot, outcome: how },
+    /// Ends a stream, records it, and reports it where `ended` is a message to the controller.
+    fn end_stream(&mut self, index: usize, key: StreamKey, outcome: TapOutcome, ended: Option<Ended>) {
+        let Some(stream) = self.streamers[index].streams.remove(&key) else { return };
+        let streamer = self.streamers[index].name.clone();
+        self.record_delivery(index, &streamer, &stream);
+        self.record(
+            index,
+            TapEvent::AttemptEnded {
+                streamer,
+                request_id: stream.request_id,
+                attempt: stream.attempt,
+                outcome,
+            },
         );
         if let Some(ended) = ended {
-            self.out.push(Out::Say { conn: key.0, told: StreamerMessage::Ended(ended) });
+            self.outputs.push(Output::Send { connection: key.0, message: StreamerMessage::Ended(ended) });
         }
     }
 
-    fn given(&mut self, at: usize, streamer: &str, stream: &Stream) {
-        let (seconds, weighed) = stream.given;
+    fn record_delivery(&mut self, index: usize, streamer: &str, stream: &Stream) {
+        let (seconds, share_seconds) = stream.delivered;
         if seconds > 0.0 {
-            let (streamer, ask) = (streamer.to_owned(), stream.ask.clone());
-            let (rung, share) = (stream.rung, weighed / seconds);
-            self.tap(at, TapEvent::Delivered { streamer, request_id: ask, rung, seconds, share });
+            let (streamer, request_id) = (streamer.to_owned(), stream.request_id.clone());
+            let (rung, share) = (stream.rung, share_seconds / seconds);
+            self.record(index, TapEvent::Delivered { streamer, request_id, rung, seconds, share });
         }
     }
 
-    /// Lets time pass until `now`: set-ups get ready, streams get their shares and end, notes go out.
-    pub fn step(&mut self, now: f64) {
-        let passed = (now - self.at).clamp(0.0, 1.0);
-        let whole = now.floor() > self.at.floor();
-        self.at = now;
-        for at in 0..self.machines.len() {
-            if matches!(self.machines[at].stand, Stand::Up | Stand::Deaf) {
-                self.ready(now, at);
+    /// Advances the model to `now`: set-ups become ready, streams get their shares and end, reports are sent.
+    pub fn advance(&mut self, now: f64) {
+        let elapsed_s = (now - self.now).clamp(0.0, 1.0);
+        let is_new_second = now.floor() > self.now.floor();
+        self.now = now;
+        for index in 0..self.streamers.len() {
+            if matches!(self.streamers[index].socket_state, SocketState::Up | SocketState::NotReading) {
+                self.start_ready_streams(now, index);
             }
-            self.play(now, at, passed, whole);
-            self.notes(now, at);
+            self.deliver(now, index, elapsed_s, is_new_second);
+            self.queue_reports(now, index);
         }
         let mut due = Vec::new();
-        self.later.retain(|(when, conn, told)| {
-            if *when <= now {
-                due.push((*conn, told.clone()));
+        self.delayed_reports.retain(|(due_at, connection, message)| {
+            if *due_at <= now {
+                due.push((*connection, message.clone()));
             }
-            *when > now
+            *due_at > now
         });
-        self.out.extend(due.into_iter().map(|(conn, told)| Out::Say { conn, told }));
+        self.outputs
+            .extend(due.into_iter().map(|(connection, message)| Output::Send { connection, message }));
     }
 
-    fn ready(&mut self, now: f64, at: usize) {
-        if self.machines[at].hangs {
+    fn start_ready_streams(&mut self, now: f64, index: usize) {
+        if self.streamers[index].is_stalled {
             return;
         }
-        while let Some(i) = self.machines[at].setting_up.iter().position(|s| s.ready_at <= now) {
-            let Some(set_up) = self.machines[at].setting_up.remove(i) else { return };
-            let (conn, id) = set_up.key;
-            let lost = self.chance.random::<f64>() < self.machines[at].lost;
-            let left_s = self.wanted.get(&set_up.ask).copied().unwrap_or(30.0);
+        while let Some(i) = self.streamers[index].pending_set_ups.iter().position(|s| s.ready_at <= now) {
+            let Some(set_up) = self.streamers[index].pending_set_ups.remove(i) else { return };
+            let (connection, id) = set_up.key;
+            let lost = self.rng.random::<f64>() < self.streamers[index].start_message_loss;
+            let remaining_s = self.viewing_s.get(&set_up.request_id).copied().unwrap_or(30.0);
             let stream = Stream {
-                ask: set_up.ask.clone(),
-                lane: set_up.lane,
-                shot: set_up.shot,
+                request_id: set_up.request_id.clone(),
+                class: set_up.class,
+                attempt: set_up.attempt,
                 rung: set_up.rung,
                 rate_kb: set_up.rate_kb,
-                left_s,
-                given: (0.0, 0.0),
-                lost,
+                remaining_s,
+                delivered: (0.0, 0.0),
+                start_message_lost: lost,
             };
-            self.machines[at].streams.insert(set_up.key, stream);
-            let streamer = self.machines[at].name.clone();
-            self.tap(at, TapEvent::PlayStarted { streamer, request_id: set_up.ask, attempt: set_up.shot });
+            self.streamers[index].streams.insert(set_up.key, stream);
+            let streamer = self.streamers[index].name.clone();
+            self.record(
+                index,
+                TapEvent::PlayStarted { streamer, request_id: set_up.request_id, attempt: set_up.attempt },
+            );
             if !lost {
-                let cmsd_dynamic = self.report(at, false);
-                let told = StreamerMessage::Plays(Plays { id, shot: set_up.shot, cmsd_dynamic });
-                self.out.push(Out::Say { conn, told });
-            } else if self.machines[at].lost_resets {
-                self.out.push(Out::Cut { conn });
+                let cmsd_dynamic = self.load_report(index, false);
+                let message = StreamerMessage::Plays(Plays { id, shot: set_up.attempt, cmsd_dynamic });
+                self.outputs.push(Output::Send { connection, message });
+            } else if self.streamers[index].loss_resets_connection {
+                self.outputs.push(Output::Disconnect { connection });
                 return;
             }
         }
     }
 
-    fn play(&mut self, now: f64, at: usize, passed: f64, whole: bool) {
-        let asked = self.asked(at);
-        let (rack_asked, uplink) = self.uplink(self.machines[at].rack);
-        let share = (self.link(now, at) / asked.max(1e-9)).min(uplink / rack_asked.max(1e-9)).min(1.0);
-        let still = self.machines[at].hangs || self.machines[at].stand == Stand::Silent;
-        let share = if still { 0.0 } else { share };
-        let machine = &mut self.machines[at];
-        machine.smooth += (share - machine.smooth) * (passed / SMOOTH).min(1.0);
-        let mut over = Vec::new();
-        for (key, stream) in &mut machine.streams {
-            if stream.lost {
+    /// Delivers the share that link and uplink allow to all streams, and ends those whose viewers have watched enough or
+    /// leave. At each new second the delivery is recorded.
+    fn deliver(&mut self, now: f64, index: usize, elapsed_s: f64, is_new_second: bool) {
+        let demand = self.demand_kb(index);
+        let (uplink_demand, uplink_capacity) = self.uplink_demand_and_capacity(self.streamers[index].rack);
+        let share = (self.link_capacity_kb(now, index) / demand.max(1e-9))
+            .min(uplink_capacity / uplink_demand.max(1e-9))
+            .min(1.0);
+        let is_stopped =
+            self.streamers[index].is_stalled || self.streamers[index].socket_state == SocketState::Silent;
+        let share = if is_stopped { 0.0 } else { share };
+        let simulated = &mut self.streamers[index];
+        simulated.smoothed_share +=
+            (share - simulated.smoothed_share) * (elapsed_s / SHARE_SMOOTHING_S).min(1.0);
+        let mut ending = Vec::new();
+        for (key, stream) in &mut simulated.streams {
+            if stream.start_message_lost {
                 continue;
             }
-            stream.given.0 += passed;
-            stream.given.1 += passed * share;
-            stream.left_s -= passed;
-            if stream.left_s <= 0.0 && !still {
-                over.push((*key, How::Served));
-            } else if share < LEAVING
-                && !still
-                && self.chance.random::<f64>() < passed * (LEAVING - share) / 4.0
+            stream.delivered.0 += elapsed_s;
+            stream.delivered.1 += elapsed_s * share;
+            stream.remaining_s -= elapsed_s;
+            if stream.remaining_s <= 0.0 && !is_stopped {
+                ending.push((*key, How::Served));
+            } else if share < LEAVE_BELOW_SHARE
+                && !is_stopped
+                && self.rng.random::<f64>() < elapsed_s * (LEAVE_BELOW_SHARE - share) / 4.0
             {
-                over.push((*key, How::Cancelled));
+                ending.push((*key, How::Cancelled));
             }
         }
-        for (key, how) in over {
-            let shot = machine_shot(&self.machines[at], key);
-            let seen = if how == How::Served { tap::TapOutcome::Served } else { tap::TapOutcome::Cancelled };
-            let ended = Ended { id: key.1, shot, how: how.into(), cmsd_dynamic: self.report(at, true) };
-            self.finish(at, key, seen, Some(ended));
+        for (key, how) in ending {
+            let shot = attempt_of(&self.streamers[index], key);
+            let outcome = if how == How::Served { TapOutcome::Served } else { TapOutcome::Cancelled };
+            let ended =
+                Ended { id: key.1, shot, how: how.into(), cmsd_dynamic: self.load_report(index, true) };
+            self.end_stream(index, key, outcome, Some(ended));
         }
-        if whole {
-            let streamer = self.machines[at].name.clone();
-            let mut streams = std::mem::take(&mut self.machines[at].streams);
+        if is_new_second {
+            let streamer = self.streamers[index].name.clone();
+            let mut streams = std::mem::take(&mut self.streamers[index].streams);
             for stream in streams.values_mut() {
-                self.given(at, &streamer, stream);
-                stream.given = (0.0, 0.0);
+                self.record_delivery(index, &streamer, stream);
+                stream.delivered = (0.0, 0.0);
             }
-            self.machines[at].streams = streams;
+            self.streamers[index].streams = streams;
         }
     }
 
-    /// Notes of short delivery once a second while it is short and once after, of fullness now and then; both
-    /// are as late as the day says, on one subscription of each controller.
-    fn notes(&mut self, now: f64, at: usize) {
-        if matches!(self.machines[at].stand, Stand::Silent | Stand::Down) || self.machines[at].hangs {
+    /// Queues reports on one session of each controller: of a shortfall once a second while there is one and once after it,
+    /// of the load at the day's interval. Both are delayed as the day says.
+    fn queue_reports(&mut self, now: f64, index: usize) {
+        if matches!(self.streamers[index].socket_state, SocketState::Silent | SocketState::Down)
+            || self.streamers[index].is_stalled
+        {
             return;
         }
-        let late = now + self.day.reports.age_s + self.late_by;
-        let smooth = self.machines[at].smooth;
-        let conns: Vec<Conn> = self.machines[at].conns.keys().copied().collect();
-        for conn in conns {
-            let mine = |key: &&Key| key.0 == conn;
-            let heard = |key: &&Key| self.machines[at].streams.get(key).is_some_and(|s| !s.lost);
-            let Some(id) = self.machines[at].streams.keys().filter(mine).find(heard).map(|key| key.1) else {
-                continue;
+        let sent_at = now + self.day.reports.age_s + self.extra_report_delay_s;
+        let smoothed_share = self.streamers[index].smoothed_share;
+        let connections: Vec<ConnectionId> = self.streamers[index].connections.keys().copied().collect();
+        for connection in connections {
+            let on_connection = |key: &&StreamKey| key.0 == connection;
+            let is_known_to_play = |key: &&StreamKey| {
+                self.streamers[index].streams.get(key).is_some_and(|s| !s.start_message_lost)
             };
-            let every = self.day.reports.every_s;
-            let Some(link) = self.machines[at].conns.get_mut(&conn) else { continue };
-            let short = smooth < 0.98;
-            if (short || link.was_short) && now >= link.next_short {
-                (link.next_short, link.was_short) = (now + 1.0, short);
-                self.later.push((late, conn, StreamerMessage::Short(Short { id, share: smooth })));
+            let session = self.streamers[index]
+                .streams
+                .keys()
+                .filter(on_connection)
+                .find(is_known_to_play)
+                .map(|key| key.1);
+            let Some(id) = session else { continue };
+            let interval_s = self.day.reports.every_s;
+            let Some(link) = self.streamers[index].connections.get_mut(&connection) else { continue };
+            let is_short = smoothed_share < 0.98;
+            if (is_short || link.was_short) && now >= link.next_shortfall_report_at {
+                (link.next_shortfall_report_at, link.was_short) = (now + 1.0, is_short);
+                let message = StreamerMessage::Short(Short { id, share: smoothed_share });
+                self.delayed_reports.push((sent_at, connection, message));
             }
-            if now >= link.next_full {
-                link.next_full = now + every;
-                let cmsd_dynamic = self.report(at, false);
-                self.later.push((late, conn, StreamerMessage::Fullness(Fullness { id, cmsd_dynamic })));
+            if now >= link.next_load_report_at {
+                link.next_load_report_at = now + interval_s;
+                let cmsd_dynamic = self.load_report(index, false);
+                let message = StreamerMessage::Fullness(Fullness { id, cmsd_dynamic });
+                self.delayed_reports.push((sent_at, connection, message));
             }
         }
     }
 }
 
-fn machine_shot(machine: &Machine, key: Key) -> u32 {
-    machine.streams.get(&key).map_or(0, |stream| stream.shot)
+fn attempt_of(simulated: &SimulatedStreamer, key: StreamKey) -> u32 {
+    simulated.streams.get(&key).map_or(0, |stream| stream.attempt)
 }
--- a/crates/lemontide-standin/src/player.rs
+++ b/crates/lemontide-standin/src/player.rs
@@ -189,7 +189,7 @@
         let ask = format!("v{}.{number}", viewer.number);
         let now = self.clock.now();
         let cut_off = now + lane.lane.deadline_s;
-        self.fleet.with(|model, _| model.wants(&ask, left));
+        self.fleet.with(|model, _| model.set_viewing_time(&ask, left));
         self.tap.record_at(
             now,
             TapEvent::RequestSent {
--- a/crates/lemontide-standin/src/run.rs
+++ b/crates/lemontide-standin/src/run.rs
@@ -255,7 +255,7 @@
                         false => self.relay.end(i),
                     }
                 }
-                self.fleet.with(|model, now| model.trouble(now, &day.troubles[i].what, begins));
+                self.fleet.with(|model, now| model.set_trouble(now, &day.troubles[i].what, begins));
             }
             Step::Die(at) => self.fleet.with(|model, _| model.kill(at)),
             Step::Born(at) => self.fleet.with(|model, now| model.restart(now, at)),
@@ -331,7 +331,7 @@
     }
 
     fn tell(&mut self, at: usize, stage: StreamerState) -> io::Result<()> {
-        let (started, dead) = self.fleet.with(|model, _| (model.started(at), model.is_dead(at)));
+        let (started, dead) = self.fleet.with(|model, _| (model.started_at(at), model.has_crashed(at)));
         let stage = if dead { StreamerState::Gone } else { stage };
         let entry =
             ListEntry { state: stage, started_at: started, ..self.day.entry(at, self.fleet.addresses[at]) };
--- a/crates/lemontide-standin/src/streamer.rs
+++ b/crates/lemontide-standin/src/streamer.rs
@@ -1,7 +1,7 @@
 //! The streamers' sockets: a listener for each streamer of a day, links of controllers, and the model behind.
 
 use crate::day::Day;
-use crate::model::{Conn, Model, Out, Stand};
+use crate::model::{CapacityModel, ConnectionId, Output, SocketState};
 use futures::{SinkExt, StreamExt};
 use lemontide_wire::clock::Clock;
 use lemontide_wire::link::{
@@ -40,8 +40,8 @@
 struct Shared {
     clock: Clock,
     tap: Tap,
-    model: Mutex<Model>,
-    wires: Mutex<HashMap<Conn, mpsc::Sender<StreamerMessage>>>,
+    model: Mutex<CapacityModel>,
+    wires: Mutex<HashMap<ConnectionId, mpsc::Sender<StreamerMessage>>>,
     names: Vec<String>,
     fault: Option<Fault>,
     set_ups: AtomicU64,
@@ -64,7 +64,7 @@
         let shared = Arc::new(Shared {
             clock,
             tap,
-            model: Mutex::new(Model::new(day, clock.now())),
+            model: Mutex::new(CapacityModel::new(day, clock.now())),
             wires: Mutex::new(HashMap::new()),
             names: day.streamers.iter().map(|streamer| streamer.name.clone()).collect(),
             fault,
@@ -82,35 +82,35 @@
             ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
             loop {
                 ticks.tick().await;
-                steps.with(|model, now| model.step(now));
+                steps.with(|model, now| model.advance(now));
             }
         });
         Ok(Fleet { shared, addresses })
     }
 
     /// Calls on the model and sends out what comes of it.
-    pub fn with<T>(&self, call: impl FnOnce(&mut Model, f64) -> T) -> T {
+    pub fn with<T>(&self, call: impl FnOnce(&mut CapacityModel, f64) -> T) -> T {
         self.shared.with(call)
     }
 }
 
 impl Shared {
-    fn with<T>(&self, call: impl FnOnce(&mut Model, f64) -> T) -> T {
+    fn with<T>(&self, call: impl FnOnce(&mut CapacityModel, f64) -> T) -> T {
         let mut model = lock(&self.model);
         let result = call(&mut model, self.clock.now());
         // Routed under the model's lock, so that words leave in the order in which they were said.
-        for out in model.take() {
+        for out in model.take_outputs() {
             match out {
-                Out::Say { conn, told } => {
+                Output::Send { connection: conn, message: told } => {
                     let mut wires = lock(&self.wires);
                     if wires.get(&conn).is_some_and(|wire| wire.try_send(told).is_err()) {
                         wires.remove(&conn);
                     }
                 }
-                Out::Cut { conn } => {
+                Output::Disconnect { connection: conn } => {
                     lock(&self.wires).remove(&conn);
                 }
-                Out::Tap { streamer, seen } => {
+                Output::Tap { streamer, event: seen } => {
                     self.tap.with_endpoint(&format!("streamer:{}", self.names[streamer])).record(seen);
                 }
             }
@@ -121,7 +121,7 @@
 
 async fn accept(shared: Arc<Shared>, at: usize, listener: TcpListener) {
     loop {
-        while lock(&shared.model).stand(at) == Stand::Silent {
+        while lock(&shared.model).socket_state(at) == SocketState::Silent {
             sleep(STILL).await;
         }
         let Ok((socket, _)) = listener.accept().await else {
@@ -129,7 +129,7 @@
             continue;
         };
         // One that is down takes no connection: what was accepted here ends at once.
-        if matches!(lock(&shared.model).stand(at), Stand::Up | Stand::Deaf) {
+        if matches!(lock(&shared.model).socket_state(at), SocketState::Up | SocketState::NotReading) {
             tokio::spawn(serve(shared.clone(), at, socket));
         }
     }
@@ -140,20 +140,20 @@
     let mut framed = Framed::new(socket, StreamerCodec::default());
     let hello = timeout(Duration::from_secs(2), framed.next()).await;
     let Ok(Some(Ok(ControllerMessage::Hello(hello)))) = hello else { return };
-    let started = lock(&shared.model).started(at).unwrap_or(0.0);
+    let started = lock(&shared.model).started_at(at).unwrap_or(0.0);
     let welcome = Welcome { version: PROTOCOL_VERSION, streamer: shared.names[at].clone(), started };
     if hello.version != PROTOCOL_VERSION || framed.send(StreamerMessage::Welcome(welcome)).await.is_err() {
         return;
     }
     let (say, mut said) = mpsc::channel(WORDS_MOST);
     let conn = shared.with(|model, now| {
-        let conn = model.connected(now, at, hello.controller as usize);
+        let conn = model.connection_opened(now, at, hello.controller as usize);
         lock(&shared.wires).insert(conn, say);
         conn
     });
     loop {
-        let stand = lock(&shared.model).stand(at);
-        if stand == Stand::Silent {
+        let stand = lock(&shared.model).socket_state(at);
+        if stand == SocketState::Silent {
             if said.is_closed() {
                 break;
             }
@@ -167,7 +167,7 @@
                     break;
                 }
             }
-            order = framed.next(), if stand == Stand::Up => {
+            order = framed.next(), if stand == SocketState::Up => {
                 let Some(Ok(order)) = order else { break };
                 take(&shared, at, conn, order);
             }
@@ -176,10 +176,10 @@
         }
     }
     lock(&shared.wires).remove(&conn);
-    shared.with(|model, _| model.disconnected(at, conn));
+    shared.with(|model, _| model.connection_closed(at, conn));
 }
 
-fn take(shared: &Shared, at: usize, conn: Conn, order: ControllerMessage) {
+fn take(shared: &Shared, at: usize, conn: ConnectionId, order: ControllerMessage) {
     let say = |told| {
         if let Some(wire) = lock(&shared.wires).get(&conn) {
             let _ = wire.try_send(told);
@@ -201,7 +201,7 @@
             shared.with(|model, _| model.cancel(at, conn, cancel.id, cancel.shot))
         }
         ControllerMessage::Look(look) => {
-            let cmsd_dynamic = shared.with(|model, _| model.look(at));
+            let cmsd_dynamic = shared.with(|model, _| model.probe(at));
             say(StreamerMessage::Looked(Looked { nonce: look.nonce, cmsd_dynamic }));
         }
         ControllerMessage::Ping(ping) => say(StreamerMessage::Pong(Pong { nonce: ping.nonce })),
--- a/crates/lemontide-standin/src/swarm.rs
+++ b/crates/lemontide-standin/src/swarm.rs
@@ -2,7 +2,7 @@
 //! to some controllers. Nothing here decides; it carries words and counts what came of them.
 
 use crate::day::Day;
-use crate::model::{Conn, Model, Out, Stand};
+use crate::model::{CapacityModel, ConnectionId, Output, SocketState};
 use crate::simulated_network::{NetworkConfig, SimulatedNetwork};
 use lemontide::clock::{Point, Span};
 use lemontide_front::core::{CoordinationSettings, Driver, Effect};
@@ -80,7 +80,7 @@
 struct Instance {
     driver: Driver,
     /// Connection and dial by streamer.
-    wires: BTreeMap<usize, (Conn, u64)>,
+    wires: BTreeMap<usize, (ConnectionId, u64)>,
     stands: Vec<u32>,
 }
 
@@ -88,10 +88,10 @@
 pub struct Swarm {
     plan: Plan,
     day: Day,
-    model: Model,
+    model: CapacityModel,
     town: Option<SimulatedNetwork>,
     instances: Vec<Option<Instance>>,
-    by_conn: BTreeMap<Conn, (usize, usize)>,
+    by_conn: BTreeMap<ConnectionId, (usize, usize)>,
     list: StreamerList,
     now: f64,
     weights: Vec<f64>,
@@ -155,7 +155,7 @@
             })
         });
         let mut swarm = Swarm {
-            model: Model::new(&day, BEGIN),
+            model: CapacityModel::new(&day, BEGIN),
             list: day.first_list(&nowhere),
             instances: (0..plan.controllers).map(|_| None).collect(),
             by_conn: BTreeMap::new(),
@@ -210,7 +210,7 @@
         let Some(instance) = self.instances[me].take() else { return };
         for (at, (conn, _)) in instance.wires {
             self.by_conn.remove(&conn);
-            self.model.disconnected(at, conn);
+            self.model.connection_closed(at, conn);
         }
         if let Some(town) = &mut self.town {
             town.running[me] = false;
@@ -245,15 +245,15 @@
         let now = self.at();
         match effect {
             Effect::Dial { streamer_index: at, dial, .. } => {
-                if self.model.stand(at) == Stand::Up {
-                    let conn = self.model.connected(self.now, at, me);
+                if self.model.socket_state(at) == SocketState::Up {
+                    let conn = self.model.connection_opened(self.now, at, me);
                     self.came.opened += 1;
                     self.by_conn.insert(conn, (me, at));
-                    let started = self.model.started(at).unwrap_or(0.0);
+                    let started = self.model.started_at(at).unwrap_or(0.0);
                     let Some(instance) = self.instances[me].as_mut() else { return };
                     if let Some((old, _)) = instance.wires.insert(at, (conn, dial)) {
                         self.by_conn.remove(&old);
-                        self.model.disconnected(at, old);
+                        self.model.connection_closed(at, old);
                     }
                     instance.driver.link_connected(now, at, dial, started);
                 } else if let Some(instance) = self.instances[me].as_mut() {
@@ -264,7 +264,7 @@
                 let wire = self.instances[me].as_mut().and_then(|instance| instance.wires.remove(&at));
                 if let Some((conn, _)) = wire {
                     self.by_conn.remove(&conn);
-                    self.model.disconnected(at, conn);
+                    self.model.connection_closed(at, conn);
                 }
             }
             Effect::Write { streamer_index: at, dial, messages: orders } => {
@@ -290,7 +290,7 @@
         }
     }
 
-    fn order(&mut self, me: usize, at: usize, conn: Conn, order: ControllerMessage) {
+    fn order(&mut self, me: usize, at: usize, conn: ConnectionId, order: ControllerMessage) {
         let told = match order {
             ControllerMessage::SetUp(set_up) => {
                 self.set_ups[at] += 1;
@@ -302,7 +302,7 @@
             }
             ControllerMessage::Cancel(cancel) => return self.model.cancel(at, conn, cancel.id, cancel.shot),
             ControllerMessage::Look(look) => {
-                StreamerMessage::Looked(Looked { nonce: look.nonce, cmsd_dynamic: self.model.look(at) })
+                StreamerMessage::Looked(Looked { nonce: look.nonce, cmsd_dynamic: self.model.probe(at) })
             }
             ControllerMessage::Ping(ping) => StreamerMessage::Pong(Pong { nonce: ping.nonce }),
             ControllerMessage::Hello(_) => return,
@@ -322,7 +322,7 @@
     /// Counts a set-up against what a cold streamer takes in a window at its coldest.
     fn count_cold(&mut self, at: usize) {
         let cold = &self.day.cold;
-        let Some(started) = self.model.started(at).filter(|started| self.now - started < cold.warm_up_s)
+        let Some(started) = self.model.started_at(at).filter(|started| self.now - started < cold.warm_up_s)
         else {
             return;
         };
@@ -337,29 +337,29 @@
 
     fn deliver(&mut self) {
         loop {
-            let outs = self.model.take();
+            let outs = self.model.take_outputs();
             if outs.is_empty() {
                 return;
             }
             for out in outs {
                 match out {
-                    Out::Say { conn, told } => {
+                    Output::Send { connection: conn, message: told } => {
                         if let Some((me, at)) = self.by_conn.get(&conn).copied() {
                             self.tell(me, at, told);
                             self.perform(me);
                         }
                     }
-                    Out::Cut { conn } => {
+                    Output::Disconnect { connection: conn } => {
                         let Some((me, at)) = self.by_conn.remove(&conn) else { continue };
-                        self.model.disconnected(at, conn);
+                        self.model.connection_closed(at, conn);
                         let now = self.at();
                         let Some(instance) = self.instances[me].as_mut() else { continue };
                         let Some((_, dial)) = instance.wires.remove(&at) else { continue };
                         instance.driver.link_lost(now, at, dial, true);
                         self.perform(me);
                     }
-                    Out::Tap {
-                        seen: TapEvent::Delivered { rung, seconds, share, request_id: ask, .. },
+                    Output::Tap {
+                        event: TapEvent::Delivered { rung, seconds, share, request_id: ask, .. },
                         ..
                     } => {
                         let gain = if ask.starts_with('p') { 2.0 } else { 1.0 };
@@ -367,7 +367,7 @@
                         let lost = self.day.shortfall_cost * (0.98 - share).max(0.0);
                         self.earned += gain * rung * seconds * (1.0 - lost).max(0.0);
                     }
-                    Out::Tap { .. } => {}
+                    Output::Tap { .. } => {}
                 }
             }
         }
@@ -394,7 +394,7 @@
             let title = self.chance.random_range(0..self.plan.streamers);
             self.asks += 1;
             let (id, ask) = (self.asks, format!("{}{}", &lane[..1], self.asks));
-            self.model.wants(&ask, watches);
+            self.model.set_viewing_time(&ask, watches);
             self.came.asked += 1;
             // What would last past the end can't be earned.
             self.wanted += gain * watches.min(BEGIN + self.plan.seconds - self.now);
@@ -479,11 +479,11 @@
                 listed.retain(|(when, _)| *when > self.now);
                 for at in due {
                     let entry: &mut ListEntry = &mut self.list.streamers[at];
-                    entry.started_at = self.model.started(at);
+                    entry.started_at = self.model.started_at(at);
                 }
                 self.learn();
             }
-            self.model.step(self.now);
+            self.model.advance(self.now);
             self.deliver();
             self.arrive();
             self.deliver();
--- a/crates/lemontide-standin/tests/model.rs
+++ b/crates/lemontide-standin/tests/model.rs
@@ -1,8 +1,8 @@
-//! The fleet's model, the draws of a day and the importer: what they promise to who measures with them.
+//! The capacity model, the viewers drawn for a day, and the importer of days.
 
 use lemontide_standin::day::{Day, What};
 use lemontide_standin::import::import;
-use lemontide_standin::model::{Model, Out, Stand};
+use lemontide_standin::model::{CapacityModel, Output, SocketState};
 use lemontide_standin::player::draw;
 use lemontide_wire::link::{SetUp, StreamerMessage};
 use lemontide_wire::tap::TapEvent;
@@ -17,14 +17,14 @@
     SetUp { id, ask: format!("a{id}"), lane: "replay".into(), rung: 1, rate_kb, ..SetUp::default() }
 }
 
-/// Runs a model for so many seconds in steps of 10 ms and gives what came out.
-fn play(model: &mut Model, from: f64, seconds: f64) -> Vec<Out> {
+/// Advances a model by this many seconds in steps of 10 ms and returns its outputs.
+fn advance(model: &mut CapacityModel, from: f64, seconds: f64) -> Vec<Output> {
     let mut out = Vec::new();
     let mut now = from;
     while now < from + seconds {
         now += 0.01;
-        model.step(now);
-        out.extend(model.take());
+        model.advance(now);
+        out.extend(model.take_outputs());
     }
     out
 }
@@ -34,10 +34,10 @@
     let day = day();
     assert_eq!(draw(&day), draw(&day));
     let run = || {
-        let mut model = Model::new(&day, 100.0);
-        let conn = model.connected(100.0, 0, 0);
+        let mut model = CapacityModel::new(&day, 100.0);
+        let conn = model.connection_opened(100.0, 0, 0);
         (0..20).for_each(|id| model.set_up(100.0, 0, conn, set_up(id, 600)));
-        play(&mut model, 100.0, 8.0)
+        advance(&mut model, 100.0, 8.0)
     };
     let first = run();
     assert!(first.len() > 50);
@@ -45,65 +45,68 @@
 }
 
 #[test]
-fn who_shares_a_link_that_is_too_small_gets_equal_parts_and_hears_of_it() {
+fn an_overloaded_link_is_shared_and_the_shortfall_is_reported_once_a_second() {
     let day = day();
-    let mut model = Model::new(&day, 100.0);
-    let conn = model.connected(100.0, 0, 0);
-    // Ten times 1,800 kB where the link gives 9,000.
+    let mut model = CapacityModel::new(&day, 100.0);
+    let conn = model.connection_opened(100.0, 0, 0);
+    // Ten streams of 1,800 kB/s on a link of 9,000 kB/s.
     (0..10).for_each(|id| model.set_up(100.0, 0, conn, set_up(id, 1800)));
-    let out = play(&mut model, 100.0, 6.0);
+    let out = advance(&mut model, 100.0, 6.0);
     let shares: Vec<f64> = out
         .iter()
         .filter_map(|out| match out {
-            Out::Tap { seen: TapEvent::Delivered { share, .. }, .. } => Some(*share),
+            Output::Tap { event: TapEvent::Delivered { share, .. }, .. } => Some(*share),
             _ => None,
         })
         .collect();
-    let late: Vec<&f64> = shares.iter().rev().take(5).collect();
-    assert!(late.iter().all(|share| **share < 0.75), "{late:?}");
-    let short = |out: &&Out| matches!(out, Out::Say { told: StreamerMessage::Short(short), .. } if short.share < 0.98);
-    let notes = out.iter().filter(short).count();
-    assert!((3..=6).contains(&notes), "{notes}: one a second");
+    let last_shares: Vec<&f64> = shares.iter().rev().take(5).collect();
+    assert!(last_shares.iter().all(|share| **share < 0.75), "{last_shares:?}");
+    let is_shortfall = |out: &&Output| matches!(out, Output::Send { message: StreamerMessage::Short(short), .. } if short.share < 0.98);
+    let reports = out.iter().filter(is_shortfall).count();
+    assert!((3..=6).contains(&reports), "{reports} reports instead of one a second");
 }
 
 #[test]
-fn a_fresh_streamer_falls_over_when_it_is_flooded_and_stays_down() {
+fn too_many_set_ups_crash_a_streamer_in_its_warm_up_for_good() {
     let mut day = day();
     day.cold.overload_multiple = 2.0;
-    let mut model = Model::new(&day, 100.0);
+    let mut model = CapacityModel::new(&day, 100.0);
     model.restart(100.0, 0);
-    let conn = model.connected(100.0, 0, 0);
-    let fell = |model: &mut Model| {
-        model.take().iter().any(|out| matches!(out, Out::Tap { seen: TapEvent::StreamerCrashed { .. }, .. }))
+    let conn = model.connection_opened(100.0, 0, 0);
+    let has_crashed = |model: &mut CapacityModel| {
+        model
+            .take_outputs()
+            .iter()
+            .any(|out| matches!(out, Output::Tap { event: TapEvent::StreamerCrashed { .. }, .. }))
     };
-    // 30 places over 8 s, four tenths warm, twice that: three a second and one of slack.
+    // 30 streams over 8 s, at four tenths of the capacity, times two: three set-ups a second and one of slack.
     (0..4).for_each(|id| model.set_up(100.1, 0, conn, set_up(id, 200)));
-    assert!(!fell(&mut model));
+    assert!(!has_crashed(&mut model));
     (4..8).for_each(|id| model.set_up(100.2, 0, conn, set_up(id, 200)));
-    assert!(fell(&mut model));
+    assert!(has_crashed(&mut model));
     model.restart(101.0, 0);
-    assert_eq!(model.stand(0), Stand::Down);
+    assert_eq!(model.socket_state(0), SocketState::Down);
 }
 
 #[test]
-fn a_silent_streamer_says_nothing_and_comes_back_empty() {
+fn a_silent_streamer_sends_nothing_and_restarts_without_streams() {
     let day = day();
-    let mut model = Model::new(&day, 100.0);
-    let conn = model.connected(100.0, 4, 0);
+    let mut model = CapacityModel::new(&day, 100.0);
+    let conn = model.connection_opened(100.0, 4, 0);
     model.set_up(100.0, 4, conn, set_up(1, 200));
-    play(&mut model, 100.0, 0.5);
+    advance(&mut model, 100.0, 0.5);
     let vanish = What::Vanish { on: vec![4] };
-    model.trouble(100.5, &vanish, true);
-    let out = play(&mut model, 100.5, 3.0);
-    assert!(out.iter().all(|out| matches!(out, Out::Tap { .. })), "{out:?}");
-    model.trouble(103.5, &vanish, false);
-    let out = model.take();
-    assert!(out.iter().any(|out| matches!(out, Out::Cut { .. })));
-    assert_eq!((model.streams(), model.started(4)), (0, Some(103.5)));
+    model.set_trouble(100.5, &vanish, true);
+    let out = advance(&mut model, 100.5, 3.0);
+    assert!(out.iter().all(|out| matches!(out, Output::Tap { .. })), "{out:?}");
+    model.set_trouble(103.5, &vanish, false);
+    let out = model.take_outputs();
+    assert!(out.iter().any(|out| matches!(out, Output::Disconnect { .. })));
+    assert_eq!((model.stream_count(), model.started_at(4)), (0, Some(103.5)));
 }
 
 #[test]
-fn a_drawn_day_is_carried_over_scaled_and_says_so() {
+fn an_imported_day_is_scaled_down_and_the_notes_say_so() {
     let server = |i: usize| json!({"zone": i % 2, "cell": i, "speed": 1.0, "weight": 2.0, "up": true});
     let drawn = json!({
         "family": "streams", "noise": 5, "length": 40_000_000u64, "zones": ["a", "b"],
