--- a/crates/lemontide-cli/src/measure/fleet.rs
+++ b/crates/lemontide-cli/src/measure/fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::Outcome;
 use lemontide_fleet::{Holder, RendezvousHash};
-use lemontide_standin::swarm::{Came, Plan, Swarm, Views};
+use lemontide_standin::fleet_simulation::{FleetSimulation, SimulationConfig, SimulationResult, ViewSource};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
 use std::process::ExitCode;
@@ -40,11 +40,11 @@
     jobs: usize,
 }
 
-fn name(views: Views) -> &'static str {
+fn name(views: ViewSource) -> &'static str {
     match views {
-        Views::Mesh => "mesh",
-        Views::Settings => "settings",
-        Views::Gossip => "gossip",
+        ViewSource::FullMesh => "mesh",
+        ViewSource::Settings => "settings",
+        ViewSource::Gossip => "gossip",
     }
 }
 
@@ -86,14 +86,14 @@
     (part(&kept, &choices(&rest, None)), part(&before, &choices(&all, Some(streamers / 2))))
 }
 
-fn line(plan: &Plan, came: &Came) -> Value {
-    let us = came.spent.as_secs_f64() * 1e6 / came.plays.max(1) as f64;
+fn line(plan: &SimulationConfig, came: &SimulationResult) -> Value {
+    let us = came.cpu_time.as_secs_f64() * 1e6 / came.plays.max(1) as f64;
     json!({
-        "controllers": plan.controllers, "views": name(plan.views), "changing": plan.changing,
-        "asked": came.asked, "plays": came.plays, "turned_back": came.turned_back, "gain": came.gain,
-        "stood": came.stood, "stood_most": came.stood_most, "opened_a_s": came.opened as f64 / plan.seconds,
-        "busiest": came.busiest, "over_budget": came.over_budget, "to_cold": came.to_cold,
-        "stood_for": came.stood_for, "two_heirs": came.two_heirs, "agreed_s": came.agreed_s, "agreed_all_s": came.agreed_all_s, "us_a_set_up": us,
+        "controllers": plan.controllers, "views": name(plan.view_source), "changing": plan.with_failures,
+        "asked": came.requests, "plays": came.plays, "turned_back": came.rejected, "gain": came.gain,
+        "stood": came.mean_connections, "stood_most": came.max_connections, "opened_a_s": came.connections_opened as f64 / plan.duration_s,
+        "busiest": came.busiest_load_ratio, "over_budget": came.warm_up_overloads, "to_cold": came.set_ups_in_warm_up,
+        "stood_for": came.covered_turns, "two_heirs": came.doubly_covered_turns, "agreed_s": came.mostly_agreed_after_s, "agreed_all_s": came.fully_agreed_after_s, "us_a_set_up": us,
     })
 }
 
@@ -101,28 +101,29 @@
     let mut plans = Vec::new();
     for controllers in &args.sizes {
         for changing in [false, true] {
-            for views in [Views::Mesh, Views::Settings, Views::Gossip] {
-                plans.push(Plan {
+            for views in [ViewSource::FullMesh, ViewSource::Settings, ViewSource::Gossip] {
+                plans.push(SimulationConfig {
                     controllers: *controllers,
                     streamers: args.streamers,
-                    views,
-                    per_s: args.per_s,
-                    uneven: args.uneven,
-                    seconds: args.seconds,
-                    changing,
+                    view_source: views,
+                    requests_per_s: args.per_s,
+                    imbalance: args.uneven,
+                    duration_s: args.seconds,
+                    with_failures: changing,
                     seed: args.seed,
                 });
             }
         }
     }
-    let todo: Mutex<VecDeque<(usize, Plan)>> = Mutex::new(plans.iter().cloned().enumerate().collect());
-    let done: Mutex<Vec<(usize, Came)>> = Mutex::new(Vec::new());
+    let todo: Mutex<VecDeque<(usize, SimulationConfig)>> =
+        Mutex::new(plans.iter().cloned().enumerate().collect());
+    let done: Mutex<Vec<(usize, SimulationResult)>> = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..args.jobs.max(1) {
             scope.spawn(|| loop {
                 let next = todo.lock().unwrap_or_else(PoisonError::into_inner).pop_front();
                 let Some((nth, plan)) = next else { return };
-                let came = Swarm::new(plan).run();
+                let came = FleetSimulation::new(plan).run();
                 done.lock().unwrap_or_else(PoisonError::into_inner).push((nth, came));
             });
         }
@@ -154,27 +155,27 @@
     let mut fine = true;
     let mut runs = Vec::new();
     for (plan, (_, came)) in plans.iter().zip(&done) {
-        let agreed: Vec<String> = came.agreed_s.iter().map(|s| format!("{s:.1}")).collect();
+        let agreed: Vec<String> = came.mostly_agreed_after_s.iter().map(|s| format!("{s:.1}")).collect();
         println!(
             "{:>11} {:<8} {:<8} {:>7.3} {:>7} {:>8.0} {:>8} {:>9.1} {:>8.2} {:>5} {:>8} {:>6} {:>5} {:>10} {:>8.0}",
             plan.controllers,
-            if plan.changing { "changing" } else { "steady" },
-            name(plan.views),
+            if plan.with_failures { "changing" } else { "steady" },
+            name(plan.view_source),
             came.gain,
-            came.turned_back,
-            came.stood,
-            came.stood_most,
-            came.opened as f64 / plan.seconds,
-            came.busiest,
-            came.over_budget,
-            came.to_cold,
-            came.stood_for,
-            came.two_heirs,
+            came.rejected,
+            came.mean_connections,
+            came.max_connections,
+            came.connections_opened as f64 / plan.duration_s,
+            came.busiest_load_ratio,
+            came.warm_up_overloads,
+            came.set_ups_in_warm_up,
+            came.covered_turns,
+            came.doubly_covered_turns,
             agreed.join(","),
-            came.spent.as_secs_f64() * 1e6 / came.plays.max(1) as f64,
+            came.cpu_time.as_secs_f64() * 1e6 / came.plays.max(1) as f64,
         );
         // What is promised under any view holds at every size.
-        fine &= came.over_budget == 0 && came.two_heirs == 0;
+        fine &= came.warm_up_overloads == 0 && came.doubly_covered_turns == 0;
         runs.push(line(plan, came));
     }
     let mut aims = Vec::new();
@@ -182,20 +183,27 @@
         println!("{} {what}", if met { "met:    " } else { "not met:" });
         aims.push(json!({"aim": what, "met": met}));
     };
-    for (place, plan) in
-        plans.iter().enumerate().filter(|(_, plan)| plan.controllers == SIZE && plan.views != Views::Mesh)
+    for (place, plan) in plans
+        .iter()
+        .enumerate()
+        .filter(|(_, plan)| plan.controllers == SIZE && plan.view_source != ViewSource::FullMesh)
     {
-        let same = |other: &Plan| (other.controllers, other.changing) == (plan.controllers, plan.changing);
-        let Some(mesh) = plans.iter().position(|other| other.views == Views::Mesh && same(other)) else {
+        let same = |other: &SimulationConfig| {
+            (other.controllers, other.with_failures) == (plan.controllers, plan.with_failures)
+        };
+        let Some(mesh) =
+            plans.iter().position(|other| other.view_source == ViewSource::FullMesh && same(other))
+        else {
             continue;
         };
         let (here, mesh) = (&done[place].1, &done[mesh].1);
-        let of = format!("{}, {}", name(plan.views), if plan.changing { "changing" } else { "steady" });
-        let part = here.stood / mesh.stood.max(1.0);
+        let of =
+            format!("{}, {}", name(plan.view_source), if plan.with_failures { "changing" } else { "steady" });
+        let part = here.mean_connections / mesh.mean_connections.max(1.0);
         aim(format!("{of}: connections at most a quarter of the mesh's: {part:.2}"), part <= CONNECTIONS);
         let less = mesh.gain - here.gain;
         aim(format!("{of}: gain no lower than the mesh's: {less:+.3} less"), less <= NOISE);
-        let over = here.busiest / mesh.busiest.max(1e-9);
+        let over = here.busiest_load_ratio / mesh.busiest_load_ratio.max(1e-9);
         aim(format!("{of}: busiest over mean at most {BUSIEST} of the mesh's: {over:.2}"), over <= BUSIEST);
     }
     let mut moves = Vec::new();
--- a/crates/lemontide-cli/src/measure/front.rs
+++ b/crates/lemontide-cli/src/measure/front.rs
@@ -2,7 +2,7 @@
 
 use super::rig::{roomy_day, write_list, Process};
 use crate::Outcome;
-use lemontide_standin::load::{closed, open, Ask, Came};
+use lemontide_standin::load_generator::{closed, open, Ask, Came};
 use lemontide_standin::streamer::Fleet;
 use lemontide_wire::clock::Clock;
 use lemontide_wire::tap::Tap;
--- a/crates/lemontide-cli/src/measure/shedding.rs
+++ b/crates/lemontide-cli/src/measure/shedding.rs
@@ -4,10 +4,10 @@
 use super::rig::{roomy_day, write_list, Process};
 use crate::Outcome;
 use lemontide_front::settings::{Settings, SheddingSettings};
-use lemontide_standin::crowd;
 use lemontide_standin::day::Day;
 use lemontide_standin::judge::judge;
-use lemontide_standin::load::{mixed, Lane, Mix, Outcome as Of, Record};
+use lemontide_standin::load_generator::{mixed, Lane, Mix, Outcome as Of, Record};
+use lemontide_standin::shedding_simulation;
 use lemontide_standin::streamer::Fleet;
 use lemontide_wire::clock::Clock;
 use lemontide_wire::tap::{self, Tap, TapEvent};
@@ -498,24 +498,31 @@
         "{:<28} {:>8} {:>8} {:>8} {:>6} {:>9} {:>7} {:>8}",
         "", "gain", "paid", "asks", "late", "offered", "peak", "back s"
     );
-    let plan = crowd::Plan { turn_back_cost: cost.clamp(0.01, 1.0), ..crowd::Plan::default() };
+    let plan = shedding_simulation::SimulationConfig {
+        rejection_cost: cost.clamp(0.01, 1.0),
+        ..shedding_simulation::SimulationConfig::default()
+    };
     let (mut told, mut fine) = (Vec::new(), true);
     for (name, plan) in [
-        ("no shedding", crowd::Plan { sheds: false, ..plan.clone() }),
-        ("shedding, one wait for all", crowd::Plan { spread: false, ..plan.clone() }),
+        ("no shedding", shedding_simulation::SimulationConfig { sheds: false, ..plan.clone() }),
+        (
+            "shedding, one wait for all",
+            shedding_simulation::SimulationConfig { spreads_retries: false, ..plan.clone() },
+        ),
         ("shedding", plan),
     ] {
-        let came = crowd::play(&plan);
-        let most = came.offered.iter().copied().fold(0.0, f64::max);
+        let came = shedding_simulation::simulate(&plan);
+        let most = came.offered_load.iter().copied().fold(0.0, f64::max);
         println!(
             "{name:<28} {:>8.3} {:>8.3} {:>8} {:>6} {most:>9.1} {:>7.2} {:>8.1}",
-            came.gain, came.paid_served, came.wishes, came.late, came.peak, came.recovered_s
+            came.gain, came.paid_served, came.requests, came.late, came.peak_ratio, came.recovery_s
         );
         // Whoever comes comes twice at most, so the sum of all is bounded, and it ends.
-        let last = came.offered.last().copied().unwrap_or(0.0);
-        fine &= !(plan.sheds && plan.spread) || came.late == 0 && last < 1.0 && came.peak < 1.5;
+        let last = came.offered_load.last().copied().unwrap_or(0.0);
+        fine &=
+            !(plan.sheds && plan.spreads_retries) || came.late == 0 && last < 1.0 && came.peak_ratio < 1.5;
         told.push(json!({"name": name, "gain": came.gain, "paid": came.paid_served, "late": came.late,
-            "offered_most": most, "peak": came.peak, "recovered_s": came.recovered_s}));
+            "offered_most": most, "peak": came.peak_ratio, "recovered_s": came.recovery_s}));
     }
     (Value::Array(told), fine)
 }
--- a/crates/lemontide-standin/tests/swarm.rs
+++ b/crates/lemontide-standin/tests/swarm.rs
@@ -1,42 +1,48 @@
-//! Small swarms in virtual time: real drivers, modules and gossip together.
+//! Small simulated fleets in virtual time: real drivers, decision modules and gossip together.
 
-use lemontide_standin::swarm::{Came, Plan, Swarm, Views};
+use lemontide_standin::fleet_simulation::{FleetSimulation, SimulationConfig, SimulationResult, ViewSource};
 
-fn play(views: Views, changing: bool) -> Came {
-    let plan = Plan {
-        // Four of them die: five still are a majority.
+fn simulate(view_source: ViewSource, with_failures: bool) -> SimulationResult {
+    let config = SimulationConfig {
+        // Four of them crash; the other five are still a majority.
         controllers: 9,
         streamers: 20,
-        views,
-        per_s: 30.0,
-        uneven: 1.0,
-        seconds: 120.0,
-        changing,
+        view_source,
+        requests_per_s: 30.0,
+        imbalance: 1.0,
+        duration_s: 120.0,
+        with_failures,
         seed: 3,
     };
-    Swarm::new(plan).run()
+    FleetSimulation::new(config).run()
 }
 
-/// The turns of the dead are taken, by one each, and given back; no cold streamer gets more than it can take.
+/// The turns of the crashed controllers are covered, each by one other controller, and returned to them; no streamer in its
+/// warm-up gets more than it can take.
 #[test]
-fn nearly_half_of_a_swarm_dies_and_the_rest_takes_its_turns() {
-    let came = play(Views::Gossip, true);
-    assert!(came.stood_for > 0, "{came:?}");
-    assert_eq!((came.two_heirs, came.over_budget), (0, 0), "{came:?}");
-    assert_eq!(came.agreed_all_s.len(), 2, "all agree after the deaths and after the returns: {came:?}");
+fn turns_of_crashed_controllers_are_covered_by_one_other_each() {
+    let result = simulate(ViewSource::Gossip, true);
+    assert!(result.covered_turns > 0, "{result:?}");
+    assert_eq!((result.doubly_covered_turns, result.warm_up_overloads), (0, 0), "{result:?}");
+    assert_eq!(
+        result.fully_agreed_after_s.len(),
+        2,
+        "all controllers agree after the crashes and after the returns: {result:?}"
+    );
 }
 
-/// What is shared out costs no gain and saves connections; settings alone never take another's turn.
+/// Dividing the streamers costs no gain and saves connections; with settings alone, a controller never covers the turns of
+/// others.
 #[test]
-fn shared_out_by_settings_alone_there_are_fewer_connections_and_as_much_gain() {
-    let (mesh, shared) = (play(Views::Mesh, false), play(Views::Settings, false));
-    assert!(shared.stood < mesh.stood, "{} of {}", shared.stood, mesh.stood);
-    assert!(shared.gain > mesh.gain - 0.02, "{} and {}", shared.gain, mesh.gain);
-    assert_eq!((shared.stood_for, shared.asked), (0, mesh.asked));
-    let again = play(Views::Settings, false);
+fn dividing_streamers_by_settings_saves_connections_and_costs_no_gain() {
+    let (mesh, divided) = (simulate(ViewSource::FullMesh, false), simulate(ViewSource::Settings, false));
+    assert!(divided.mean_connections < mesh.mean_connections, "{divided:?} and {mesh:?}");
+    assert!(divided.gain > mesh.gain - 0.02, "{} and {}", divided.gain, mesh.gain);
+    assert_eq!((divided.covered_turns, divided.requests), (0, mesh.requests));
+    let again = simulate(ViewSource::Settings, false);
     assert_eq!(
-        (again.plays, again.opened, again.gain),
-        (shared.plays, shared.opened, shared.gain),
-        "the same seed"
+        (again.plays, again.connections_opened, again.gain),
+        (divided.plays, divided.connections_opened, divided.gain),
+        "the same seed gives the same result"
     );
 }
