--- a/crates/lemontide-cli/src/measure/front.rs
+++ b/crates/lemontide-cli/src/measure/front.rs
@@ -2,7 +2,7 @@
 
 use super::rig::{roomy_day, write_list, Process};
 use crate::Outcome;
-use lemontide_standin::load_generator::{closed, open, Ask, Came};
+use lemontide_standin::load_generator::{run_closed_loop, run_open_loop, LoadConfig, LoadResult};
 use lemontide_standin::streamer::Fleet;
 use lemontide_wire::clock::Clock;
 use lemontide_wire::tap::Tap;
@@ -26,7 +26,7 @@
     sessions: usize,
 }
 
-fn quantiles(came: &Came) -> (f64, f64) {
+fn quantiles(came: &LoadResult) -> (f64, f64) {
     let at = |q| came.latency_us.value_at_quantile(q) as f64 / 1e3;
     (at(0.5), at(0.99))
 }
@@ -58,38 +58,38 @@
     linked(&front, day.streamers.len())?;
     let lasts = Duration::from_secs_f64(args.seconds);
     let titles: Vec<String> = day.titles.keys().cloned().collect();
-    let ask = |process: &Process, leave| Ask {
-        to: process.address,
+    let ask = |process: &Process, leave| LoadConfig {
+        controller: process.address,
         workers: args.workers,
         titles: titles.clone(),
-        lane: "paid".into(),
-        leave,
+        class: "paid".into(),
+        ends_sessions: leave,
     };
     let most = usize::MAX;
-    let base = runtime.block_on(closed(ask(&constant, true), lasts, most));
+    let base = runtime.block_on(run_closed_loop(ask(&constant, true), lasts, most));
     let (_, cpu_before) = front.usage()?;
     let decided_before = front.state()?.deciding_s;
-    let full = runtime.block_on(closed(ask(&front, true), lasts, most));
+    let full = runtime.block_on(run_closed_loop(ask(&front, true), lasts, most));
     let (_, cpu_after) = front.usage()?;
     let decided = front.state()?.deciding_s - decided_before;
-    let base_paced = runtime.block_on(open(ask(&constant, true), args.rate, lasts));
-    let paced = runtime.block_on(open(ask(&front, true), args.rate, lasts));
+    let base_paced = runtime.block_on(run_open_loop(ask(&constant, true), args.rate, lasts));
+    let paced = runtime.block_on(run_open_loop(ask(&front, true), args.rate, lasts));
     // Memory is that of a fresh process: one that was under load has room left over from it.
     drop(front);
     let front = Process::start(&["front", "--settings", &file.to_string_lossy()])?;
     linked(&front, day.streamers.len())?;
     let (empty, _) = front.usage()?;
-    let kept = runtime.block_on(closed(ask(&front, false), Duration::from_secs(120), args.sessions));
+    let kept = runtime.block_on(run_closed_loop(ask(&front, false), Duration::from_secs(120), args.sessions));
     let (held, _) = front.usage()?;
     let playing = front.state()?.playing;
     // And with them in hand, as fast as answers come.
     let (_, cpu_at) = front.usage()?;
     let decided_at = front.state()?.deciding_s;
-    let crowded = runtime.block_on(closed(ask(&front, true), lasts, most));
+    let crowded = runtime.block_on(run_closed_loop(ask(&front, true), lasts, most));
     let cpu_crowded = front.usage()?.1 - cpu_at;
     let decided_crowded = front.state()?.deciding_s - decided_at;
 
-    let rate = |came: &Came| came.answers() as f64 / came.took_s;
+    let rate = |came: &LoadResult| came.responses() as f64 / came.duration_s;
     let (base_p50, base_p99) = quantiles(&base_paced);
     let (p50, p99) = quantiles(&paced);
     let per_session = (held - empty) / args.sessions as f64;
@@ -126,8 +126,8 @@
         decided_crowded / cpu_crowded.max(1e-9)
     );
     let all = [&base, &full, &base_paced, &paced, &kept, &crowded];
-    let missing: u64 = all.iter().map(|came| came.missing + came.scrapped + came.not_taken).sum();
-    let turned_back: u64 = all.iter().map(|came| came.turned_back).sum();
+    let missing: u64 = all.iter().map(|came| came.unanswered + came.failed + came.not_accepted).sum();
+    let turned_back: u64 = all.iter().map(|came| came.rejected).sum();
     let fine = missing == 0 && turned_back == 0 && playing == args.sessions;
     println!("wishes without a fitting answer: {missing}; turned back with room for all: {turned_back}");
     println!(
--- a/crates/lemontide-cli/src/measure/shedding.rs
+++ b/crates/lemontide-cli/src/measure/shedding.rs
@@ -6,7 +6,9 @@
 use lemontide_front::settings::{Settings, SheddingSettings};
 use lemontide_standin::day::Day;
 use lemontide_standin::judge::judge;
-use lemontide_standin::load_generator::{mixed, Lane, Mix, Outcome as Of, Record};
+use lemontide_standin::load_generator::{
+    run_mixed_load, ClassLoad, MixedLoadConfig, Outcome as Of, RequestRecord,
+};
 use lemontide_standin::shedding_simulation;
 use lemontide_standin::streamer::Fleet;
 use lemontide_wire::clock::Clock;
@@ -116,7 +118,7 @@
     day: Day,
     fleet: Fleet,
     titles: Vec<String>,
-    lanes: Vec<Lane>,
+    lanes: Vec<ClassLoad>,
     folder: tempfile::TempDir,
     runtime: Runtime,
     core: f64,
@@ -170,18 +172,18 @@
         Err("the controller did not reach all streamers within 5 s".into())
     }
 
-    fn mix(&self, to: &Process, rate: Vec<(f64, f64)>) -> Mix {
-        Mix {
-            to: to.address,
+    fn mix(&self, to: &Process, rate: Vec<(f64, f64)>) -> MixedLoadConfig {
+        MixedLoadConfig {
+            controller: to.address,
             titles: self.titles.clone(),
-            lanes: self.lanes.clone(),
-            rate,
-            goal_s: GOAL_S,
-            cut_off_s: CUT_OFF_S,
-            again: 0,
-            hinted: true,
-            follows: true,
-            connections: self.connections,
+            classes: self.lanes.clone(),
+            rate_steps: rate,
+            latency_goal_s: GOAL_S,
+            deadline_s: CUT_OFF_S,
+            max_retries: 0,
+            sends_hint: true,
+            reads_events: true,
+            initial_connections: self.connections,
             tap: None,
             seed: 1,
         }
@@ -192,30 +194,30 @@
         let front = self.start(&self.settings(variant, None))?;
         let _throttle = Throttle::start(front.id(), self.core);
         let rate = vec![(0.0, limit * 0.5), (WARM_S, limit * times), (WARM_S + seconds, 0.0)];
-        let records = self.runtime.block_on(mixed(self.mix(&front, rate)));
+        let records = self.runtime.block_on(run_mixed_load(self.mix(&front, rate)));
         // Steady means after the first second of the load itself.
         Ok(self.part(&records, WARM_S + 1.0, WARM_S + seconds))
     }
 
-    fn part(&self, records: &[Record], from: f64, to: f64) -> Part {
+    fn part(&self, records: &[RequestRecord], from: f64, to: f64) -> Part {
         let mut part = Part::default();
         let mut took = Vec::new();
-        for record in records.iter().filter(|record| (from..to).contains(&record.due)) {
+        for record in records.iter().filter(|record| (from..to).contains(&record.due_s)) {
             part.asks += 1;
             match record.outcome {
                 Of::Late => part.late += 1,
-                Of::Broken => part.broken += 1,
+                Of::ConnectionLost => part.broken += 1,
                 Of::Plays => {
                     part.plays += 1;
-                    if record.took <= GOAL_S {
-                        part.gain += self.lanes[record.lane].gain / (to - from);
-                        part.paid_plays += usize::from(record.lane == 0);
+                    if record.latency_s <= GOAL_S {
+                        part.gain += self.lanes[record.class].gain / (to - from);
+                        part.paid_plays += usize::from(record.class == 0);
                     }
                 }
-                Of::TurnedBack | Of::NotTaken | Of::Scrapped => {}
+                Of::Rejected | Of::NotAccepted | Of::Failed => {}
             }
-            part.paid += usize::from(record.lane == 0);
-            took.push(record.took);
+            part.paid += usize::from(record.class == 0);
+            took.push(record.latency_s);
         }
         took.sort_by(f64::total_cmp);
         part.p99 = took.get((took.len() as f64 * 0.99) as usize).copied().unwrap_or(0.0);
@@ -257,8 +259,12 @@
         std::thread::sleep(Duration::from_millis(300));
         let before = front.usage()?.1;
         // Few connections: opening them is no part of an answer.
-        let mix = Mix { hinted, connections: 20, ..rig.mix(&front, vec![(0.0, RATE_OF_COSTS), (2.0, 0.0)]) };
-        let answers = rig.runtime.block_on(mixed(mix)).len() as f64;
+        let mix = MixedLoadConfig {
+            sends_hint: hinted,
+            initial_connections: 20,
+            ..rig.mix(&front, vec![(0.0, RATE_OF_COSTS), (2.0, 0.0)])
+        };
+        let answers = rig.runtime.block_on(run_mixed_load(mix)).len() as f64;
         Ok((front.usage()?.1 - before) / answers.max(1.0) * 1e6)
     };
     Ok([cost(false, false)?, cost(true, true)?, cost(true, false)?])
@@ -269,7 +275,7 @@
     let keeps = |per_s: f64| -> Result<bool, Failed> {
         let front = rig.start(&rig.settings(Variant::None, None))?;
         let _throttle = Throttle::start(front.id(), rig.core);
-        let records = rig.runtime.block_on(mixed(rig.mix(&front, vec![(0.0, per_s), (2.5, 0.0)])));
+        let records = rig.runtime.block_on(run_mixed_load(rig.mix(&front, vec![(0.0, per_s), (2.5, 0.0)])));
         let part = rig.part(&records, 1.0, 2.5);
         Ok(part.late == 0 && part.broken == 0 && part.p99 < LIMIT_P99_S)
     };
@@ -296,7 +302,7 @@
     let front = rig.start(&rig.settings(Variant::None, None))?;
     let _throttle = Throttle::start(front.id(), rig.core);
     let load = rig.mix(&front, vec![(0.0, limit * 4.0), (3.0, 0.0)]);
-    let playing = rig.runtime.spawn(mixed(load));
+    let playing = rig.runtime.spawn(run_mixed_load(load));
     std::thread::sleep(Duration::from_millis(2500));
     let (before, since) = (front.usage()?.1, Instant::now());
     std::thread::sleep(Duration::from_millis(1500));
@@ -312,15 +318,15 @@
     let _throttle = Throttle::start(front.id(), rig.core);
     let (from, to, end) = (2.0, 5.0, 13.0);
     let rate = vec![(0.0, limit * 0.6), (from, limit * 5.0), (to, limit * 0.6), (end, 0.0)];
-    let records = rig.runtime.block_on(mixed(rig.mix(&front, rate)));
-    let back = |record: &&Record| matches!(record.outcome, Of::NotTaken | Of::TurnedBack);
+    let records = rig.runtime.block_on(run_mixed_load(rig.mix(&front, rate)));
+    let back = |record: &&RequestRecord| matches!(record.outcome, Of::NotAccepted | Of::Rejected);
     let first =
-        records.iter().filter(back).find(|record| record.due >= from).map_or(f64::NAN, |r| r.due - from);
-    let last = records.iter().filter(back).map(|record| record.due).fold(to, f64::max) - to;
+        records.iter().filter(back).find(|record| record.due_s >= from).map_or(f64::NAN, |r| r.due_s - from);
+    let last = records.iter().filter(back).map(|record| record.due_s).fold(to, f64::max) - to;
     let mut tenths = vec![0.0f64; ((end - to) * 10.0) as usize];
-    let plays = records.iter().filter(|record| record.outcome == Of::Plays && record.due >= to);
+    let plays = records.iter().filter(|record| record.outcome == Of::Plays && record.due_s >= to);
     for record in plays {
-        let place = ((record.due + record.took - to) * 10.0) as usize;
+        let place = ((record.due_s + record.latency_s - to) * 10.0) as usize;
         if let Some(tenth) = tenths.get_mut(place) {
             *tenth += 1.0;
         }
@@ -346,7 +352,7 @@
         let _then = Throttle::start(pid, core);
         std::thread::sleep(Duration::from_secs(6));
     });
-    let records = rig.runtime.block_on(mixed(mix));
+    let records = rig.runtime.block_on(run_mixed_load(mix));
     let _ = stalls.join();
     Ok((rig.part(&records, 1.0, 4.0), rig.part(&records, 5.5, 9.0)))
 }
@@ -370,8 +376,8 @@
     let part = {
         let _throttle = Throttle::start(front.id(), rig.core);
         let rate = vec![(0.0, limit * 0.5), (1.0, limit * 10.0), (3.0, limit * 0.5), (4.0, 0.0)];
-        let mix = Mix { tap: Some((tap, 0)), again: 1, ..rig.mix(&front, rate) };
-        let records = rig.runtime.block_on(mixed(mix));
+        let mix = MixedLoadConfig { tap: Some((tap, 0)), max_retries: 1, ..rig.mix(&front, rate) };
+        let records = rig.runtime.block_on(run_mixed_load(mix));
         rig.part(&records, 0.0, 60.0)
     };
     drop(front);
@@ -398,7 +404,7 @@
     let fleet = runtime.block_on(Fleet::start(&day, clock, Tap::disabled(clock), None))?;
     let folder = tempfile::tempdir()?;
     write_list(&day, &fleet, &folder.path().join("list.json"))?;
-    let lane = |name: &str, gain, part| Lane { name: name.into(), gain, part };
+    let lane = |name: &str, gain, part| ClassLoad { name: name.into(), gain, part };
     let lanes = vec![lane("paid", args.gain, args.paid), lane("free", 1.0, 1.0 - args.paid)];
     let titles = day.titles.keys().cloned().collect();
     let mut rig = Rig {
--- a/crates/lemontide-cli/tests/common/mod.rs
+++ b/crates/lemontide-cli/tests/common/mod.rs
@@ -4,7 +4,9 @@
 use bytes::Bytes;
 use lemontide::interface::Load;
 use lemontide_platform::codec::{Body, Message, RequestDetails, SetUp};
-use lemontide_standin::platform::{settings, Attended, End, Journal, SOON};
+use lemontide_standin::stub_platform::{
+    settings, BackgroundConnection, PlatformConnection, StubJournal, WAIT_TIMEOUT,
+};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::{json, Value as Json};
@@ -21,14 +23,14 @@
 /// A streamer that the test plays, with all connections to it.
 pub struct TestStreamer {
     pub listener: TcpListener,
-    pub connections: Vec<Attended>,
+    pub connections: Vec<BackgroundConnection>,
 }
 
 /// A running controller process, and the services that the test plays around it.
 pub struct RunningController {
     pub process: Child,
     pub listen: SocketAddr,
-    pub journal: Journal,
+    pub journal: StubJournal,
     pub streamers: Vec<TestStreamer>,
     pub config: Json,
     pub folder: tempfile::TempDir,
@@ -38,7 +40,7 @@
     /// Starts a controller with this number of streamers. `change_config` can change its configuration.
     pub async fn start(streamer_count: usize, change_config: impl Fn(&mut Json)) -> RunningController {
         let folder = tempfile::tempdir().expect("a folder");
-        let journal = Journal::start().await.expect("a port");
+        let journal = StubJournal::start().await.expect("a port");
         let mut streamers = Vec::new();
         let mut entries = Vec::new();
         for at in 0..streamer_count {
@@ -80,7 +82,7 @@
                 sleep(Duration::from_millis(1)).await;
             }
         };
-        timeout(SOON, stopped).await.expect("stopped in time");
+        timeout(WAIT_TIMEOUT, stopped).await.expect("stopped in time");
     }
 
     pub fn resume(&self) {
@@ -88,13 +90,13 @@
     }
 
     /// A new viewers' connection.
-    pub async fn viewer(&self) -> End {
-        End::viewer(self.listen).await.expect("connected")
+    pub async fn viewer(&self) -> PlatformConnection {
+        PlatformConnection::connect(self.listen).await.expect("connected")
     }
 
     /// The next message to any streamer, except tests, with the streamer and its connection.
     pub async fn next_message(&mut self) -> Option<(usize, usize, Message)> {
-        self.next_message_within(SOON).await
+        self.next_message_within(WAIT_TIMEOUT).await
     }
 
     /// The same, or none after this time.
@@ -104,10 +106,10 @@
             for (at, streamer) in self.streamers.iter_mut().enumerate() {
                 let accepted = timeout(Duration::from_millis(1), streamer.listener.accept());
                 if let Ok(Ok((socket, _))) = accepted.await {
-                    streamer.connections.push(End::of(socket).attend());
+                    streamer.connections.push(PlatformConnection::from_socket(socket).into_background());
                 }
                 for (connection, attended) in streamer.connections.iter_mut().enumerate() {
-                    if let Some(message) = attended.try_news() {
+                    if let Some(message) = attended.try_receive() {
                         return Some((at, connection, message));
                     }
                 }
@@ -120,12 +122,12 @@
 
     /// Sends a message from a streamer, on this connection of it.
     pub async fn streamer_sends(&mut self, at: (usize, usize), session: u64, body: Body) {
-        self.streamers[at.0].connections[at.1].say(session, body).await.expect("sent");
+        self.streamers[at.0].connections[at.1].send(session, body).await.expect("sent");
     }
 
     /// Waits until the process ends.
     pub async fn wait_for_exit(mut self) -> std::process::ExitStatus {
-        timeout(SOON * 2, self.process.wait()).await.expect("ends in time").expect("waited for")
+        timeout(WAIT_TIMEOUT * 2, self.process.wait()).await.expect("ends in time").expect("waited for")
     }
 }
 
@@ -193,10 +195,10 @@
 }
 
 /// Waits until the controller passes a test on this connection: it has then read everything that was sent before.
-pub async fn wait_for_test(viewer: &mut End) {
-    viewer.say(u64::MAX, Body::Test).await.expect("sent");
+pub async fn wait_for_test(viewer: &mut PlatformConnection) {
+    viewer.send(u64::MAX, Body::Test).await.expect("sent");
     loop {
-        let message = viewer.hear().await.expect("received");
+        let message = viewer.receive().await.expect("received");
         if message.body == (Body::TestResult { passed: true }) {
             return;
         }
--- a/crates/lemontide-cli/tests/crossings.rs
+++ b/crates/lemontide-cli/tests/crossings.rs
@@ -5,7 +5,7 @@
 
 use common::{answer, list_entry, set_up, spawn, spawn_logging, wait_for_test, RunningController};
 use lemontide_platform::codec::{cause, Body, SetUp};
-use lemontide_standin::platform::{End, Journal, SOON};
+use lemontide_standin::stub_platform::{PlatformConnection, StubJournal, WAIT_TIMEOUT};
 use nix::sys::signal::Signal;
 use serde_json::{json, Value as Json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,12 +26,12 @@
     let mut late_attempts = 0;
     let (mut left, mut stayed) = (0, 0);
     for round in 0..ROUNDS {
-        let mut viewers: BTreeMap<u64, End> = BTreeMap::new();
+        let mut viewers: BTreeMap<u64, PlatformConnection> = BTreeMap::new();
         let mut attempts: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
         for n in 1..=REQUESTS_PER_ROUND {
             let mut viewer = controller.viewer().await;
             let session = round * REQUESTS_PER_ROUND + n;
-            viewer.say(session, set_up(if n % 2 == 0 { "free" } else { "paid" }, None)).await.expect("sent");
+            viewer.send(session, set_up(if n % 2 == 0 { "free" } else { "paid" }, None)).await.expect("sent");
             viewers.insert(session, viewer);
         }
         while attempts.len() < REQUESTS_PER_ROUND as usize {
@@ -45,7 +45,7 @@
                 0 => drop(viewers.remove(&session)),
                 1 => {
                     let viewer = viewers.get_mut(&session).expect("not removed");
-                    viewer.say(session, Body::release(cause::NORMAL)).await.expect("sent");
+                    viewer.send(session, Body::release(cause::NORMAL)).await.expect("sent");
                 }
                 _ => continue,
             }
@@ -86,9 +86,9 @@
 /// A streamer that refuses every set-up at once, and reports when it received each.
 async fn refuse_all(listener: TcpListener, set_ups: mpsc::Sender<(u64, Instant)>) {
     while let Ok((socket, _)) = listener.accept().await {
-        let (set_ups, mut connection) = (set_ups.clone(), End::of(socket));
+        let (set_ups, mut connection) = (set_ups.clone(), PlatformConnection::from_socket(socket));
         tokio::spawn(async move {
-            while let Ok(message) = connection.hear().await {
+            while let Ok(message) = connection.receive().await {
                 let answer = match message.body {
                     Body::SetUp(_) => Body::release(cause::NOT_SENT),
                     Body::Test => Body::TestResult { passed: true },
@@ -97,7 +97,7 @@
                 if matches!(message.body, Body::SetUp(_)) {
                     let _ = set_ups.send((message.session, Instant::now())).await;
                 }
-                if connection.say(message.session, answer).await.is_err() {
+                if connection.send(message.session, answer).await.is_err() {
                     return;
                 }
             }
@@ -124,11 +124,11 @@
             // The times depend on the session number alone, so that every run is the same.
             let spread = session.wrapping_mul(0x9e37_79b9_7f4a_7c15);
             sleep(Duration::from_millis(spread >> 54)).await;
-            let mut viewer = End::viewer(listen).await.expect("connected");
-            viewer.say(session, set_up("free", None)).await.expect("sent");
+            let mut viewer = PlatformConnection::connect(listen).await.expect("connected");
+            viewer.send(session, set_up("free", None)).await.expect("sent");
             sleep(Duration::from_micros((spread >> 40) & 0x0fff)).await;
             if session % 2 == 0 {
-                let _ = viewer.say(session, Body::release(cause::NORMAL)).await;
+                let _ = viewer.send(session, Body::release(cause::NORMAL)).await;
                 let _ = left.send((session, Instant::now())).await;
                 sleep(Duration::from_millis(50)).await;
             } else {
@@ -166,7 +166,7 @@
     wait_for_test(&mut viewer).await;
     controller.pause().await;
     let Body::SetUp(request) = set_up("paid", None) else { panic!("a set-up") };
-    viewer.say(5, Body::SetUp(SetUp { wait_ms: 3000, ..request })).await.expect("sent");
+    viewer.send(5, Body::SetUp(SetUp { wait_ms: 3000, ..request })).await.expect("sent");
     sleep(Duration::from_millis(1500)).await;
     controller.resume();
     let (_, _, message) = controller.next_message().await.expect("sent on");
@@ -181,7 +181,7 @@
 async fn a_session_whose_answer_crosses_its_viewers_close_is_released() {
     let mut controller = RunningController::start(1, |_| {}).await;
     let mut viewer = controller.viewer().await;
-    viewer.say(5, set_up("free", None)).await.expect("sent");
+    viewer.send(5, set_up("free", None)).await.expect("sent");
     let (at, connection, _) = controller.next_message().await.expect("sent on");
     controller.pause().await;
     controller.streamer_sends((at, connection), 5, answer()).await;
@@ -206,17 +206,17 @@
     }
     for session in 1..=5 {
         controller.pause().await;
-        viewers[0].say(session, set_up("free", None)).await.expect("sent");
+        viewers[0].send(session, set_up("free", None)).await.expect("sent");
         let mut newcomer = controller.viewer().await;
-        newcomer.say(u64::MAX, Body::Test).await.expect("sent");
+        newcomer.send(u64::MAX, Body::Test).await.expect("sent");
         controller.resume();
         let (at, connection, message) = controller.next_message().await.expect("sent on");
         assert_eq!(message.session, session);
-        newcomer.hear().await.expect("another connection was closed");
+        newcomer.receive().await.expect("another connection was closed");
         controller.streamer_sends((at, connection), session, answer()).await;
-        assert_eq!(viewers[0].hear().await.expect("answered on the same connection").body, answer());
+        assert_eq!(viewers[0].receive().await.expect("answered on the same connection").body, answer());
         controller.streamer_sends((at, connection), session, Body::release(cause::NORMAL)).await;
-        viewers[0].hear().await.expect("released");
+        viewers[0].receive().await.expect("released");
         viewers.remove(1);
         let answered = viewers.remove(0);
         viewers.push(newcomer);
@@ -249,22 +249,22 @@
         idle.push(viewer);
     }
     let mut viewer = controller.viewer().await;
-    viewer.say(7, set_up("free", None)).await.expect("sent");
+    viewer.send(7, set_up("free", None)).await.expect("sent");
     let (at_streamer, connection, message) = controller.next_message().await.expect("sent on");
     assert_eq!(message.session, 7);
     controller.streamer_sends((at_streamer, connection), 7, answer()).await;
-    assert_eq!(viewer.hear().await.expect("answered").body, answer());
-    let journal = Journal::listen(journal_address).await.expect("the port is free");
-    let (mut reader, last) = journal.reader().await.expect("requested in spite of the idle viewers");
+    assert_eq!(viewer.receive().await.expect("answered").body, answer());
+    let journal = StubJournal::bind(journal_address).await.expect("the port is free");
+    let (mut reader, last) = journal.accept_reader().await.expect("requested in spite of the idle viewers");
     assert_eq!(last, 1);
     let draining = list_entry(0, &controller.streamers[0].listener, "terminating");
     let event = json!({"pos": 2, "hosts": {"full": false, "servers": [draining]}});
     reader.write_all(format!("{event}\n").as_bytes()).await.expect("sent");
     let drained = async {
         for session in 100.. {
-            viewer.say(session, set_up("free", None)).await.expect("sent");
+            viewer.send(session, set_up("free", None)).await.expect("sent");
             tokio::select! {
-                message = viewer.hear() => {
+                message = viewer.receive() => {
                     assert!(matches!(message.expect("answered").body, Body::Release { .. }));
                     return;
                 }
@@ -273,10 +273,10 @@
                     controller.streamer_sends((at, connection), message.session, answer()).await;
                 }
             }
-            viewer.hear().await.expect("answered");
+            viewer.receive().await.expect("answered");
         }
     };
-    timeout(SOON, drained).await.expect("the drain takes effect");
+    timeout(WAIT_TIMEOUT, drained).await.expect("the drain takes effect");
     assert!(controller.process.try_wait().expect("status").is_none(), "still running");
 }
 
@@ -291,7 +291,7 @@
         let socket = tokio::net::TcpStream::connect(controller.listen);
         let socket = match socket.await {
             Ok(socket) => socket,
-            Err(_) => End::viewer(controller.listen).await.expect("connected").into_socket(),
+            Err(_) => PlatformConnection::connect(controller.listen).await.expect("connected").into_socket(),
         };
         let mut stopped = stop.subscribe();
         let (mut read, mut write) = socket.into_split();
@@ -308,12 +308,12 @@
     }
     let mut other = controller.viewer().await;
     wait_for_test(&mut other).await;
-    let moved = Journal::start().await.expect("a port");
+    let moved = StubJournal::start().await.expect("a port");
     let mut config = controller.config.clone();
     config["journal"] = json!(moved.address().expect("bound").to_string());
     std::fs::write(controller.folder.path().join("config.json"), config.to_string()).expect("written");
     controller.signal(Signal::SIGHUP);
-    moved.reader().await.expect("requested at the new address");
+    moved.accept_reader().await.expect("requested at the new address");
     controller.signal(Signal::SIGTERM);
     assert!(controller.wait_for_exit().await.success());
     let _ = stop.send(());
@@ -327,19 +327,19 @@
     let (mut first, mut other) = (controller.viewer().await, controller.viewer().await);
     let mut at = (0, 0);
     for (session, viewer) in [(1, &mut first), (2, &mut other)] {
-        viewer.say(session, set_up("free", None)).await.expect("sent");
+        viewer.send(session, set_up("free", None)).await.expect("sent");
         let (streamer, connection, message) = controller.next_message().await.expect("sent on");
         assert_eq!(message.session, session);
         at = (streamer, connection);
         controller.streamer_sends(at, session, answer()).await;
-        assert_eq!(viewer.hear().await.expect("answered").body, answer());
+        assert_eq!(viewer.receive().await.expect("answered").body, answer());
     }
     controller.pause().await;
     drop(first);
     controller.streamer_sends(at, 1, Body::release(cause::NORMAL)).await;
     sleep(Duration::from_millis(150)).await;
     controller.resume();
-    let message = other.hear().await.expect("received on the other connection");
+    let message = other.receive().await.expect("received on the other connection");
     assert_eq!((message.session, message.body), (1, Body::release(cause::NORMAL)));
 }
 
@@ -348,19 +348,19 @@
 async fn a_session_that_ended_before_it_was_handed_over_is_released_at_once() {
     let mut controller = RunningController::start(1, |_| {}).await;
     let mut viewer = controller.viewer().await;
-    viewer.say(1, set_up("free", None)).await.expect("sent");
+    viewer.send(1, set_up("free", None)).await.expect("sent");
     let (at, connection, _) = controller.next_message().await.expect("sent on");
     controller.streamer_sends((at, connection), 1, answer()).await;
-    viewer.hear().await.expect("answered");
+    viewer.receive().await.expect("answered");
     controller.streamer_sends((at, connection), 8, Body::release(cause::NORMAL)).await;
-    viewer.say(9, Body::release(cause::NORMAL)).await.expect("sent");
+    viewer.send(9, Body::release(cause::NORMAL)).await.expect("sent");
     // The messages on a connection are read in order, so that the release before this one has been read as well.
     controller.streamer_sends((at, connection), 1, Body::release(cause::NORMAL)).await;
-    assert_eq!(viewer.hear().await.expect("released").session, 1);
+    assert_eq!(viewer.receive().await.expect("released").session, 1);
     for session in [8, 9] {
-        viewer.say(session, set_up("free", Some("s0"))).await.expect("sent");
+        viewer.send(session, set_up("free", Some("s0"))).await.expect("sent");
     }
-    let message = viewer.hear().await.expect("its streamer ended it");
+    let message = viewer.receive().await.expect("its streamer ended it");
     assert_eq!((message.session, message.body), (8, Body::release(cause::NORMAL)));
     let (_, _, message) = controller.next_message().await.expect("its viewer ended it");
     assert_eq!((message.session, message.body), (9, Body::release(cause::NORMAL)));
@@ -372,7 +372,7 @@
 async fn a_stop_waits_for_the_longest_deadline_and_other_signals_change_nothing() {
     let mut controller = RunningController::start(1, |_| {}).await;
     let mut viewer = controller.viewer().await;
-    viewer.say(1, set_up("paid", None)).await.expect("sent");
+    viewer.send(1, set_up("paid", None)).await.expect("sent");
     let (at, connection, _) = controller.next_message().await.expect("sent on");
     for signal in [Signal::SIGTERM, Signal::SIGHUP, Signal::SIGTERM] {
         controller.signal(signal);
@@ -380,7 +380,7 @@
     // Longer than the eight seconds after which a stopping process once ended, even if it owed answers.
     sleep(Duration::from_millis(8700)).await;
     controller.streamer_sends((at, connection), 1, Body::release(cause::ERROR)).await;
-    assert_eq!(viewer.hear().await.expect("the final answer").body, Body::release(cause::FAILED));
+    assert_eq!(viewer.receive().await.expect("the final answer").body, Body::release(cause::FAILED));
     assert!(controller.wait_for_exit().await.success());
 }
 
@@ -398,24 +398,24 @@
     let mut viewer = controller.viewer().await;
     for round in 1..=ROUNDS {
         let session = round * 1000;
-        viewer.say(session, set_up("paid", None)).await.expect("sent");
+        viewer.send(session, set_up("paid", None)).await.expect("sent");
         let (at, connection, message) = controller.next_message().await.expect("sent on");
         assert_eq!(message.session, session);
         controller.pause().await;
         for n in 1..=NEW_REQUESTS {
             let requester = &mut requesters[n as usize % 4];
-            requester.say(session + n, set_up("free", None)).await.expect("sent");
+            requester.send(session + n, set_up("free", None)).await.expect("sent");
         }
         controller.streamer_sends((at, connection), session, answer()).await;
         // When the other ends have written everything, it is in the sockets of the process.
         let written = async {
-            while !controller.streamers[at].connections[connection].is_said() {
+            while !controller.streamers[at].connections[connection].all_sent() {
                 sleep(Duration::from_millis(1)).await;
             }
         };
-        timeout(SOON, written).await.expect("written");
+        timeout(WAIT_TIMEOUT, written).await.expect("written");
         controller.resume();
-        let answered = async { viewer.hear().await.expect("answered").session };
+        let answered = async { viewer.receive().await.expect("answered").session };
         let first = tokio::select! {
             biased;
             session = answered => session,
@@ -427,7 +427,7 @@
             controller.streamer_sends((at, connection), message.session, answer()).await;
         }
         for n in 1..=NEW_REQUESTS {
-            let message = requesters[n as usize % 4].hear().await.expect("answered");
+            let message = requesters[n as usize % 4].receive().await.expect("answered");
             assert_eq!(message.body, answer());
         }
     }
@@ -471,16 +471,16 @@
         spawn_logging(controller.folder.path(), &controller.config, controller.listen, Some(&log));
     let mut viewer = controller.viewer().await;
     for session in [1, 2, 3] {
-        viewer.say(session, set_up("paid", None)).await.expect("sent");
+        viewer.send(session, set_up("paid", None)).await.expect("sent");
         let (at, connection, message) = controller.next_message().await.expect("sent on");
         assert_eq!(message.session, session);
         match session {
             1 => controller.streamer_sends((at, connection), 1, answer()).await,
             2 => controller.streamer_sends((at, connection), 2, Body::release(cause::ERROR)).await,
-            _ => viewer.say(3, Body::release(cause::NORMAL)).await.expect("sent"),
+            _ => viewer.send(3, Body::release(cause::NORMAL)).await.expect("sent"),
         }
         if session < 3 {
-            viewer.hear().await.expect("answered");
+            viewer.receive().await.expect("answered");
         }
     }
     wait_for_test(&mut viewer).await;
@@ -494,7 +494,7 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(SOON, all_logged).await.expect("three lines");
+    timeout(WAIT_TIMEOUT, all_logged).await.expect("three lines");
     let lines = lines();
     let outcomes: Vec<_> = lines.iter().map(|line| (&line["session"], &line["outcome"])).collect();
     let expected = [("1", "Plays"), ("2", "Failed"), ("3", "ViewerLeft")];
@@ -514,16 +514,16 @@
     let controller = RunningController::start(1, |_| {}).await;
     let mut viewer = controller.viewer().await;
     wait_for_test(&mut viewer).await;
-    let moved = Journal::start().await.expect("a port");
+    let moved = StubJournal::start().await.expect("a port");
     let mut config = controller.config.clone();
     config["journal"] = json!(moved.address().expect("bound").to_string());
     let (file, text) = (controller.folder.path().join("config.json"), config.to_string());
-    controller.journal.reader().await.expect("requested");
+    controller.journal.accept_reader().await.expect("requested");
     std::fs::write(&file, &text[..text.len() / 2]).expect("written");
     controller.signal(Signal::SIGHUP);
     wait_for_test(&mut viewer).await;
     std::fs::write(&file, &text).expect("written");
-    moved.reader().await.expect("requested at the new address, without another signal");
+    moved.accept_reader().await.expect("requested at the new address, without another signal");
 }
 
 /// Each of thirty processes under load is killed or stopped, and then started again.
@@ -546,8 +546,8 @@
             let load = tokio::spawn(async move {
                 for session in 1.. {
                     let request = async {
-                        if let Ok(mut viewer) = End::viewer(listen).await {
-                            let _ = viewer.say(session, set_up("free", None)).await;
+                        if let Ok(mut viewer) = PlatformConnection::connect(listen).await {
+                            let _ = viewer.send(session, set_up("free", None)).await;
                             sleep(Duration::from_millis(5)).await;
                         }
                     };
@@ -572,7 +572,8 @@
     }
     drop(ready);
     let mut times = Vec::new();
-    while let Some(time) = timeout(SOON * 6, ready_times.recv()).await.expect("every process is ready again")
+    while let Some(time) =
+        timeout(WAIT_TIMEOUT * 6, ready_times.recv()).await.expect("every process is ready again")
     {
         times.push(time);
     }
--- a/crates/lemontide-cli/tests/overlapping_attempts.rs
+++ b/crates/lemontide-cli/tests/overlapping_attempts.rs
@@ -4,7 +4,7 @@
 
 use common::{answer, set_up, RunningController};
 use lemontide_platform::codec::{cause, Body};
-use lemontide_standin::platform::{Attended, End, SOON};
+use lemontide_standin::stub_platform::{BackgroundConnection, PlatformConnection, WAIT_TIMEOUT};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -29,13 +29,13 @@
 }
 
 async fn accept(listener: &TcpListener) -> TcpStream {
-    timeout(SOON, listener.accept()).await.expect("dialled in time").expect("accepted").0
+    timeout(WAIT_TIMEOUT, listener.accept()).await.expect("dialled in time").expect("accepted").0
 }
 
 /// Whether a set-up of this session is received within the time.
-async fn receives_set_up(connection: &mut Attended, session: u64, within: Duration) -> bool {
+async fn receives_set_up(connection: &mut BackgroundConnection, session: u64, within: Duration) -> bool {
     let received = async {
-        while let Ok(message) = connection.news().await {
+        while let Ok(message) = connection.receive().await {
             if message.session == session && matches!(message.body, Body::SetUp(_)) {
                 return;
             }
@@ -51,7 +51,7 @@
 async fn no_second_attempt_while_the_release_of_the_first_is_unread() {
     let controller = start(2).await;
     let mut viewer = controller.viewer().await;
-    viewer.say(1, set_up("free", None)).await.expect("sent");
+    viewer.send(1, set_up("free", None)).await.expect("sent");
     let (first, second) = (&controller.streamers[0].listener, &controller.streamers[1].listener);
     let (unread_socket, other_listener) = tokio::select! {
         socket = accept(first) => (socket, second),
@@ -60,22 +60,22 @@
     sleep(GIVE_UP_TIME).await;
     let early_connection = timeout(Duration::from_millis(10), other_listener.accept()).await;
     if let Ok(Ok((socket, _))) = early_connection {
-        let mut connection = End::of(socket).attend();
+        let mut connection = PlatformConnection::from_socket(socket).into_background();
         assert!(
             !receives_set_up(&mut connection, 1, GIVE_UP_TIME).await,
             "the streamer can still accept the first attempt"
         );
     }
     // The streamer reads the release, and passes the test behind it.
-    let mut first_connection = End::of(unread_socket).attend();
-    assert!(receives_set_up(&mut first_connection, 1, SOON).await);
+    let mut first_connection = PlatformConnection::from_socket(unread_socket).into_background();
+    assert!(receives_set_up(&mut first_connection, 1, WAIT_TIMEOUT).await);
     let at_other = async {
-        let mut connection = End::of(accept(other_listener).await).attend();
-        receives_set_up(&mut connection, 1, SOON).await
+        let mut connection = PlatformConnection::from_socket(accept(other_listener).await).into_background();
+        receives_set_up(&mut connection, 1, WAIT_TIMEOUT).await
     };
     assert!(tokio::select! {
         is_received = at_other => is_received,
-        is_received = receives_set_up(&mut first_connection, 1, SOON) => is_received,
+        is_received = receives_set_up(&mut first_connection, 1, WAIT_TIMEOUT) => is_received,
     });
 }
 
@@ -87,7 +87,7 @@
     let controller = start(1).await;
     let mut viewer = controller.viewer().await;
     for session in 1..=REQUESTS {
-        viewer.say(session, set_up("free", None)).await.expect("sent");
+        viewer.send(session, set_up("free", None)).await.expect("sent");
     }
     let mut unread_sockets = Vec::new();
     let accept_all = async {
@@ -98,7 +98,7 @@
     let _: Result<(), _> = timeout(GIVE_UP_TIME * 2, accept_all).await;
     let mut connections_by_session: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
     for (number, socket) in unread_sockets.into_iter().enumerate() {
-        for message in End::of(socket).unread().expect("readable") {
+        for message in PlatformConnection::from_socket(socket).into_unread_messages().expect("readable") {
             if matches!(message.body, Body::SetUp(_)) {
                 connections_by_session.entry(message.session).or_default().push(number);
             }
@@ -116,16 +116,20 @@
 async fn no_third_attempt_after_a_release_of_the_first() {
     let controller = start(1).await;
     let mut viewer = controller.viewer().await;
-    viewer.say(1, set_up("free", None)).await.expect("sent");
-    let mut connection = End::of(accept(&controller.streamers[0].listener).await).attend();
-    assert!(receives_set_up(&mut connection, 1, SOON).await);
-    assert!(receives_set_up(&mut connection, 1, SOON).await, "the release of the first attempt is read");
-    connection.say(1, Body::release(cause::NORMAL)).await.expect("sent");
+    viewer.send(1, set_up("free", None)).await.expect("sent");
+    let mut connection =
+        PlatformConnection::from_socket(accept(&controller.streamers[0].listener).await).into_background();
+    assert!(receives_set_up(&mut connection, 1, WAIT_TIMEOUT).await);
+    assert!(
+        receives_set_up(&mut connection, 1, WAIT_TIMEOUT).await,
+        "the release of the first attempt is read"
+    );
+    connection.send(1, Body::release(cause::NORMAL)).await.expect("sent");
     assert!(
         !receives_set_up(&mut connection, 1, TIME_BEFORE_GIVE_UP).await,
         "the second attempt is still open"
     );
-    connection.say(1, answer()).await.expect("sent");
-    let message = timeout(SOON, viewer.hear()).await.expect("in time").expect("received");
+    connection.send(1, answer()).await.expect("sent");
+    let message = timeout(WAIT_TIMEOUT, viewer.receive()).await.expect("in time").expect("received");
     assert!(matches!(message.body, Body::Answer { .. }), "{message:?}");
 }
--- a/crates/lemontide-cli/tests/program.rs
+++ b/crates/lemontide-cli/tests/program.rs
@@ -95,16 +95,17 @@
 /// and SIGTERM ends it well.
 #[test]
 fn serve_obeys_the_platforms_signals() {
-    use lemontide_standin::platform::{settings, End, Journal};
+    use lemontide_standin::stub_platform::{settings, PlatformConnection, StubJournal};
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
         let file = folder.path().join("config.json");
-        let (old, new) = (Journal::start().await.expect("a port"), Journal::start().await.expect("a port"));
+        let (old, new) =
+            (StubJournal::start().await.expect("a port"), StubJournal::start().await.expect("a port"));
         let free = std::net::TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
         let listen = free.local_addr().expect("it is bound");
         drop(free);
-        let config = |journal: &Journal| {
+        let config = |journal: &StubJournal| {
             serde_json::json!({"listen": listen, "seed": "1", "settings": settings(),
                 "journal": journal.address().expect("it is bound").to_string()})
             .to_string()
@@ -118,18 +119,18 @@
             .spawn()
             .expect("it starts");
         let pid = nix::unistd::Pid::from_raw(serve.id().expect("it runs") as i32);
-        let (_reader, last) = old.reader().await.expect("it asks");
+        let (_reader, last) = old.accept_reader().await.expect("it asks");
         assert_eq!(last, 0);
         std::fs::write(&file, &config(&new)[..20]).expect("written");
         nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).expect("sent");
-        let mut viewer = End::viewer(listen).await.expect("it serves on");
-        viewer.say(1, lemontide_platform::codec::Body::Test).await.expect("sent");
-        viewer.hear().await.expect("a test is passed with half a file, too");
+        let mut viewer = PlatformConnection::connect(listen).await.expect("it serves on");
+        viewer.send(1, lemontide_platform::codec::Body::Test).await.expect("sent");
+        viewer.receive().await.expect("a test is passed with half a file, too");
         std::fs::write(&file, config(&new)).expect("written");
         nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).expect("sent");
-        new.reader().await.expect("it asks at the new address");
+        new.accept_reader().await.expect("it asks at the new address");
         nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGTERM).expect("sent");
-        let ended = tokio::time::timeout(lemontide_standin::platform::SOON, serve.wait()).await;
+        let ended = tokio::time::timeout(lemontide_standin::stub_platform::WAIT_TIMEOUT, serve.wait()).await;
         let ended = ended.expect("within the bound").expect("waited for");
         assert!(ended.success(), "{ended}");
     });
@@ -163,7 +164,7 @@
             "settings.policy_limits.dial_timeout: missing or not",
         ),
     ] {
-        let mut settings = lemontide_standin::platform::settings();
+        let mut settings = lemontide_standin::stub_platform::settings();
         *settings.pointer_mut(place).expect("it is there") = value;
         let config =
             serde_json::json!({"listen": "127.0.0.1:0", "journal": "127.0.0.1:9", "settings": settings});
@@ -185,13 +186,13 @@
 #[test]
 fn the_last_answer_before_a_stop_reaches_its_viewer() {
     use lemontide_platform::codec::{cause, Body, RequestDetails, SetUp};
-    use lemontide_standin::platform::{settings, End, Journal};
+    use lemontide_standin::stub_platform::{settings, PlatformConnection, StubJournal};
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
         let file = folder.path().join("config.json");
         let streamer = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
-        let journal = Journal::start().await.expect("a port");
+        let journal = StubJournal::start().await.expect("a port");
         let free = std::net::TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
         let listen = free.local_addr().expect("it is bound");
         drop(free);
@@ -209,7 +210,7 @@
             .spawn()
             .expect("it starts");
         let pid = nix::unistd::Pid::from_raw(serve.id().expect("it runs") as i32);
-        let mut viewer = End::viewer(listen).await.expect("it serves");
+        let mut viewer = PlatformConnection::connect(listen).await.expect("it serves");
         let set_up = SetUp {
             class: "paid".into(),
             tenant: "acme".into(),
@@ -224,16 +225,16 @@
             }),
             ..SetUp::default()
         };
-        viewer.say(7, Body::SetUp(set_up)).await.expect("sent");
-        let mut link = End::streamer(&streamer).await.expect("it dials").attend();
-        assert_eq!(link.news().await.expect("shot").session, 7);
+        viewer.send(7, Body::SetUp(set_up)).await.expect("sent");
+        let mut link = PlatformConnection::accept(&streamer).await.expect("it dials").into_background();
+        assert_eq!(link.receive().await.expect("shot").session, 7);
         nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGTERM).expect("sent");
         // Past the time for which a stopping process waits with nothing in hand: this wish alone keeps it.
         tokio::time::sleep(std::time::Duration::from_millis(1600)).await;
-        link.say(7, Body::release(cause::ERROR)).await.expect("sent");
-        let answer = viewer.hear().await.expect("the final answer, before the end");
+        link.send(7, Body::release(cause::ERROR)).await.expect("sent");
+        let answer = viewer.receive().await.expect("the final answer, before the end");
         assert_eq!(answer.body, Body::release(cause::FAILED), "paid, and it may have run");
-        let ended = tokio::time::timeout(lemontide_standin::platform::SOON, serve.wait()).await;
+        let ended = tokio::time::timeout(lemontide_standin::stub_platform::WAIT_TIMEOUT, serve.wait()).await;
         assert!(ended.expect("within the bound").expect("waited for").success());
     });
 }
--- a/crates/lemontide-cli/tests/unread_releases.rs
+++ b/crates/lemontide-cli/tests/unread_releases.rs
@@ -4,7 +4,7 @@
 
 use common::{answer, set_up, RunningController};
 use lemontide_platform::codec::{cause, Body, Message};
-use lemontide_standin::platform::{bytes_of, End, SOON};
+use lemontide_standin::stub_platform::{encode_message, PlatformConnection, WAIT_TIMEOUT};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -20,7 +20,7 @@
     controller: RunningController,
     socket: TcpStream,
     /// Another connection of the same client.
-    other: End,
+    other: PlatformConnection,
     /// The streamer that answered, and its connection.
     streamer: (usize, usize),
 }
@@ -36,22 +36,22 @@
 async fn start_session() -> PlayingSession {
     let mut controller = RunningController::start(1, |_| ()).await;
     let mut other = controller.viewer().await;
-    other.say(OTHER_SESSION, set_up("free", None)).await.expect("sent");
+    other.send(OTHER_SESSION, set_up("free", None)).await.expect("sent");
     answer_set_up(&mut controller, OTHER_SESSION).await;
-    other.hear().await.expect("the answer");
+    other.receive().await.expect("the answer");
     let mut socket = TcpStream::connect(controller.listen).await.expect("connected");
-    let request = bytes_of(Message { session: SESSION, body: set_up("free", None) });
+    let request = encode_message(Message { session: SESSION, body: set_up("free", None) });
     socket.write_all(&request).await.expect("sent");
     let streamer = answer_set_up(&mut controller, SESSION).await;
     let mut buffer = [0; 256];
-    assert!(timeout(SOON, socket.read(&mut buffer)).await.expect("in time").expect("the answer") > 0);
+    assert!(timeout(WAIT_TIMEOUT, socket.read(&mut buffer)).await.expect("in time").expect("the answer") > 0);
     PlayingSession { controller, socket, other, streamer }
 }
 
 /// Whether the release of the session is received on this connection in time.
-async fn receives_release(other: &mut End) -> bool {
+async fn receives_release(other: &mut PlatformConnection) -> bool {
     let released = async {
-        while let Ok(message) = other.hear().await {
+        while let Ok(message) = other.receive().await {
             if message.session == SESSION && matches!(message.body, Body::Release { .. }) {
                 return true;
             }
@@ -65,7 +65,7 @@
 async fn a_release_that_was_unread_when_its_client_closed_is_sent_on_another_connection() {
     let PlayingSession { mut controller, socket, mut other, streamer } = start_session().await;
     controller.streamer_sends(streamer, SESSION, Body::release(cause::NORMAL)).await;
-    timeout(SOON, socket.readable()).await.expect("in time").expect("the release has arrived");
+    timeout(WAIT_TIMEOUT, socket.readable()).await.expect("in time").expect("the release has arrived");
     drop(socket);
     assert!(receives_release(&mut other).await);
 }
@@ -88,13 +88,14 @@
 async fn a_release_on_a_connection_that_the_controller_closes_is_passed_on() {
     let controller = RunningController::start(1, |_| ()).await;
     let mut viewer = controller.viewer().await;
-    viewer.say(SESSION, set_up("free", None)).await.expect("sent");
-    let mut connection = End::streamer(&controller.streamers[0].listener).await.expect("dialled");
-    while connection.hear().await.expect("a set-up").session != SESSION {}
-    connection.say(SESSION, answer()).await.expect("sent");
-    viewer.hear().await.expect("the answer");
-    viewer.say(OTHER_SESSION, set_up("free", None)).await.expect("sent");
-    while connection.hear().await.is_ok() {}
-    connection.say(SESSION, Body::release(cause::NORMAL)).await.expect("sent");
+    viewer.send(SESSION, set_up("free", None)).await.expect("sent");
+    let mut connection =
+        PlatformConnection::accept(&controller.streamers[0].listener).await.expect("dialled");
+    while connection.receive().await.expect("a set-up").session != SESSION {}
+    connection.send(SESSION, answer()).await.expect("sent");
+    viewer.receive().await.expect("the answer");
+    viewer.send(OTHER_SESSION, set_up("free", None)).await.expect("sent");
+    while connection.receive().await.is_ok() {}
+    connection.send(SESSION, Body::release(cause::NORMAL)).await.expect("sent");
     assert!(receives_release(&mut viewer).await);
 }
--- a/crates/lemontide-standin/src/load_generator.rs
+++ b/crates/lemontide-standin/src/load_generator.rs
@@ -1,4 +1,5 @@
-//! A load of wishes over kept connections: as fast as answers come, or at a stated rate whatever comes.
+//! Load generators that send play requests over kept connections: a closed loop that sends the next request after each
+//! response, and open loops with a given arrival rate.
 
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full};
@@ -17,451 +18,500 @@
 use tokio::task::JoinSet;
 use tokio::time::{timeout, Instant};
 
-/// No answer takes longer.
-const LONGEST: Duration = Duration::from_secs(10);
+/// Time limit for connecting and for each HTTP request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Connections opened in one go before a load begins.
-const OPENED_AT_ONCE: usize = 50;
+/// Connections that are opened without a pause before a load begins.
+const CONNECTION_BATCH: usize = 50;
 
-/// What came of a load.
+/// Result of a load of one class.
 #[derive(Clone, Debug)]
-pub struct Came {
+pub struct LoadResult {
+    /// Requests that led to a playing session.
     pub plays: u64,
-    pub turned_back: u64,
-    pub scrapped: u64,
-    pub not_taken: u64,
-    /// Wishes whose answer was none of these, or did not come.
-    pub missing: u64,
-    pub took_s: f64,
-    /// From the wish's due time to its answer, in microseconds.
+    /// Requests that were rejected.
+    pub rejected: u64,
+    /// Requests that failed.
+    pub failed: u64,
+    /// Requests that the controller did not accept.
+    pub not_accepted: u64,
+    /// Requests without any of these responses.
+    pub unanswered: u64,
+    /// Duration of the load.
+    pub duration_s: f64,
+    /// Time from a request's due time to its response, in microseconds.
     pub latency_us: Histogram<u64>,
-    /// Subscriptions that play and were not ended.
-    pub playing: Vec<u32>,
+    /// Sessions that play and were not ended.
+    pub playing_sessions: Vec<u32>,
 }
 
-impl Came {
-    fn new() -> Came {
-        Came {
+impl LoadResult {
+    fn new() -> LoadResult {
+        LoadResult {
             plays: 0,
-            turned_back: 0,
-            scrapped: 0,
-            not_taken: 0,
-            missing: 0,
-            took_s: 0.0,
+            rejected: 0,
+            failed: 0,
+            not_accepted: 0,
+            unanswered: 0,
+            duration_s: 0.0,
             latency_us: Histogram::new_with_bounds(1, 60_000_000, 3)
                 .unwrap_or_else(|_| Histogram::new(3).expect("three digits are allowed")),
-            playing: Vec::new(),
+            playing_sessions: Vec::new(),
         }
     }
 
-    pub fn answers(&self) -> u64 {
-        self.plays + self.turned_back + self.scrapped + self.not_taken
+    /// Number of responses.
+    pub fn responses(&self) -> u64 {
+        self.plays + self.rejected + self.failed + self.not_accepted
     }
 
-    fn count(&mut self, answer: Option<&PlayResponse>, after: Duration) {
-        match answer {
+    fn count(&mut self, response: Option<&PlayResponse>, latency: Duration) {
+        match response {
             Some(PlayResponse::Plays { .. }) => self.plays += 1,
-            Some(PlayResponse::Rejected { .. }) => self.turned_back += 1,
-            Some(PlayResponse::Failed { .. }) => self.scrapped += 1,
-            Some(PlayResponse::NotAccepted { .. }) => self.not_taken += 1,
-            None => self.missing += 1,
+            Some(PlayResponse::Rejected { .. }) => self.rejected += 1,
+            Some(PlayResponse::Failed { .. }) => self.failed += 1,
+            Some(PlayResponse::NotAccepted { .. }) => self.not_accepted += 1,
+            None => self.unanswered += 1,
         }
-        self.latency_us.saturating_record((after.as_micros() as u64).max(1));
+        self.latency_us.saturating_record((latency.as_micros() as u64).max(1));
     }
 
-    fn add(&mut self, other: Came) {
+    fn add(&mut self, other: LoadResult) {
         self.plays += other.plays;
-        self.turned_back += other.turned_back;
-        self.scrapped += other.scrapped;
-        self.not_taken += other.not_taken;
-        self.missing += other.missing;
-        self.playing.extend(other.playing);
+        self.rejected += other.rejected;
+        self.failed += other.failed;
+        self.not_accepted += other.not_accepted;
+        self.unanswered += other.unanswered;
+        self.playing_sessions.extend(other.playing_sessions);
         let _ = self.latency_us.add(&other.latency_us);
     }
 }
 
-/// How a load asks.
+/// Configuration of a load of one class.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    pub to: SocketAddr,
-    /// Connections, each with one wish at a time.
+pub struct LoadConfig {
+    /// Address of the controller.
+    pub controller: SocketAddr,
+    /// Connections of a closed loop, each with one request at a time.
     pub workers: usize,
+    /// Titles that are requested in turn.
     pub titles: Vec<String>,
-    pub lane: String,
-    /// End each subscription as soon as it plays.
-    pub leave: bool,
+    /// Class of the requests.
+    pub class: String,
+    /// End each session as soon as it plays.
+    pub ends_sessions: bool,
 }
 
-type Line = SendRequest<Full<Bytes>>;
+type HttpConnection = SendRequest<Full<Bytes>>;
 
-async fn connect(to: SocketAddr) -> Option<Line> {
-    let socket = timeout(LONGEST, TcpStream::connect(to)).await.ok()?.ok()?;
+async fn connect(address: SocketAddr) -> Option<HttpConnection> {
+    let socket = timeout(REQUEST_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
     let _ = socket.set_nodelay(true);
-    let (line, connection) = handshake(TokioIo::new(socket)).await.ok()?;
-    tokio::spawn(connection);
-    Some(line)
+    let (connection, http_task) = handshake(TokioIo::new(socket)).await.ok()?;
+    tokio::spawn(http_task);
+    Some(connection)
 }
 
-async fn call(line: &mut Line, method: Method, path: &str, body: Vec<u8>) -> Option<(StatusCode, Bytes)> {
+async fn send(
+    connection: &mut HttpConnection,
+    method: Method,
+    path: &str,
+    body: Vec<u8>,
+) -> Option<(StatusCode, Bytes)> {
     let request = Request::builder().method(method).uri(path).header("host", "lemontide");
     let request = request.body(Full::new(Bytes::from(body))).ok()?;
     let exchange = async {
-        line.ready().await.ok()?;
-        let response = line.send_request(request).await.ok()?;
+        connection.ready().await.ok()?;
+        let response = connection.send_request(request).await.ok()?;
         let status = response.status();
         Some((status, response.into_body().collect().await.ok()?.to_bytes()))
     };
-    timeout(LONGEST, exchange).await.ok()?
+    timeout(REQUEST_TIMEOUT, exchange).await.ok()?
 }
 
-/// One wish, and its end where the load leaves at once. The answer, and whether the line is still good.
-async fn wish(line: &mut Line, ask: &Ask, number: usize) -> Option<PlayResponse> {
-    let wish = PlayRequest {
-        title: ask.titles[number % ask.titles.len()].clone(),
-        class: ask.lane.clone(),
+/// Sends one request. Without a response, the connection can't be used any more.
+async fn request_play(
+    connection: &mut HttpConnection,
+    config: &LoadConfig,
+    number: usize,
+) -> Option<PlayResponse> {
+    let request = PlayRequest {
+        title: config.titles[number % config.titles.len()].clone(),
+        class: config.class.clone(),
         request_id: format!("l{number}"),
         ..PlayRequest::default()
     };
-    let body = serde_json::to_vec(&wish).ok()?;
-    let (_, bytes) = call(line, Method::POST, "/v1/subscriptions", body).await?;
+    let body = serde_json::to_vec(&request).ok()?;
+    let (_, bytes) = send(connection, Method::POST, "/v1/subscriptions", body).await?;
     serde_json::from_slice(&bytes).ok()
 }
 
-async fn leave(line: &mut Line, subscription: u32) {
-    let path = format!("/v1/subscriptions/{subscription}");
-    let _ = call(line, Method::DELETE, &path, Vec::new()).await;
+async fn end_session(connection: &mut HttpConnection, session: u32) {
+    let path = format!("/v1/subscriptions/{session}");
+    let _ = send(connection, Method::DELETE, &path, Vec::new()).await;
 }
 
-/// Asks on every connection as fast as answers come: for so long, or until so many were asked.
-pub async fn closed(ask: Ask, lasts: Duration, most: usize) -> Came {
-    let began = Instant::now();
-    let next = Arc::new(std::sync::atomic::AtomicUsize::new(0));
+/// Closed loop: each connection sends the next request after each response, for this long or until this many requests were
+/// sent in total.
+pub async fn run_closed_loop(config: LoadConfig, duration: Duration, max_requests: usize) -> LoadResult {
+    let start = Instant::now();
+    let next_number = Arc::new(std::sync::atomic::AtomicUsize::new(0));
     let mut workers = JoinSet::new();
-    for _ in 0..ask.workers {
-        let (ask, next) = (ask.clone(), next.clone());
+    for _ in 0..config.workers {
+        let (config, next_number) = (config.clone(), next_number.clone());
         workers.spawn(async move {
-            let mut came = Came::new();
-            let mut line = connect(ask.to).await;
-            while began.elapsed() < lasts {
-                let number = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-                if number >= most {
+            let mut result = LoadResult::new();
+            let mut connection = connect(config.controller).await;
+            while start.elapsed() < duration {
+                let number = next_number.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+                if number >= max_requests {
                     break;
                 }
-                let Some(open) = line.as_mut() else {
-                    came.count(None, Duration::ZERO);
+                let Some(open) = connection.as_mut() else {
+                    result.count(None, Duration::ZERO);
                     break;
                 };
-                let since = Instant::now();
-                let answer = wish(open, &ask, number).await;
-                came.count(answer.as_ref(), since.elapsed());
-                match answer {
-                    Some(PlayResponse::Plays { session: subscription, .. }) if ask.leave => {
-                        leave(open, subscription).await
-                    }
-                    Some(PlayResponse::Plays { session: subscription, .. }) => {
-                        came.playing.push(subscription)
+                let sent_at = Instant::now();
+                let response = request_play(open, &config, number).await;
+                result.count(response.as_ref(), sent_at.elapsed());
+                match response {
+                    Some(PlayResponse::Plays { session, .. }) if config.ends_sessions => {
+                        end_session(open, session).await
                     }
+                    Some(PlayResponse::Plays { session, .. }) => result.playing_sessions.push(session),
                     Some(_) => {}
-                    None => line = connect(ask.to).await,
+                    None => connection = connect(config.controller).await,
                 }
             }
-            came
+            result
         });
     }
-    let mut all = Came::new();
-    while let Some(came) = workers.join_next().await {
-        if let Ok(came) = came {
-            all.add(came);
+    let mut all = LoadResult::new();
+    while let Some(result) = workers.join_next().await {
+        if let Ok(result) = result {
+            all.add(result);
         }
     }
-    all.took_s = began.elapsed().as_secs_f64();
+    all.duration_s = start.elapsed().as_secs_f64();
     all
 }
 
-/// Asks at a steady rate, each wish at its due time whether or not earlier ones were answered, on as many
-/// connections as it takes. Latency counts from the due time, so that a stall is not left out.
-pub async fn open(ask: Ask, per_s: f64, lasts: Duration) -> Came {
-    let began = Instant::now();
-    let idle: Arc<Mutex<Vec<Line>>> = Arc::default();
-    let mut asks = JoinSet::new();
-    let count = (per_s * lasts.as_secs_f64()) as usize;
-    let mut all = Came::new();
+/// Open loop: sends requests at a constant arrival rate, each at its due time whether or not earlier ones were answered, on
+/// as many connections as it takes. Latency counts from the due time, so that a stall of the controller is included.
+pub async fn run_open_loop(config: LoadConfig, requests_per_s: f64, duration: Duration) -> LoadResult {
+    let start = Instant::now();
+    let idle_connections: Arc<Mutex<Vec<HttpConnection>>> = Arc::default();
+    let mut requests = JoinSet::new();
+    let count = (requests_per_s * duration.as_secs_f64()) as usize;
+    let mut all = LoadResult::new();
     for number in 0..count {
-        let due = began + Duration::from_secs_f64(number as f64 / per_s);
+        let due = start + Duration::from_secs_f64(number as f64 / requests_per_s);
         tokio::time::sleep_until(due).await;
-        let (ask, idle) = (ask.clone(), idle.clone());
-        asks.spawn(async move {
-            let kept = idle.lock().unwrap_or_else(PoisonError::into_inner).pop();
-            let line = match kept {
-                Some(line) if !line.is_closed() => Some(line),
-                _ => connect(ask.to).await,
+        let (config, idle_connections) = (config.clone(), idle_connections.clone());
+        requests.spawn(async move {
+            let kept = idle_connections.lock().unwrap_or_else(PoisonError::into_inner).pop();
+            let connection = match kept {
+                Some(connection) if !connection.is_closed() => Some(connection),
+                _ => connect(config.controller).await,
             };
-            let mut came = Came::new();
-            let Some(mut line) = line else {
-                came.count(None, due.elapsed());
-                return came;
+            let mut result = LoadResult::new();
+            let Some(mut connection) = connection else {
+                result.count(None, due.elapsed());
+                return result;
             };
-            let answer = wish(&mut line, &ask, number).await;
-            came.count(answer.as_ref(), due.elapsed());
-            match answer {
-                Some(PlayResponse::Plays { session: subscription, .. }) if ask.leave => {
-                    leave(&mut line, subscription).await
+            let response = request_play(&mut connection, &config, number).await;
+            result.count(response.as_ref(), due.elapsed());
+            match response {
+                Some(PlayResponse::Plays { session, .. }) if config.ends_sessions => {
+                    end_session(&mut connection, session).await
                 }
-                Some(PlayResponse::Plays { session: subscription, .. }) => came.playing.push(subscription),
+                Some(PlayResponse::Plays { session, .. }) => result.playing_sessions.push(session),
                 _ => {}
             }
-            if answer.is_some() {
-                idle.lock().unwrap_or_else(PoisonError::into_inner).push(line);
+            if response.is_some() {
+                idle_connections.lock().unwrap_or_else(PoisonError::into_inner).push(connection);
             }
-            came
+            result
         });
-        while let Some(Ok(came)) = asks.try_join_next() {
-            all.add(came);
+        while let Some(Ok(result)) = requests.try_join_next() {
+            all.add(result);
         }
     }
-    while let Some(came) = asks.join_next().await {
-        if let Ok(came) = came {
-            all.add(came);
+    while let Some(result) = requests.join_next().await {
+        if let Ok(result) = result {
+            all.add(result);
         }
     }
-    all.took_s = began.elapsed().as_secs_f64();
+    all.duration_s = start.elapsed().as_secs_f64();
     all
 }
 
-/// One lane of a mixed load.
+/// One class of a mixed load.
 #[derive(Clone, Debug)]
-pub struct Lane {
+pub struct ClassLoad {
+    /// Name of the class.
     pub name: String,
+    /// Gain of a session.
     pub gain: f64,
-    /// Its part of all wishes; the parts of all lanes add up to 1.
+    /// Part of all requests that are of this class; the parts of all classes add up to 1.
     pub part: f64,
 }
 
-/// A load of several lanes, open: each wish at its due time, given up at its cut-off.
+/// Configuration of an open load of several classes: each request is sent at its due time and given up at its deadline.
 #[derive(Clone)]
-pub struct Mix {
-    pub to: SocketAddr,
+pub struct MixedLoadConfig {
+    /// Address of the controller.
+    pub controller: SocketAddr,
+    /// Titles that are requested in turn.
     pub titles: Vec<String>,
-    pub lanes: Vec<Lane>,
-    /// Wishes a second from these moments on, in seconds from the start; the last moment is the end.
-    pub rate: Vec<(f64, f64)>,
-    pub goal_s: f64,
-    pub cut_off_s: f64,
-    /// Turned-back players come again so many times, after the wait that they are told.
-    pub again: u32,
-    /// The head says the lane.
-    pub hinted: bool,
-    /// Who plays listens to its news on another connection until it leaves.
-    pub follows: bool,
+    /// Classes of the requests.
+    pub classes: Vec<ClassLoad>,
+    /// Arrival rates: requests per second from these times on, in seconds from the start. The last time is the end.
+    pub rate_steps: Vec<(f64, f64)>,
+    /// Latency goal of a request.
+    pub latency_goal_s: f64,
+    /// Requests are given up after this time.
+    pub deadline_s: f64,
+    /// Most retries of a rejected request, each after the wait that the response asks for.
+    pub max_retries: u32,
+    /// Requests name their class in a header, too.
+    pub sends_hint: bool,
+    /// A playing session reads its events on another connection until it ends.
+    pub reads_events: bool,
     /// Connections that are open before the load begins, as a proxy would keep them.
-    pub connections: usize,
-    /// Where the players' end is written down, and the number of the controller that they ask.
+    pub initial_connections: usize,
+    /// Tap for the events of the players, and the number of the controller.
     pub tap: Option<(Tap, usize)>,
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
+/// Outcome of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// The session plays.
     Plays,
-    TurnedBack,
-    NotTaken,
-    Scrapped,
-    /// The answer was not there at the cut-off.
+    /// It was rejected.
+    Rejected,
+    /// The controller did not accept it.
+    NotAccepted,
+    /// It failed.
+    Failed,
+    /// There was no response until the deadline.
     Late,
-    /// No connection, or it ended without an answer.
-    Broken,
+    /// There was no connection, or it ended without a response.
+    ConnectionLost,
 }
 
-/// What came of one wish.
+/// Record of one request.
 #[derive(Clone, Copy, Debug)]
-pub struct Record {
-    /// Seconds from the start at which it was due.
-    pub due: f64,
-    pub lane: usize,
-    /// 0 for the first time.
-    pub again: u32,
+pub struct RequestRecord {
+    /// Seconds from the start of the load to its due time.
+    pub due_s: f64,
+    /// Index of its class.
+    pub class: usize,
+    /// Number of the retry; 0 for the first request.
+    pub retry: u32,
+    /// How it ended.
     pub outcome: Outcome,
-    /// Seconds from its due time to the answer.
-    pub took: f64,
+    /// Seconds from its due time to the response.
+    pub latency_s: f64,
 }
 
-struct Player {
-    mix: Mix,
-    began: Instant,
-    idle: Mutex<Vec<Line>>,
-    records: Mutex<Vec<Record>>,
+struct MixedLoad {
+    config: MixedLoadConfig,
+    start: Instant,
+    idle_connections: Mutex<Vec<HttpConnection>>,
+    records: Mutex<Vec<RequestRecord>>,
 }
 
-impl Player {
-    fn keep<T>(of: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
+impl MixedLoad {
+    fn lock<T>(of: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
         of.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Listens to the news of a subscription on a connection of its own; its first line came.
-    async fn follow(&self, subscription: u32) -> Option<(Line, hyper::body::Incoming)> {
-        let kept = Player::keep(&self.idle).pop();
-        let mut line = match kept {
-            Some(line) if !line.is_closed() => line,
-            _ => connect(self.mix.to).await?,
+    /// Reads the events of a session on a connection of its own, and returns after the first of them.
+    async fn open_event_stream(&self, session: u32) -> Option<(HttpConnection, hyper::body::Incoming)> {
+        let kept = MixedLoad::lock(&self.idle_connections).pop();
+        let mut connection = match kept {
+            Some(connection) if !connection.is_closed() => connection,
+            _ => connect(self.config.controller).await?,
         };
-        let path = format!("/v1/subscriptions/{subscription}/news");
+        let path = format!("/v1/subscriptions/{session}/news");
         let request = Request::builder().uri(path).header("host", "x").body(Full::new(Bytes::new())).ok()?;
         let exchange = async {
-            line.ready().await.ok()?;
-            let mut body = line.send_request(request).await.ok()?.into_body();
+            connection.ready().await.ok()?;
+            let mut body = connection.send_request(request).await.ok()?.into_body();
             body.frame().await?.ok()?;
             Some(body)
         };
-        let body = timeout(LONGEST, exchange).await.ok()??;
-        Some((line, body))
+        let body = timeout(REQUEST_TIMEOUT, exchange).await.ok()??;
+        Some((connection, body))
     }
 
-    /// One wish. What came, its wait, and the subscription where it plays.
-    async fn ask(&self, number: usize, lane: usize, again: u32, due: Instant) -> (Outcome, Option<f64>) {
-        let mix = &self.mix;
-        let ask = format!("m{number}-{again}");
-        let title = &mix.titles[number % mix.titles.len()];
-        let at = due.saturating_duration_since(self.began).as_secs_f64();
-        if let Some((tap, controller)) = &mix.tap {
+    /// Sends one request and records it. Returns its outcome and the time to wait before a retry.
+    async fn send_request(
+        &self,
+        number: usize,
+        class: usize,
+        retry: u32,
+        due: Instant,
+    ) -> (Outcome, Option<f64>) {
+        let config = &self.config;
+        let request_id = format!("m{number}-{retry}");
+        let title = &config.titles[number % config.titles.len()];
+        let due_s = due.saturating_duration_since(self.start).as_secs_f64();
+        if let Some((tap, controller)) = &config.tap {
             let now = tap.now();
             tap.record_at(
                 now,
                 TapEvent::RequestSent {
-                    request_id: ask.clone(),
+                    request_id: request_id.clone(),
                     viewer: format!("v{number}"),
                     controller: *controller,
-                    class: mix.lanes[lane].name.clone(),
+                    class: config.classes[class].name.clone(),
                     title: title.clone(),
-                    latency_goal: now + mix.goal_s,
-                    deadline: now + mix.cut_off_s,
+                    latency_goal: now + config.latency_goal_s,
+                    deadline: now + config.deadline_s,
                     max_rung: 0,
                     wanted_s: 1.0,
                 },
             );
         }
-        let until = due + Duration::from_secs_f64(mix.cut_off_s);
+        let deadline = due + Duration::from_secs_f64(config.deadline_s);
         let exchange = async {
-            let kept = Player::keep(&self.idle).pop();
-            let mut line = match kept {
-                Some(line) if !line.is_closed() => line,
-                _ => connect(mix.to).await?,
+            let kept = MixedLoad::lock(&self.idle_connections).pop();
+            let mut connection = match kept {
+                Some(connection) if !connection.is_closed() => connection,
+                _ => connect(config.controller).await?,
             };
-            let wish = PlayRequest {
+            let play_request = PlayRequest {
                 title: title.clone(),
-                class: mix.lanes[lane].name.clone(),
-                request_id: ask.clone(),
-                is_retry: again > 0,
-                give_up_in_s: Some(until.saturating_duration_since(Instant::now()).as_secs_f64()),
+                class: config.classes[class].name.clone(),
+                request_id: request_id.clone(),
+                is_retry: retry > 0,
+                give_up_in_s: Some(deadline.saturating_duration_since(Instant::now()).as_secs_f64()),
                 ..PlayRequest::default()
             };
-            let body = serde_json::to_vec(&wish).ok()?;
+            let body = serde_json::to_vec(&play_request).ok()?;
             let mut request =
                 Request::builder().method(Method::POST).uri("/v1/subscriptions").header("host", "x");
-            if mix.hinted {
-                let returned = if again > 0 { ", returned" } else { "" };
-                request = request
-                    .header(lemontide_wire::hint::HEADER_NAME, format!("lane={}{returned}", wish.class));
+            if config.sends_hint {
+                let retry_hint = if retry > 0 { ", returned" } else { "" };
+                request = request.header(
+                    lemontide_wire::hint::HEADER_NAME,
+                    format!("lane={}{retry_hint}", play_request.class),
+                );
             }
             let request = request.body(Full::new(Bytes::from(body))).ok()?;
-            line.ready().await.ok()?;
-            let response = line.send_request(request).await.ok()?;
+            connection.ready().await.ok()?;
+            let response = connection.send_request(request).await.ok()?;
             let bytes = response.into_body().collect().await.ok()?.to_bytes();
-            Some((serde_json::from_slice::<PlayResponse>(&bytes).ok()?, line))
+            Some((serde_json::from_slice::<PlayResponse>(&bytes).ok()?, connection))
         };
-        let came = tokio::time::timeout_at(until, exchange).await;
-        let took = due.elapsed().as_secs_f64();
-        let (outcome, kind, wait, line) = match came {
+        let answered = tokio::time::timeout_at(deadline, exchange).await;
+        let latency_s = due.elapsed().as_secs_f64();
+        let (outcome, kind, retry_after_s, connection) = match answered {
             Err(_) => (Outcome::Late, None, None, None),
-            Ok(None) => (Outcome::Broken, Some(ResponseKind::NoResponse), None, None),
-            Ok(Some((answer, line))) => match answer {
-                PlayResponse::Plays { session: subscription, .. } => {
-                    (Outcome::Plays, Some(ResponseKind::Plays), None, Some((line, Some(subscription))))
+            Ok(None) => (Outcome::ConnectionLost, Some(ResponseKind::NoResponse), None, None),
+            Ok(Some((response, connection))) => match response {
+                PlayResponse::Plays { session, .. } => {
+                    (Outcome::Plays, Some(ResponseKind::Plays), None, Some((connection, Some(session))))
                 }
                 PlayResponse::Rejected { retry_after_s, .. } => {
-                    (Outcome::TurnedBack, Some(ResponseKind::Rejected), retry_after_s, Some((line, None)))
-                }
-                PlayResponse::NotAccepted { retry_after_s, .. } => {
-                    (Outcome::NotTaken, Some(ResponseKind::NotAccepted), retry_after_s, Some((line, None)))
+                    (Outcome::Rejected, Some(ResponseKind::Rejected), retry_after_s, Some((connection, None)))
                 }
+                PlayResponse::NotAccepted { retry_after_s, .. } => (
+                    Outcome::NotAccepted,
+                    Some(ResponseKind::NotAccepted),
+                    retry_after_s,
+                    Some((connection, None)),
+                ),
                 PlayResponse::Failed { .. } => {
-                    (Outcome::Scrapped, Some(ResponseKind::Failed), None, Some((line, None)))
+                    (Outcome::Failed, Some(ResponseKind::Failed), None, Some((connection, None)))
                 }
             },
         };
-        if let Some((tap, _)) = &mix.tap {
+        if let Some((tap, _)) = &config.tap {
             match kind {
-                Some(kind) => tap.record(TapEvent::ResponseReceived { request_id: ask, kind }),
-                None => tap.record(TapEvent::ViewerLeft { request_id: ask }),
+                Some(kind) => tap.record(TapEvent::ResponseReceived { request_id, kind }),
+                None => tap.record(TapEvent::ViewerLeft { request_id }),
             }
         }
-        Player::keep(&self.records).push(Record { due: at, lane, again, outcome, took });
-        if let Some((mut line, subscription)) = line {
-            if let Some(subscription) = subscription {
-                let news = if mix.follows { self.follow(subscription).await } else { None };
-                leave(&mut line, subscription).await;
-                if let Some((kept, news)) = news {
-                    // The last line of news ends the answer, and the connection is free again.
-                    if timeout(LONGEST, news.collect()).await.is_ok_and(|last| last.is_ok()) {
-                        Player::keep(&self.idle).push(kept);
+        MixedLoad::lock(&self.records).push(RequestRecord { due_s, class, retry, outcome, latency_s });
+        if let Some((mut connection, session)) = connection {
+            if let Some(session) = session {
+                let events = if config.reads_events { self.open_event_stream(session).await } else { None };
+                end_session(&mut connection, session).await;
+                if let Some((kept, events)) = events {
+                    // The last event ends the response, and the connection can be used again.
+                    if timeout(REQUEST_TIMEOUT, events.collect()).await.is_ok_and(|last| last.is_ok()) {
+                        MixedLoad::lock(&self.idle_connections).push(kept);
                     }
                 }
             }
-            Player::keep(&self.idle).push(line);
+            MixedLoad::lock(&self.idle_connections).push(connection);
         }
-        (outcome, wait)
+        (outcome, retry_after_s)
     }
 }
 
-/// Plays a mixed load to its end and the last answer. One record a wish.
-pub async fn mixed(mix: Mix) -> Vec<Record> {
-    let mut chance = StdRng::seed_from_u64(mix.seed);
-    let rates = mix.rate.clone();
-    let mut lines = Vec::new();
-    while lines.len() < mix.connections {
-        let Some(line) = connect(mix.to).await else { break };
-        lines.push(line);
-        if lines.len().is_multiple_of(OPENED_AT_ONCE) {
-            // A system's queue of connections is short, and who finds it full tries again a second later.
+/// Runs a mixed load to its end and waits for the last response. Returns one record for each request.
+pub async fn run_mixed_load(config: MixedLoadConfig) -> Vec<RequestRecord> {
+    let mut rng = StdRng::seed_from_u64(config.seed);
+    let rate_steps = config.rate_steps.clone();
+    let mut connections = Vec::new();
+    while connections.len() < config.initial_connections {
+        let Some(connection) = connect(config.controller).await else { break };
+        connections.push(connection);
+        if connections.len().is_multiple_of(CONNECTION_BATCH) {
+            // The listen queue of the system is short, and a client that finds it full retries a second later.
             tokio::time::sleep(Duration::from_millis(25)).await;
         }
     }
-    let began = Instant::now();
-    let player = Arc::new(Player { mix, began, idle: Mutex::new(lines), records: Mutex::new(Vec::new()) });
-    let mut asks = JoinSet::new();
+    let start = Instant::now();
+    let load = Arc::new(MixedLoad {
+        config,
+        start,
+        idle_connections: Mutex::new(connections),
+        records: Mutex::new(Vec::new()),
+    });
+    let mut requests = JoinSet::new();
     let mut number = 0;
-    for step in rates.windows(2) {
-        let ((from, per_s), (to, _)) = (step[0], step[1]);
-        for i in 0..((to - from) * per_s) as usize {
-            let due = began + Duration::from_secs_f64(from + i as f64 / per_s);
+    for step in rate_steps.windows(2) {
+        let ((from_s, requests_per_s), (to_s, _)) = (step[0], step[1]);
+        for i in 0..((to_s - from_s) * requests_per_s) as usize {
+            let due = start + Duration::from_secs_f64(from_s + i as f64 / requests_per_s);
             if due > Instant::now() {
                 tokio::time::sleep_until(due).await;
             }
-            let mut drawn = chance.random::<f64>();
-            let lane = player.mix.lanes.iter().position(|lane| {
-                drawn -= lane.part;
+            let mut drawn = rng.random::<f64>();
+            let class = load.config.classes.iter().position(|class| {
+                drawn -= class.part;
                 drawn < 0.0
             });
-            let lane = lane.unwrap_or(player.mix.lanes.len() - 1);
-            let player = player.clone();
-            asks.spawn(async move {
+            let class = class.unwrap_or(load.config.classes.len() - 1);
+            let load = load.clone();
+            requests.spawn(async move {
                 let mut due = due;
-                for again in 0..=player.mix.again {
-                    let (outcome, wait) = player.ask(number, lane, again, due).await;
-                    let Some(wait) = wait.filter(|_| {
-                        matches!(outcome, Outcome::TurnedBack | Outcome::NotTaken) && again < player.mix.again
+                for retry in 0..=load.config.max_retries {
+                    let (outcome, retry_after_s) = load.send_request(number, class, retry, due).await;
+                    let Some(wait_s) = retry_after_s.filter(|_| {
+                        matches!(outcome, Outcome::Rejected | Outcome::NotAccepted)
+                            && retry < load.config.max_retries
                     }) else {
                         return;
                     };
-                    tokio::time::sleep(Duration::from_secs_f64(wait.clamp(0.0, 10.0))).await;
+                    tokio::time::sleep(Duration::from_secs_f64(wait_s.clamp(0.0, 10.0))).await;
                     due = Instant::now();
                 }
             });
             number += 1;
-            while asks.try_join_next().is_some() {}
+            while requests.try_join_next().is_some() {}
         }
     }
-    while asks.join_next().await.is_some() {}
-    let mut records = std::mem::take(&mut *Player::keep(&player.records));
-    records.sort_by(|a, b| a.due.total_cmp(&b.due));
+    while requests.join_next().await.is_some() {}
+    let mut records = std::mem::take(&mut *MixedLoad::lock(&load.records));
+    records.sort_by(|a, b| a.due_s.total_cmp(&b.due_s));
     records
 }
--- a/crates/lemontide-standin/src/soak/client.rs
+++ b/crates/lemontide-standin/src/soak/client.rs
@@ -8,7 +8,7 @@
 use super::event_log::{Answer, ClientConnection, FaultyClient, Recorder, Request, CLASSES};
 use super::node_process::{NodeProcess, NodeStatus};
 use super::plan::{seeded_fraction, Plan};
-use crate::platform::bytes_of;
+use crate::stub_platform::encode_message;
 use bytes::{Bytes, BytesMut};
 use lemontide_platform::codec::{cause, Body, Codec, Message, RequestDetails, SetUp};
 use std::collections::BTreeSet;
@@ -322,7 +322,7 @@
         event_log.request_index_by_id.insert(id, at);
         event_log.requests.push(request.clone());
         drop(event_log);
-        let bytes = bytes_of(Message { session: id, body: Body::SetUp(set_up) });
+        let bytes = encode_message(Message { session: id, body: Body::SetUp(set_up) });
         let write_duration_s = if fraction(4) < plan.probabilities.client_writes_slowly {
             MAX_SLOW_WRITE_S * fraction(5)
         } else {
@@ -397,7 +397,7 @@
             logged.sent_at = f64::INFINITY;
             logged.is_first_on_connection = std::mem::take(&mut self.nothing_sent);
         }
-        let bytes = bytes_of(Message { session: id, body: Body::SetUp(set_up) });
+        let bytes = encode_message(Message { session: id, body: Body::SetUp(set_up) });
         let _ = self.writes.send(OutgoingBytes { request: Some(request), ..OutgoingBytes::new(bytes) });
         self.unanswered.insert(id);
     }
@@ -423,7 +423,7 @@
             request.ended_at = Some(now);
         }
         drop(event_log);
-        let bytes = bytes_of(Message { session: id, body: Body::release(cause::NORMAL) });
+        let bytes = encode_message(Message { session: id, body: Body::release(cause::NORMAL) });
         let _ = self.writes.send(OutgoingBytes::new(bytes));
         false
     }
@@ -503,7 +503,7 @@
     };
     for (request, server) in &established {
         let message = hand_over(&context.plan, request, &name(*server));
-        if socket.write_all(&bytes_of(message)).await.is_err() {
+        if socket.write_all(&encode_message(message)).await.is_err() {
             return;
         }
     }
--- a/crates/lemontide-standin/src/soak/client/faulty.rs
+++ b/crates/lemontide-standin/src/soak/client/faulty.rs
@@ -23,7 +23,7 @@
 fn invalid_input(context: &ClientContext, number: u64) -> (&'static str, Vec<u8>) {
     let plan = &context.plan;
     let id = 0xbad0_0000_0000_0000 | ((context.node.index as u64) << 32) | number;
-    let message = |session, set_up| bytes_of(Message { session, body: Body::SetUp(set_up) });
+    let message = |session, set_up| encode_message(Message { session, body: Body::SetUp(set_up) });
     let valid = set_up(plan, CLASSES[1].name, 3000, 1);
     match number % 8 {
         0 => ("garbage", (0..200u32).map(|n| (n * 37 % 251) as u8).collect()),
@@ -33,7 +33,7 @@
         4 => ("unknown cells", message(id, SetUp { details: Some(RequestDetails::default()), ..valid })),
         5 => ("no id", message(0, valid)),
         6 => ("no title", message(id, SetUp { title: String::new(), ..valid })),
-        _ => ("an unexpected message", bytes_of(Message { session: id, body: Body::Move })),
+        _ => ("an unexpected message", encode_message(Message { session: id, body: Body::Move })),
     }
 }
 
@@ -124,7 +124,7 @@
         event_log.requests.push(request);
     }
     let set_up = set_up(&context.plan, class.name, (class.deadline_s * 1e3) as u64, id);
-    let bytes = bytes_of(Message { session: id, body: Body::SetUp(set_up) });
+    let bytes = encode_message(Message { session: id, body: Body::SetUp(set_up) });
     for repetition in 0..3 {
         let Ok(Ok(mut socket)) =
             timeout(CONNECT_TIMEOUT, TcpStream::connect(context.node.listen_address)).await
@@ -138,7 +138,7 @@
         let wait = 0.8 * seeded_fraction(context.plan.seed, id, repetition);
         let _ = timeout(Duration::from_secs_f64(wait), socket.read(&mut answer)).await;
         if number.is_multiple_of(2) {
-            let cancel = bytes_of(Message { session: id, body: Body::release(cause::NORMAL) });
+            let cancel = encode_message(Message { session: id, body: Body::release(cause::NORMAL) });
             let _ = socket.write_all(&cancel).await;
         }
     }
--- a/crates/lemontide-standin/src/soak/node_process.rs
+++ b/crates/lemontide-standin/src/soak/node_process.rs
@@ -3,7 +3,7 @@
 use super::event_log::{ColdBudget, NodeEvent, Recorder, CLASSES};
 use super::plan::Plan;
 use super::stub_discovery::StubDiscovery;
-use crate::platform;
+use crate::stub_platform;
 use lemontide_platform::codec::Body;
 use nix::sys::signal::{kill, Signal as UnixSignal};
 use nix::unistd::Pid;
@@ -64,7 +64,7 @@
 
 /// The settings of all nodes.
 pub fn settings(plan: &Plan) -> Json {
-    let mut settings = platform::settings();
+    let mut settings = stub_platform::settings();
     if let Some(capacity) = plan.server_capacity {
         settings["family_info"]["kind_slots"] = json!([capacity]);
         settings["rules"] = json!({"cold": 4, "cold_from": 0.4, "fall_multiple": 2.5, "fall": 1});
@@ -186,8 +186,8 @@
     /// Waits until the process answers a health test.
     async fn wait_until_ready(&self) {
         loop {
-            if let Ok(mut client) = platform::End::viewer(self.listen_address).await {
-                if client.say(0, Body::Test).await.is_ok() && client.hear().await.is_ok() {
+            if let Ok(mut client) = stub_platform::PlatformConnection::connect(self.listen_address).await {
+                if client.send(0, Body::Test).await.is_ok() && client.receive().await.is_ok() {
                     return;
                 }
             }
--- a/crates/lemontide-standin/src/soak/stub_server.rs
+++ b/crates/lemontide-standin/src/soak/stub_server.rs
@@ -8,7 +8,7 @@
 
 use super::event_log::{Attempt, AttemptEnd, Recorder};
 use super::plan::{seeded_fraction, Mode, Plan};
-use crate::platform::bytes_of;
+use crate::stub_platform::encode_message;
 use bytes::Bytes;
 use lemontide::interface::Load;
 use lemontide_platform::codec::{cause, Body, Message, SetUp};
@@ -215,7 +215,10 @@
             .or(of_node.clone().next_back());
         let Some(node_connection) = node_connection else { return false };
         let at = self.recorder.now() + node_connection.delay_s;
-        node_connection.outgoing.send(Outgoing::Bytes { at, bytes: bytes_of(message), log_entry }).is_ok()
+        node_connection
+            .outgoing
+            .send(Outgoing::Bytes { at, bytes: encode_message(message), log_entry })
+            .is_ok()
     }
 
     /// Removes a closed connection and the sessions that are being set up on it.
@@ -413,7 +416,7 @@
             }
             let garbage: Vec<u8> = match (fraction(2) * 3.0) as u32 {
                 0 => vec![0xff; 64],
-                1 => bytes_of(Message { session: id, body: answer_body("cut") })[..12].to_vec(),
+                1 => encode_message(Message { session: id, body: answer_body("cut") })[..12].to_vec(),
                 _ => vec![0, 12, 9, 1, 2, 3, 4, 5, 6, 7, 8, 94, 255, 255],
             };
             let log_entry = LogEntry::Ended(attempt, AttemptEnd::Answered { ran: true });
--- a/crates/lemontide-standin/src/soak/stub_server/connection.rs
+++ b/crates/lemontide-standin/src/soak/stub_server/connection.rs
@@ -80,7 +80,7 @@
             let log_entry = LogEntry::Released(attempt);
             let _ = outgoing.send(Outgoing::Bytes {
                 at: ready_at + delay_s,
-                bytes: bytes_of(release),
+                bytes: encode_message(release),
                 log_entry,
             });
         }
--- a/crates/lemontide-standin/tests/crossings.rs
+++ b/crates/lemontide-standin/tests/crossings.rs
@@ -9,7 +9,7 @@
 use lemontide_platform::journal;
 use lemontide_platform::permit::Permit;
 use lemontide_platform::streamers::{run, Close, Dial, Report};
-use lemontide_standin::platform::{Journal, SOON};
+use lemontide_standin::stub_platform::{StubJournal, WAIT_TIMEOUT};
 use lemontide_wire::clock::Clock;
 use serde_json::json;
 use std::time::Duration;
@@ -34,9 +34,9 @@
     let (orders, ordered) = mpsc::channel(4);
     let (close, closed) = oneshot::channel();
     let (report, mut reports) = mpsc::channel(256);
-    let to = Dial { connection: ON, address, timeout: SOON };
+    let to = Dial { connection: ON, address, timeout: WAIT_TIMEOUT };
     tokio::spawn(run(Clock::start(), to, ordered, closed, report));
-    let streamer = timeout(SOON, listener.accept()).await.expect("it dials").expect("accepted").0;
+    let streamer = timeout(WAIT_TIMEOUT, listener.accept()).await.expect("it dials").expect("accepted").0;
     assert!(matches!(reports.recv().await, Some(Report::Connected { connection: ON })));
     Line { orders, close: Some(close), reports, streamer }
 }
@@ -55,7 +55,7 @@
 /// The sessions of all set-ups that a streamer reads until the other end closes, whole ones only.
 async fn read_all(streamer: &mut TcpStream) -> Vec<u64> {
     let mut bytes = Vec::new();
-    let _ = timeout(SOON, streamer.read_to_end(&mut bytes)).await.expect("it ends");
+    let _ = timeout(WAIT_TIMEOUT, streamer.read_to_end(&mut bytes)).await.expect("it ends");
     let mut sessions = Vec::new();
     let mut rest = &bytes[..];
     while rest.len() >= 11 {
@@ -80,7 +80,7 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    timeout(SOON, full).await.expect("it begins, and stops when the socket is full");
+    timeout(WAIT_TIMEOUT, full).await.expect("it begins, and stops when the socket is full");
     assert!(begun() < all.len(), "some wait");
     all
 }
@@ -102,7 +102,7 @@
     assert_eq!(read_all(&mut line.streamer).await, left);
     drop(line.close);
     let mut wrote = 0;
-    while let Some(report) = timeout(SOON, line.reports.recv()).await.expect("its task ends") {
+    while let Some(report) = timeout(WAIT_TIMEOUT, line.reports.recv()).await.expect("its task ends") {
         if let Report::Written { unsent, .. } = report {
             assert_eq!(unsent.len(), all.len() - left.len());
             wrote += 1;
@@ -118,7 +118,8 @@
     let mut line = line().await;
     let all = fill(&line).await;
     drop(line.close.take());
-    let told = timeout(SOON, line.reports.recv()).await.expect("told at once, though a write is stuck");
+    let told =
+        timeout(WAIT_TIMEOUT, line.reports.recv()).await.expect("told at once, though a write is stuck");
     assert!(matches!(told, Some(Report::Closed { by_streamer: false, .. })));
     let begun: Vec<u64> = all.iter().filter(|(_, permit)| permit.has_begun()).map(|(s, _)| *s).collect();
     // Closed already: nothing is left to be sent but what the socket holds, and then its end.
@@ -147,7 +148,7 @@
             assert_eq!(read_all(&mut line.streamer).await, [1]);
             drop(line.streamer);
         }
-        let told = timeout(SOON, line.reports.recv()).await.expect("told").expect("told");
+        let told = timeout(WAIT_TIMEOUT, line.reports.recv()).await.expect("told").expect("told");
         assert!(matches!(told, Report::Closed { by_streamer: by, .. } if by == by_streamer));
     }
 }
@@ -160,7 +161,7 @@
     let late = QueuedMessage { not_after: Some(past), ..set_up(1, &permit) };
     let other = Permit::new();
     line.orders.send(vec![late, set_up(2, &other)]).await.expect("it takes orders");
-    let told = timeout(SOON, line.reports.recv()).await.expect("told");
+    let told = timeout(WAIT_TIMEOUT, line.reports.recv()).await.expect("told");
     assert!(matches!(told, Some(Report::Written { unsent, .. }) if unsent == [(1, 0)]));
     assert!(!permit.begin() && other.has_begun(), "nobody may begin it any more");
     drop(line.orders);
@@ -182,11 +183,11 @@
     let (_orders, ordered) = mpsc::channel(4);
     let (close, closed) = oneshot::channel();
     let (report, mut reports) = mpsc::channel(4);
-    let to = Dial { connection: ON, address: at.to_string(), timeout: SOON * 2 };
+    let to = Dial { connection: ON, address: at.to_string(), timeout: WAIT_TIMEOUT * 2 };
     tokio::spawn(run(Clock::start(), to, ordered, closed, report));
     tokio::task::yield_now().await;
     drop(close);
-    let told = timeout(SOON, reports.recv()).await.expect("told before the dial's time is over");
+    let told = timeout(WAIT_TIMEOUT, reports.recv()).await.expect("told before the dial's time is over");
     assert!(matches!(told, Some(Report::Closed { by_streamer: false, .. })));
 }
 
@@ -202,12 +203,13 @@
 /// The service moves while an event waits for room: it was counted as taken, dropped, and never asked for again.
 #[tokio::test]
 async fn an_event_that_waits_when_the_service_moves_is_asked_for_again() {
-    let (old, new) = (Journal::start().await.expect("a port"), Journal::start().await.expect("a port"));
-    let address = |journal: &Journal| journal.address().expect("it is bound").to_string();
+    let (old, new) =
+        (StubJournal::start().await.expect("a port"), StubJournal::start().await.expect("a port"));
+    let address = |journal: &StubJournal| journal.address().expect("it is bound").to_string();
     let (moves, moved) = watch::channel(address(&old));
     let (news, mut heard) = mpsc::channel(1);
     let follower = tokio::spawn(journal::follow(moved, 0, news));
-    let (mut reader, last) = old.reader().await.expect("it asks");
+    let (mut reader, last) = old.accept_reader().await.expect("it asks");
     assert_eq!(last, 0);
     reader.write_all((event(1) + &event(2)).as_bytes()).await.expect("sent");
     // The first fills the channel; the second has been read once the service's word after it makes no difference.
@@ -216,14 +218,14 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    timeout(SOON, first).await.expect("told");
+    timeout(WAIT_TIMEOUT, first).await.expect("told");
     tokio::time::sleep(Duration::from_millis(100)).await;
     moves.send(address(&new)).expect("followed");
-    let (mut reader, last) = new.reader().await.expect("it asks at the new address");
+    let (mut reader, last) = new.accept_reader().await.expect("it asks at the new address");
     assert_eq!(last, 1, "for the one that found no room");
     reader.write_all(event(2).as_bytes()).await.expect("sent");
     for expected in ["s1", "s2"] {
-        let hosts = timeout(SOON, heard.recv()).await.expect("told").expect("followed");
+        let hosts = timeout(WAIT_TIMEOUT, heard.recv()).await.expect("told").expect("followed");
         assert_eq!(name(&hosts), expected);
     }
     follower.abort();
@@ -232,20 +234,20 @@
 /// A list that goes quiet and stays quiet: the next connection is silent, too, and the one after it tells.
 #[tokio::test]
 async fn a_service_that_stays_silent_is_asked_again_and_again() {
-    let service = Journal::start().await.expect("a port");
+    let service = StubJournal::start().await.expect("a port");
     let (_moves, moved) = watch::channel(service.address().expect("it is bound").to_string());
     let (news, mut heard) = mpsc::channel(8);
     let follower = tokio::spawn(journal::follow(moved, 3, news));
     let mut silent = Vec::new();
     for half in [&b""[..], b"{\"pos\":4,\"hosts\":{", b""] {
-        let (mut reader, last) = service.reader().await.expect("it asks");
+        let (mut reader, last) = service.accept_reader().await.expect("it asks");
         assert_eq!(last, 3);
         reader.write_all(half).await.expect("sent");
         silent.push(reader);
     }
-    let (mut reader, _) = service.reader().await.expect("it asks");
+    let (mut reader, _) = service.accept_reader().await.expect("it asks");
     reader.write_all(event(4).as_bytes()).await.expect("sent");
-    let hosts = timeout(SOON, heard.recv()).await.expect("told").expect("followed");
+    let hosts = timeout(WAIT_TIMEOUT, heard.recv()).await.expect("told").expect("followed");
     assert_eq!(name(&hosts), "s4");
     follower.abort();
 }
@@ -253,12 +255,12 @@
 /// A connection that begins past what was asked for is asked about again; a gap that stays is the service's own.
 #[tokio::test]
 async fn a_gap_is_asked_about_once() {
-    let service = Journal::start().await.expect("a port");
+    let service = StubJournal::start().await.expect("a port");
     let (_moves, moved) = watch::channel(service.address().expect("it is bound").to_string());
     let (news, mut heard) = mpsc::channel(8);
     let follower = tokio::spawn(journal::follow(moved, 3, news));
     for _ in 0..2 {
-        let (mut reader, last) = service.reader().await.expect("it asks");
+        let (mut reader, last) = service.accept_reader().await.expect("it asks");
         assert_eq!(last, 3);
         assert!(heard.is_empty());
         reader.write_all(("3\n".to_owned() + &event(6)).as_bytes()).await.expect("sent");
