--- a/crates/lemontide-standin/src/fleet_simulation.rs
+++ b/crates/lemontide-standin/src/fleet_simulation.rs
@@ -79,7 +79,7 @@
     pub mean_connections: f64,
     /// Set-ups at the busiest streamer over its share by weight.
     pub busiest_load_ratio: f64,
-    /// Set-ups that came on top of what a streamer in its warm-up can take within a window.
+    /// Set-ups beyond what a streamer in its warm-up can take within a window.
     pub warm_up_overloads: u64,
     /// Set-ups sent to streamers in their warm-up.
     pub set_ups_in_warm_up: u64,
--- a/crates/lemontide-standin/src/model.rs
+++ b/crates/lemontide-standin/src/model.rs
@@ -666,10 +666,14 @@
             }
         }
         for (key, how) in ending {
-            let shot = attempt_of(&self.streamers[index], key);
+            let attempt = attempt_of(&self.streamers[index], key);
             let outcome = if how == How::Served { TapOutcome::Served } else { TapOutcome::Cancelled };
-            let ended =
-                Ended { id: key.1, shot, how: how.into(), cmsd_dynamic: self.load_report(index, true) };
+            let ended = Ended {
+                id: key.1,
+                shot: attempt,
+                how: how.into(),
+                cmsd_dynamic: self.load_report(index, true),
+            };
             self.end_stream(index, key, outcome, Some(ended));
         }
         if is_new_second {
--- a/crates/lemontide-standin/src/simulated_network.rs
+++ b/crates/lemontide-standin/src/simulated_network.rs
@@ -23,7 +23,7 @@
     pub loss: f64,
     /// Least and largest delay of a datagram.
     pub delay_ms: (f64, f64),
-    /// How far each instance's clock may be off, in either direction.
+    /// How far each instance's clock can be off, in either direction.
     pub max_clock_skew_s: f64,
     /// Seed of all random choices.
     pub seed: u64,
