--- a/crates/lemontide-cli/src/measure/fleet.rs
+++ b/crates/lemontide-cli/src/measure/fleet.rs
@@ -4,7 +4,7 @@
 
 use crate::CommandResult;
 use lemontide_fleet::{Holder, RendezvousHash};
-use lemontide_standin::swarm::{Came, Plan, Swarm, Views};
+use lemontide_standin::fleet_simulation::{FleetSimulation, SimulationConfig, SimulationResult, ViewSource};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
 use std::process::ExitCode;
@@ -46,11 +46,11 @@
 }
 
 /// The name of a kind of fleet view, as it is printed.
-fn view_name(views: Views) -> &'static str {
+fn view_name(views: ViewSource) -> &'static str {
     match views {
-        Views::Mesh => "mesh",
-        Views::Settings => "settings",
-        Views::Gossip => "gossip",
+        ViewSource::FullMesh => "mesh",
+        ViewSource::Settings => "settings",
+        ViewSource::Gossip => "gossip",
     }
 }
 
@@ -98,18 +98,18 @@
 }
 
 /// CPU time in drivers and modules per set-up, in microseconds.
-fn cpu_us_per_set_up(result: &Came) -> f64 {
-    result.spent.as_secs_f64() * 1e6 / result.plays.max(1) as f64
+fn cpu_us_per_set_up(result: &SimulationResult) -> f64 {
+    result.cpu_time.as_secs_f64() * 1e6 / result.plays.max(1) as f64
 }
 
 /// The result of a run, as it is printed.
-fn run_to_json(plan: &Plan, result: &Came) -> Value {
+fn run_to_json(plan: &SimulationConfig, result: &SimulationResult) -> Value {
     json!({
-        "controllers": plan.controllers, "views": view_name(plan.views), "changing": plan.changing,
-        "asked": result.asked, "plays": result.plays, "turned_back": result.turned_back, "gain": result.gain,
-        "stood": result.stood, "stood_most": result.stood_most, "opened_a_s": result.opened as f64 / plan.seconds,
-        "busiest": result.busiest, "over_budget": result.over_budget, "to_cold": result.to_cold,
-        "stood_for": result.stood_for, "two_heirs": result.two_heirs, "agreed_s": result.agreed_s, "agreed_all_s": result.agreed_all_s, "us_a_set_up": cpu_us_per_set_up(result),
+        "controllers": plan.controllers, "views": view_name(plan.view_source), "changing": plan.with_failures,
+        "asked": result.requests, "plays": result.plays, "turned_back": result.rejected, "gain": result.gain,
+        "stood": result.mean_connections, "stood_most": result.max_connections, "opened_a_s": result.connections_opened as f64 / plan.duration_s,
+        "busiest": result.busiest_load_ratio, "over_budget": result.warm_up_overloads, "to_cold": result.set_ups_in_warm_up,
+        "stood_for": result.covered_turns, "two_heirs": result.doubly_covered_turns, "agreed_s": result.mostly_agreed_after_s, "agreed_all_s": result.fully_agreed_after_s, "us_a_set_up": cpu_us_per_set_up(result),
     })
 }
 
@@ -119,28 +119,29 @@
     let mut plans = Vec::new();
     for controllers in &args.sizes {
         for changing in [false, true] {
-            for views in [Views::Mesh, Views::Settings, Views::Gossip] {
-                plans.push(Plan {
+            for views in [ViewSource::FullMesh, ViewSource::Settings, ViewSource::Gossip] {
+                plans.push(SimulationConfig {
                     controllers: *controllers,
                     streamers: args.streamers,
-                    views,
-                    per_s: args.requests_per_s,
-                    uneven: args.uneven,
-                    seconds: args.seconds,
-                    changing,
+                    view_source: views,
+                    requests_per_s: args.requests_per_s,
+                    imbalance: args.uneven,
+                    duration_s: args.seconds,
+                    with_failures: changing,
                     seed: args.seed,
                 });
             }
         }
     }
-    let pending: Mutex<VecDeque<(usize, Plan)>> = Mutex::new(plans.iter().cloned().enumerate().collect());
-    let finished: Mutex<Vec<(usize, Came)>> = Mutex::new(Vec::new());
+    let pending: Mutex<VecDeque<(usize, SimulationConfig)>> =
+        Mutex::new(plans.iter().cloned().enumerate().collect());
+    let finished: Mutex<Vec<(usize, SimulationResult)>> = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..args.jobs.max(1) {
             scope.spawn(|| loop {
                 let next = pending.lock().unwrap_or_else(PoisonError::into_inner).pop_front();
                 let Some((index, plan)) = next else { return };
-                let result = Swarm::new(plan).run();
+                let result = FleetSimulation::new(plan).run();
                 finished.lock().unwrap_or_else(PoisonError::into_inner).push((index, result));
             });
         }
@@ -172,27 +173,27 @@
     let mut holds = true;
     let mut runs = Vec::new();
     for (plan, (_, result)) in plans.iter().zip(&results) {
-        let agreed: Vec<String> = result.agreed_s.iter().map(|s| format!("{s:.1}")).collect();
+        let agreed: Vec<String> = result.mostly_agreed_after_s.iter().map(|s| format!("{s:.1}")).collect();
         println!(
             "{:>11} {:<8} {:<8} {:>7.3} {:>7} {:>8.0} {:>8} {:>9.1} {:>8.2} {:>5} {:>8} {:>6} {:>5} {:>10} {:>8.0}",
             plan.controllers,
-            if plan.changing { "changing" } else { "steady" },
-            view_name(plan.views),
+            if plan.with_failures { "changing" } else { "steady" },
+            view_name(plan.view_source),
             result.gain,
-            result.turned_back,
-            result.stood,
-            result.stood_most,
-            result.opened as f64 / plan.seconds,
-            result.busiest,
-            result.over_budget,
-            result.to_cold,
-            result.stood_for,
-            result.two_heirs,
+            result.rejected,
+            result.mean_connections,
+            result.max_connections,
+            result.connections_opened as f64 / plan.duration_s,
+            result.busiest_load_ratio,
+            result.warm_up_overloads,
+            result.set_ups_in_warm_up,
+            result.covered_turns,
+            result.doubly_covered_turns,
             agreed.join(","),
             cpu_us_per_set_up(result),
         );
         // These two hold with every kind of view at every size.
-        holds &= result.over_budget == 0 && result.two_heirs == 0;
+        holds &= result.warm_up_overloads == 0 && result.doubly_covered_turns == 0;
         runs.push(run_to_json(plan, result));
     }
     let mut targets = Vec::new();
@@ -203,19 +204,24 @@
     for (index, plan) in plans
         .iter()
         .enumerate()
-        .filter(|(_, plan)| plan.controllers == TARGET_FLEET_SIZE && plan.views != Views::Mesh)
+        .filter(|(_, plan)| plan.controllers == TARGET_FLEET_SIZE && plan.view_source != ViewSource::FullMesh)
     {
-        let same_size_and_traffic =
-            |other: &Plan| (other.controllers, other.changing) == (plan.controllers, plan.changing);
-        let Some(mesh) =
-            plans.iter().position(|other| other.views == Views::Mesh && same_size_and_traffic(other))
+        let same_size_and_traffic = |other: &SimulationConfig| {
+            (other.controllers, other.with_failures) == (plan.controllers, plan.with_failures)
+        };
+        let Some(mesh) = plans
+            .iter()
+            .position(|other| other.view_source == ViewSource::FullMesh && same_size_and_traffic(other))
         else {
             continue;
         };
         let (result, mesh) = (&results[index].1, &results[mesh].1);
-        let label =
-            format!("{}, {}", view_name(plan.views), if plan.changing { "changing" } else { "steady" });
-        let ratio = result.stood / mesh.stood.max(1.0);
+        let label = format!(
+            "{}, {}",
+            view_name(plan.view_source),
+            if plan.with_failures { "changing" } else { "steady" }
+        );
+        let ratio = result.mean_connections / mesh.mean_connections.max(1.0);
         report_target(
             format!("{label}: connections at most a quarter of the mesh's: {ratio:.2}"),
             ratio <= MAX_CONNECTIONS_RATIO,
@@ -225,7 +231,7 @@
             format!("{label}: gain no lower than the mesh's: {gain_loss:+.3} lower"),
             gain_loss <= GAIN_TOLERANCE,
         );
-        let ratio = result.busiest / mesh.busiest.max(1e-9);
+        let ratio = result.busiest_load_ratio / mesh.busiest_load_ratio.max(1e-9);
         report_target(
             format!("{label}: busiest over its share at most {MAX_BUSIEST_RATIO} of the mesh's: {ratio:.2}"),
             ratio <= MAX_BUSIEST_RATIO,
--- a/crates/lemontide-cli/src/measure/front.rs
+++ b/crates/lemontide-cli/src/measure/front.rs
@@ -2,7 +2,7 @@
 
 use super::rig::{unlimited_capacity_day, write_list, Process};
 use crate::{BoxError, CommandResult};
-use lemontide_standin::load::{closed, open, Ask, Came};
+use lemontide_standin::load_generator::{run_closed_loop, run_open_loop, LoadConfig, LoadResult};
 use lemontide_standin::streamer::Fleet;
 use lemontide_wire::clock::Clock;
 use lemontide_wire::tap::Tap;
@@ -28,7 +28,7 @@
 }
 
 /// Median and 99th percentile of the latency, in milliseconds.
-fn latency_quantiles_ms(load: &Came) -> (f64, f64) {
+fn latency_quantiles_ms(load: &LoadResult) -> (f64, f64) {
     let quantile = |q| load.latency_us.value_at_quantile(q) as f64 / 1e3;
     (quantile(0.5), quantile(0.99))
 }
@@ -62,39 +62,45 @@
     wait_for_links(&controller, day.streamers.len())?;
     let part_length = Duration::from_secs_f64(args.seconds);
     let titles: Vec<String> = day.titles.keys().cloned().collect();
-    let requests = |process: &Process, leave| Ask {
-        to: process.address,
+    let requests = |process: &Process, leave| LoadConfig {
+        controller: process.address,
         workers: args.workers,
         titles: titles.clone(),
-        lane: "paid".into(),
-        leave,
+        class: "paid".into(),
+        ends_sessions: leave,
     };
-    let constant_load = runtime.block_on(closed(requests(&constant, true), part_length, usize::MAX));
+    let constant_load = runtime.block_on(run_closed_loop(requests(&constant, true), part_length, usize::MAX));
     let (_, cpu_before) = controller.usage()?;
     let decided_before = controller.state()?.deciding_s;
-    let controller_load = runtime.block_on(closed(requests(&controller, true), part_length, usize::MAX));
+    let controller_load =
+        runtime.block_on(run_closed_loop(requests(&controller, true), part_length, usize::MAX));
     let (_, cpu_after) = controller.usage()?;
     let decided_s = controller.state()?.deciding_s - decided_before;
-    let constant_paced = runtime.block_on(open(requests(&constant, true), args.requests_per_s, part_length));
+    let constant_paced =
+        runtime.block_on(run_open_loop(requests(&constant, true), args.requests_per_s, part_length));
     let controller_paced =
-        runtime.block_on(open(requests(&controller, true), args.requests_per_s, part_length));
+        runtime.block_on(run_open_loop(requests(&controller, true), args.requests_per_s, part_length));
     // Memory is measured in a new process, since a process that was under load keeps memory allocated from it.
     drop(controller);
     let controller = Process::start(&["front", "--settings", &settings_file.to_string_lossy()])?;
     wait_for_links(&controller, day.streamers.len())?;
     let (memory_empty, _) = controller.usage()?;
-    let session_load =
-        runtime.block_on(closed(requests(&controller, false), Duration::from_secs(120), args.sessions));
+    let session_load = runtime.block_on(run_closed_loop(
+        requests(&controller, false),
+        Duration::from_secs(120),
+        args.sessions,
+    ));
     let (memory_with_sessions, _) = controller.usage()?;
     let playing = controller.state()?.playing;
     // The closed load once more, now with these sessions playing.
     let (_, cpu_before_crowded) = controller.usage()?;
     let decided_before_crowded = controller.state()?.deciding_s;
-    let crowded_load = runtime.block_on(closed(requests(&controller, true), part_length, usize::MAX));
+    let crowded_load =
+        runtime.block_on(run_closed_loop(requests(&controller, true), part_length, usize::MAX));
     let cpu_used_crowded = controller.usage()?.1 - cpu_before_crowded;
     let decided_crowded_s = controller.state()?.deciding_s - decided_before_crowded;
 
-    let rate = |load: &Came| load.answers() as f64 / load.took_s;
+    let rate = |load: &LoadResult| load.responses() as f64 / load.duration_s;
     let (constant_p50, constant_p99) = latency_quantiles_ms(&constant_paced);
     let (p50, p99) = latency_quantiles_ms(&controller_paced);
     let bytes_per_session = (memory_with_sessions - memory_empty) / args.sessions as f64;
@@ -135,8 +141,8 @@
     );
     let loads =
         [&constant_load, &controller_load, &constant_paced, &controller_paced, &session_load, &crowded_load];
-    let missing: u64 = loads.iter().map(|load| load.missing + load.scrapped + load.not_taken).sum();
-    let rejected: u64 = loads.iter().map(|load| load.turned_back).sum();
+    let missing: u64 = loads.iter().map(|load| load.unanswered + load.failed + load.not_accepted).sum();
+    let rejected: u64 = loads.iter().map(|load| load.rejected).sum();
     let holds = missing == 0 && rejected == 0 && playing == args.sessions;
     println!("requests without a valid answer: {missing}; rejected although capacity was free: {rejected}");
     println!(
--- a/crates/lemontide-cli/src/measure/shedding.rs
+++ b/crates/lemontide-cli/src/measure/shedding.rs
@@ -5,10 +5,12 @@
 use super::rig::{unlimited_capacity_day, write_list, Process};
 use crate::{BoxError, CommandResult};
 use lemontide_front::settings::{Settings, SheddingSettings};
-use lemontide_standin::crowd;
 use lemontide_standin::day::Day;
 use lemontide_standin::judge::judge;
-use lemontide_standin::load::{mixed, Lane, Mix, Outcome as RequestOutcome, Record};
+use lemontide_standin::load_generator::{
+    run_mixed_load, ClassLoad, MixedLoadConfig, Outcome as RequestOutcome, RequestRecord,
+};
+use lemontide_standin::shedding_simulation;
 use lemontide_standin::streamer::Fleet;
 use lemontide_wire::clock::Clock;
 use lemontide_wire::tap::{self, Tap, TapEvent};
@@ -124,7 +126,7 @@
     day: Day,
     fleet: Fleet,
     titles: Vec<String>,
-    classes: Vec<Lane>,
+    classes: Vec<ClassLoad>,
     folder: tempfile::TempDir,
     runtime: Runtime,
     /// Part of a core that the controller is meant to get.
@@ -182,18 +184,18 @@
     }
 
     /// A load on this controller; `rate` has pairs of a time in seconds and the viewers per second from then on.
-    fn load(&self, controller: &Process, rate: Vec<(f64, f64)>) -> Mix {
-        Mix {
-            to: controller.address,
+    fn load(&self, controller: &Process, rate: Vec<(f64, f64)>) -> MixedLoadConfig {
+        MixedLoadConfig {
+            controller: controller.address,
             titles: self.titles.clone(),
-            lanes: self.classes.clone(),
-            rate,
-            goal_s: LATENCY_GOAL_S,
-            cut_off_s: DEADLINE_S,
-            again: 0,
-            hinted: true,
-            follows: true,
-            connections: self.connections,
+            classes: self.classes.clone(),
+            rate_steps: rate,
+            latency_goal_s: LATENCY_GOAL_S,
+            deadline_s: DEADLINE_S,
+            max_retries: 0,
+            sends_hint: true,
+            reads_events: true,
+            initial_connections: self.connections,
             tap: None,
             seed: 1,
         }
@@ -210,31 +212,31 @@
         let controller = self.start(&self.settings(variant, None))?;
         let _throttle = CpuThrottle::start(controller.id(), self.core_part);
         let rate = vec![(0.0, limit * 0.5), (WARM_UP_S, limit * load_multiple), (WARM_UP_S + seconds, 0.0)];
-        let records = self.runtime.block_on(mixed(self.load(&controller, rate)));
+        let records = self.runtime.block_on(run_mixed_load(self.load(&controller, rate)));
         // The first second of the load itself does not count as steady.
         Ok(self.summarize(&records, WARM_UP_S + 1.0, WARM_UP_S + seconds))
     }
 
     /// Summary of the requests due in this time window.
-    fn summarize(&self, records: &[Record], from_s: f64, to_s: f64) -> LoadSummary {
+    fn summarize(&self, records: &[RequestRecord], from_s: f64, to_s: f64) -> LoadSummary {
         let mut summary = LoadSummary::default();
         let mut answer_times = Vec::new();
-        for record in records.iter().filter(|record| (from_s..to_s).contains(&record.due)) {
+        for record in records.iter().filter(|record| (from_s..to_s).contains(&record.due_s)) {
             summary.requests += 1;
             match record.outcome {
                 RequestOutcome::Late => summary.late += 1,
-                RequestOutcome::Broken => summary.broken += 1,
+                RequestOutcome::ConnectionLost => summary.broken += 1,
                 RequestOutcome::Plays => {
                     summary.plays += 1;
-                    if record.took <= LATENCY_GOAL_S {
-                        summary.gain_per_s += self.classes[record.lane].gain / (to_s - from_s);
-                        summary.paid_plays += usize::from(record.lane == 0);
+                    if record.latency_s <= LATENCY_GOAL_S {
+                        summary.gain_per_s += self.classes[record.class].gain / (to_s - from_s);
+                        summary.paid_plays += usize::from(record.class == 0);
                     }
                 }
-                RequestOutcome::TurnedBack | RequestOutcome::NotTaken | RequestOutcome::Scrapped => {}
+                RequestOutcome::Rejected | RequestOutcome::NotAccepted | RequestOutcome::Failed => {}
             }
-            summary.paid_requests += usize::from(record.lane == 0);
-            answer_times.push(record.took);
+            summary.paid_requests += usize::from(record.class == 0);
+            answer_times.push(record.latency_s);
         }
         answer_times.sort_by(f64::total_cmp);
         summary.p99_s = answer_times.get((answer_times.len() as f64 * 0.99) as usize).copied().unwrap_or(0.0);
@@ -283,12 +285,12 @@
         std::thread::sleep(Duration::from_millis(300));
         let before = controller.usage()?.1;
         // Few connections, since opening them is not part of the cost of an answer.
-        let load = Mix {
-            hinted: has_hint,
-            connections: 20,
+        let load = MixedLoadConfig {
+            sends_hint: has_hint,
+            initial_connections: 20,
             ..rig.load(&controller, vec![(0.0, COST_LOAD_PER_S), (2.0, 0.0)])
         };
-        let answers = rig.runtime.block_on(mixed(load)).len() as f64;
+        let answers = rig.runtime.block_on(run_mixed_load(load)).len() as f64;
         Ok((controller.usage()?.1 - before) / answers.max(1.0) * 1e6)
     };
     Ok([cost_us(false, false)?, cost_us(true, true)?, cost_us(true, false)?])
@@ -300,7 +302,8 @@
     let keeps_up = |per_s: f64| -> Result<bool, BoxError> {
         let controller = rig.start(&rig.settings(Variant::None, None))?;
         let _throttle = CpuThrottle::start(controller.id(), rig.core_part);
-        let records = rig.runtime.block_on(mixed(rig.load(&controller, vec![(0.0, per_s), (2.5, 0.0)])));
+        let records =
+            rig.runtime.block_on(run_mixed_load(rig.load(&controller, vec![(0.0, per_s), (2.5, 0.0)])));
         let summary = rig.summarize(&records, 1.0, 2.5);
         Ok(summary.late == 0 && summary.broken == 0 && summary.p99_s < MAX_P99_AT_LIMIT_S)
     };
@@ -328,7 +331,7 @@
     let controller = rig.start(&rig.settings(Variant::None, None))?;
     let _throttle = CpuThrottle::start(controller.id(), rig.core_part);
     let load = rig.load(&controller, vec![(0.0, limit * 4.0), (3.0, 0.0)]);
-    let running_load = rig.runtime.spawn(mixed(load));
+    let running_load = rig.runtime.spawn(run_mixed_load(load));
     std::thread::sleep(Duration::from_millis(2500));
     let (before, since) = (controller.usage()?.1, Instant::now());
     std::thread::sleep(Duration::from_millis(1500));
@@ -355,21 +358,24 @@
     let (burst_start_s, burst_end_s, end_s) = (2.0, 5.0, 13.0);
     let rate =
         vec![(0.0, limit * 0.6), (burst_start_s, limit * 5.0), (burst_end_s, limit * 0.6), (end_s, 0.0)];
-    let records = rig.runtime.block_on(mixed(rig.load(&controller, rate)));
-    let is_rejected =
-        |record: &&Record| matches!(record.outcome, RequestOutcome::NotTaken | RequestOutcome::TurnedBack);
+    let records = rig.runtime.block_on(run_mixed_load(rig.load(&controller, rate)));
+    let is_rejected = |record: &&RequestRecord| {
+        matches!(record.outcome, RequestOutcome::NotAccepted | RequestOutcome::Rejected)
+    };
     let first_rejection_s = records
         .iter()
         .filter(is_rejected)
-        .find(|record| record.due >= burst_start_s)
-        .map_or(f64::NAN, |record| record.due - burst_start_s);
+        .find(|record| record.due_s >= burst_start_s)
+        .map_or(f64::NAN, |record| record.due_s - burst_start_s);
     let recovery_s =
-        records.iter().filter(is_rejected).map(|record| record.due).fold(burst_end_s, f64::max) - burst_end_s;
+        records.iter().filter(is_rejected).map(|record| record.due_s).fold(burst_end_s, f64::max)
+            - burst_end_s;
     let mut set_ups_by_tenth = vec![0.0f64; ((end_s - burst_end_s) * 10.0) as usize];
-    let plays =
-        records.iter().filter(|record| record.outcome == RequestOutcome::Plays && record.due >= burst_end_s);
+    let plays = records
+        .iter()
+        .filter(|record| record.outcome == RequestOutcome::Plays && record.due_s >= burst_end_s);
     for record in plays {
-        let index = ((record.due + record.took - burst_end_s) * 10.0) as usize;
+        let index = ((record.due_s + record.latency_s - burst_end_s) * 10.0) as usize;
         if let Some(set_ups) = set_ups_by_tenth.get_mut(index) {
             *set_ups += 1.0;
         }
@@ -400,7 +406,7 @@
         let _throttle_after = CpuThrottle::start(pid, core_part);
         std::thread::sleep(Duration::from_secs(6));
     });
-    let records = rig.runtime.block_on(mixed(load));
+    let records = rig.runtime.block_on(run_mixed_load(load));
     let _ = stalling_thread.join();
     Ok((rig.summarize(&records, 1.0, 4.0), rig.summarize(&records, 5.5, 9.0)))
 }
@@ -425,8 +431,8 @@
     let summary = {
         let _throttle = CpuThrottle::start(controller.id(), rig.core_part);
         let rate = vec![(0.0, limit * 0.5), (1.0, limit * 10.0), (3.0, limit * 0.5), (4.0, 0.0)];
-        let load = Mix { tap: Some((tap, 0)), again: 1, ..rig.load(&controller, rate) };
-        let records = rig.runtime.block_on(mixed(load));
+        let load = MixedLoadConfig { tap: Some((tap, 0)), max_retries: 1, ..rig.load(&controller, rate) };
+        let records = rig.runtime.block_on(run_mixed_load(load));
         rig.summarize(&records, 0.0, 60.0)
     };
     drop(controller);
@@ -455,7 +461,7 @@
     let fleet = runtime.block_on(Fleet::start(&day, clock, Tap::disabled(clock), None))?;
     let folder = tempfile::tempdir()?;
     write_list(&day, &fleet, &folder.path().join("list.json"))?;
-    let class = |name: &str, gain, part| Lane { name: name.into(), gain, part };
+    let class = |name: &str, gain, part| ClassLoad { name: name.into(), gain, part };
     let classes =
         vec![class("paid", args.paid_gain, args.paid_share), class("free", 1.0, 1.0 - args.paid_share)];
     let titles = day.titles.keys().cloned().collect();
@@ -568,24 +574,36 @@
         "{:<28} {:>8} {:>8} {:>8} {:>6} {:>9} {:>7} {:>8}",
         "", "gain", "paid", "reqs", "late", "offered", "peak", "recov. s"
     );
-    let plan = crowd::Plan { turn_back_cost: rejection_cost.clamp(0.01, 1.0), ..crowd::Plan::default() };
+    let plan = shedding_simulation::SimulationConfig {
+        rejection_cost: rejection_cost.clamp(0.01, 1.0),
+        ..shedding_simulation::SimulationConfig::default()
+    };
     let (mut rows, mut holds) = (Vec::new(), true);
     for (name, plan) in [
-        ("no shedding", crowd::Plan { sheds: false, ..plan.clone() }),
-        ("shedding, one wait for all", crowd::Plan { spread: false, ..plan.clone() }),
+        ("no shedding", shedding_simulation::SimulationConfig { sheds: false, ..plan.clone() }),
+        (
+            "shedding, one wait for all",
+            shedding_simulation::SimulationConfig { spreads_retries: false, ..plan.clone() },
+        ),
         ("shedding", plan),
     ] {
-        let result = crowd::play(&plan);
-        let max_offered = result.offered.iter().copied().fold(0.0, f64::max);
+        let result = shedding_simulation::simulate(&plan);
+        let max_offered = result.offered_load.iter().copied().fold(0.0, f64::max);
         println!(
             "{name:<28} {:>8.3} {:>8.3} {:>8} {:>6} {max_offered:>9.1} {:>7.2} {:>8.1}",
-            result.gain, result.paid_served, result.wishes, result.late, result.peak, result.recovered_s
+            result.gain,
+            result.paid_served,
+            result.requests,
+            result.late,
+            result.peak_ratio,
+            result.recovery_s
         );
         // Each viewer sends at most two requests, so their total is bounded and the overload ends.
-        let last_offered = result.offered.last().copied().unwrap_or(0.0);
-        holds &= !(plan.sheds && plan.spread) || result.late == 0 && last_offered < 1.0 && result.peak < 1.5;
+        let last_offered = result.offered_load.last().copied().unwrap_or(0.0);
+        holds &= !(plan.sheds && plan.spreads_retries)
+            || result.late == 0 && last_offered < 1.0 && result.peak_ratio < 1.5;
         rows.push(json!({"name": name, "gain": result.gain, "paid": result.paid_served, "late": result.late,
-            "offered_most": max_offered, "peak": result.peak, "recovered_s": result.recovered_s}));
+            "offered_most": max_offered, "peak": result.peak_ratio, "recovered_s": result.recovery_s}));
     }
     (Value::Array(rows), holds)
 }
--- a/crates/lemontide-cli/tests/program.rs
+++ b/crates/lemontide-cli/tests/program.rs
@@ -96,17 +96,17 @@
 /// SIGTERM it ends with success.
 #[test]
 fn serve_handles_the_signals_of_the_platform() {
-    use lemontide_standin::platform::{settings, End, Journal};
+    use lemontide_standin::stub_platform::{settings, PlatformConnection, StubJournal};
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
         let file = folder.path().join("config.json");
         let (old_journal, new_journal) =
-            (Journal::start().await.expect("a port"), Journal::start().await.expect("a port"));
+            (StubJournal::start().await.expect("a port"), StubJournal::start().await.expect("a port"));
         let free = std::net::TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
         let listen = free.local_addr().expect("it is bound");
         drop(free);
-        let config = |journal: &Journal| {
+        let config = |journal: &StubJournal| {
             serde_json::json!({"listen": listen, "seed": "1", "settings": settings(),
                 "journal": journal.address().expect("it is bound").to_string()})
             .to_string()
@@ -120,18 +120,18 @@
             .spawn()
             .expect("it starts");
         let pid = nix::unistd::Pid::from_raw(serve.id().expect("it runs") as i32);
-        let (_reader, last_position) = old_journal.reader().await.expect("it connects to the journal");
+        let (_reader, last_position) = old_journal.accept_reader().await.expect("it connects to the journal");
         assert_eq!(last_position, 0);
         std::fs::write(&file, &config(&new_journal)[..20]).expect("written");
         nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).expect("sent");
-        let mut viewer = End::viewer(listen).await.expect("it continues to serve");
-        viewer.say(1, lemontide_platform::codec::Body::Test).await.expect("sent");
-        viewer.hear().await.expect("it answers a test although the file is incomplete");
+        let mut viewer = PlatformConnection::connect(listen).await.expect("it continues to serve");
+        viewer.send(1, lemontide_platform::codec::Body::Test).await.expect("sent");
+        viewer.receive().await.expect("it answers a test although the file is incomplete");
         std::fs::write(&file, config(&new_journal)).expect("written");
         nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).expect("sent");
-        new_journal.reader().await.expect("it connects to the new address");
+        new_journal.accept_reader().await.expect("it connects to the new address");
         nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGTERM).expect("sent");
-        let ended = tokio::time::timeout(lemontide_standin::platform::SOON, serve.wait()).await;
+        let ended = tokio::time::timeout(lemontide_standin::stub_platform::WAIT_TIMEOUT, serve.wait()).await;
         let ended = ended.expect("it ends in time").expect("its status is known");
         assert!(ended.success(), "{ended}");
     });
@@ -165,7 +165,7 @@
             "settings.policy_limits.dial_timeout: missing or not",
         ),
     ] {
-        let mut settings = lemontide_standin::platform::settings();
+        let mut settings = lemontide_standin::stub_platform::settings();
         *settings.pointer_mut(pointer).expect("it exists") = value;
         let config =
             serde_json::json!({"listen": "127.0.0.1:0", "journal": "127.0.0.1:9", "settings": settings});
@@ -187,13 +187,13 @@
 #[test]
 fn the_last_answer_before_a_stop_reaches_its_viewer() {
     use lemontide_platform::codec::{cause, Body, RequestDetails, SetUp};
-    use lemontide_standin::platform::{settings, End, Journal};
+    use lemontide_standin::stub_platform::{settings, PlatformConnection, StubJournal};
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
         let file = folder.path().join("config.json");
         let streamer = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
-        let journal = Journal::start().await.expect("a port");
+        let journal = StubJournal::start().await.expect("a port");
         let free = std::net::TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
         let listen = free.local_addr().expect("it is bound");
         drop(free);
@@ -211,7 +211,7 @@
             .spawn()
             .expect("it starts");
         let pid = nix::unistd::Pid::from_raw(serve.id().expect("it runs") as i32);
-        let mut viewer = End::viewer(listen).await.expect("it serves");
+        let mut viewer = PlatformConnection::connect(listen).await.expect("it serves");
         let set_up = SetUp {
             class: "paid".into(),
             tenant: "acme".into(),
@@ -226,20 +226,21 @@
             }),
             ..SetUp::default()
         };
-        viewer.say(7, Body::SetUp(set_up)).await.expect("sent");
-        let mut streamer_link = End::streamer(&streamer).await.expect("it connects").attend();
-        assert_eq!(streamer_link.news().await.expect("the attempt").session, 7);
+        viewer.send(7, Body::SetUp(set_up)).await.expect("sent");
+        let mut streamer_link =
+            PlatformConnection::accept(&streamer).await.expect("it connects").into_background();
+        assert_eq!(streamer_link.receive().await.expect("the attempt").session, 7);
         nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGTERM).expect("sent");
         // Longer than a stopping process waits without pending requests: only this request keeps it running.
         tokio::time::sleep(std::time::Duration::from_millis(1600)).await;
-        streamer_link.say(7, Body::release(cause::ERROR)).await.expect("sent");
-        let answer = viewer.hear().await.expect("the final answer, before the process ends");
+        streamer_link.send(7, Body::release(cause::ERROR)).await.expect("sent");
+        let answer = viewer.receive().await.expect("the final answer, before the process ends");
         assert_eq!(
             answer.body,
             Body::release(cause::FAILED),
             "an at-most-once request whose attempt can have run"
         );
-        let ended = tokio::time::timeout(lemontide_standin::platform::SOON, serve.wait()).await;
+        let ended = tokio::time::timeout(lemontide_standin::stub_platform::WAIT_TIMEOUT, serve.wait()).await;
         assert!(ended.expect("it ends in time").expect("its status is known").success());
     });
 }
