--- a/crates/lemontide-cli/src/day.rs
+++ b/crates/lemontide-cli/src/day.rs
@@ -3,7 +3,7 @@
 use crate::Outcome;
 use lemontide_standin::day::Day;
 use lemontide_standin::import::import;
-use lemontide_standin::judge::judge;
+use lemontide_standin::judge::check_rules;
 use lemontide_standin::run::{self, How};
 use lemontide_standin::streamer::{Fault, Fleet};
 use lemontide_wire::clock::Clock;
@@ -98,7 +98,7 @@
             lines.extend(tap::read_records(tap)?);
         }
     }
-    let verdict = judge(&lines).ok_or("the taps state no terms")?;
+    let verdict = check_rules(&lines).ok_or("the taps state no terms")?;
     println!("day {name}: {} controllers, {} streamers, {} viewers", sizes.0, sizes.1, ran.viewers);
     if !about.is_empty() {
         println!("{about}");
--- a/crates/lemontide-cli/src/measure/gossip.rs
+++ b/crates/lemontide-cli/src/measure/gossip.rs
@@ -3,7 +3,7 @@
 
 use crate::Outcome;
 use lemontide_standin::day::{Day, DayGossip, What};
-use lemontide_standin::judge::{judge, Verdict};
+use lemontide_standin::judge::{check_rules, Verdict};
 use lemontide_standin::run::{self, How};
 use lemontide_standin::simulated_network::{instance_name, NetworkConfig, SimulatedNetwork};
 use lemontide_wire::tap::{self, TapRecord};
@@ -61,7 +61,7 @@
     for path in ran.taps.iter().filter(|path| path.exists()) {
         lines.extend(tap::read_records(path)?);
     }
-    let verdict = judge(&lines).ok_or("the taps state no terms")?;
+    let verdict = check_rules(&lines).ok_or("the taps state no terms")?;
     let opens = lines
         .iter()
         .filter(|l| matches!(l.event, tap::TapEvent::RequestSent { .. }))
@@ -178,7 +178,7 @@
                 "{label:<22} {:>10} {:>10.1} {:>12.3} {:>12.3} {:>12.0} {:>9} {:>7}",
                 run.to_failing,
                 run.avoided_s,
-                service.whole,
+                service.overall,
                 service.worst_ten_s,
                 run.mean_bytes,
                 run.most_bytes,
@@ -212,7 +212,7 @@
         figures["controllers"] = json!(day.controllers.len());
         figures["to_failing"] = json!(runs.iter().map(|run| run.to_failing).collect::<Vec<_>>());
         figures["last_to_failing_s"] = json!(runs.iter().map(|run| run.avoided_s).collect::<Vec<_>>());
-        figures["service"] = json!(runs.iter().map(|run| run.verdict.service.whole).collect::<Vec<_>>());
+        figures["service"] = json!(runs.iter().map(|run| run.verdict.service.overall).collect::<Vec<_>>());
         figures["most_bytes_in_a_s"] = json!(runs.iter().map(|run| run.most_bytes).collect::<Vec<_>>());
         figures["least_share_with_liar"] = json!(least);
     }
--- a/crates/lemontide-cli/src/measure/shedding.rs
+++ b/crates/lemontide-cli/src/measure/shedding.rs
@@ -6,7 +6,7 @@
 use lemontide_front::settings::{Settings, SheddingSettings};
 use lemontide_standin::crowd;
 use lemontide_standin::day::Day;
-use lemontide_standin::judge::judge;
+use lemontide_standin::judge::check_rules;
 use lemontide_standin::load::{mixed, Lane, Mix, Outcome as Of, Record};
 use lemontide_standin::streamer::Fleet;
 use lemontide_wire::clock::Clock;
@@ -380,7 +380,7 @@
     for path in [own, players, streamers] {
         lines.extend(tap::read_records(&path)?);
     }
-    let verdict = judge(&lines).ok_or("the taps state no terms")?;
+    let verdict = check_rules(&lines).ok_or("the taps state no terms")?;
     Ok((verdict.is_clean(), verdict.table(), part))
 }
 
--- a/crates/lemontide-cli/src/tools.rs
+++ b/crates/lemontide-cli/src/tools.rs
@@ -31,7 +31,7 @@
     for path in taps {
         lines.extend(tap::read_records(path).map_err(|e| format!("{}: {e}", path.display()))?);
     }
-    let verdict = judge::judge(&lines).ok_or("no tap states the terms; name the day's own tap too")?;
+    let verdict = judge::check_rules(&lines).ok_or("no tap states the terms; name the day's own tap too")?;
     if json {
         println!("{}", serde_json::to_string(&verdict)?);
     } else {
--- a/crates/lemontide-standin/src/judge.rs
+++ b/crates/lemontide-standin/src/judge.rs
@@ -1,735 +1,856 @@
-//! The judge: reads taps and nothing else, and says of each of the six rules whether it was kept, with the
-//! lines that break it. It knows nothing of the controller; what a controller wrote of itself is held against
-//! what the other end of the socket saw.
+//! Checks the six rules of the service, and two on top, against the records of what crossed the sockets. For each
+//! rule it counts the checks and lists the records that show a violation. The records are its only input: what a
+//! controller recorded about itself is compared with what the other end of the socket recorded.
 
 use lemontide_wire::list::StreamerState;
 use lemontide_wire::tap::{ClassRules, JudgeRules, ResponseKind, TapEvent, TapOutcome, TapRecord};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Lines that the ends wrote at one moment may lie this far apart, in seconds.
-const NEAR: f64 = 0.05;
-/// Breaches of a rule that are spelled out.
-const SHOWN: usize = 5;
+/// Records of one event at two endpoints can differ in time by up to this many seconds.
+const TIME_TOLERANCE_S: f64 = 0.05;
+/// Number of violations of a rule that are listed with their records.
+const MAX_LISTED_VIOLATIONS: usize = 5;
 
+/// A violation of a rule.
 #[derive(Clone, Debug, Serialize, PartialEq)]
-pub struct Breach {
-    pub what: String,
-    /// The lines that show it.
-    pub lines: Vec<String>,
+pub struct Violation {
+    #[serde(rename = "what")]
+    pub description: String,
+    /// The records that show it, as JSON.
+    #[serde(rename = "lines")]
+    pub records: Vec<String>,
 }
 
+/// The result of all checks of one rule.
 #[derive(Clone, Debug, Serialize)]
-pub struct Rule {
+pub struct RuleResult {
     pub name: &'static str,
-    /// How many things were held against it.
-    pub checked: usize,
-    pub broken: usize,
-    /// The first breaches.
-    pub breaches: Vec<Breach>,
+    /// Number of checks made.
+    #[serde(rename = "checked")]
+    pub check_count: usize,
+    #[serde(rename = "broken")]
+    pub violation_count: usize,
+    /// The first violations.
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
 }
 
+/// How requests were answered.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Answers {
-    pub asks: usize,
-    /// Taken by a controller that went on running, by number of answers.
-    pub none: usize,
-    pub one: usize,
-    pub two: usize,
-    /// Asks that no running controller owed an answer: it was killed or stood still, or the viewer left.
+pub struct ResponseCounts {
+    #[serde(rename = "asks")]
+    pub requests: usize,
+    /// Requests accepted by a controller that stayed up, by their number of responses.
+    #[serde(rename = "none")]
+    pub unanswered: usize,
+    #[serde(rename = "one")]
+    pub answered_once: usize,
+    #[serde(rename = "two")]
+    pub answered_repeatedly: usize,
+    /// Requests that no running controller had to answer: it was killed or paused, or the viewer left.
     pub excused: usize,
     pub plays: usize,
-    pub turned_back: usize,
-    pub scrapped: usize,
+    #[serde(rename = "turned_back")]
+    pub rejected: usize,
+    #[serde(rename = "scrapped")]
+    pub failed: usize,
     pub in_time: usize,
 }
 
-/// Gain that came over gain asked for.
+/// Gain that was delivered, divided by the gain that was requested.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Service {
-    pub whole: f64,
-    pub lanes: BTreeMap<String, f64>,
+pub struct ServiceRatios {
+    #[serde(rename = "whole")]
+    pub overall: f64,
+    #[serde(rename = "lanes")]
+    pub by_class: BTreeMap<String, f64>,
     pub worst_ten_s: f64,
 }
 
+/// The result of all rules.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
-    pub rules: Vec<Rule>,
-    pub answers: Answers,
-    pub service: Service,
-    /// Set-ups that streamers got, and streamers that fell over.
+    pub rules: Vec<RuleResult>,
+    #[serde(rename = "answers")]
+    pub responses: ResponseCounts,
+    pub service: ServiceRatios,
+    /// Number of set-ups that streamers received.
     pub set_ups: usize,
-    pub fell: usize,
+    /// Number of times that a streamer crashed from overload.
+    #[serde(rename = "fell")]
+    pub streamer_crashes: usize,
 }
 
 impl Verdict {
     pub fn is_clean(&self) -> bool {
-        self.rules.iter().all(|rule| rule.broken == 0) && self.answers.none == 0 && self.answers.two == 0
+        self.rules.iter().all(|rule| rule.violation_count == 0)
+            && self.responses.unanswered == 0
+            && self.responses.answered_repeatedly == 0
     }
 
-    /// The table for people.
+    /// A table for printing.
     pub fn table(&self) -> String {
         let mut text = format!("{:<28} {:>8} {:>7}\n", "rule", "checked", "broken");
         for rule in &self.rules {
-            text += &format!("{:<28} {:>8} {:>7}\n", rule.name, rule.checked, rule.broken);
-            for breach in &rule.breaches {
-                text += &format!("  {}\n", breach.what);
-                for line in &breach.lines {
-                    text += &format!("    {line}\n");
+            text += &format!("{:<28} {:>8} {:>7}\n", rule.name, rule.check_count, rule.violation_count);
+            for violation in &rule.violations {
+                text += &format!("  {}\n", violation.description);
+                for record in &violation.records {
+                    text += &format!("    {record}\n");
                 }
             }
         }
-        let a = &self.answers;
+        let counts = &self.responses;
         text += &format!(
-            "answers: {} asks; none {}, one {}, two {}; not owed {}; plays {}, turned back {}, scrapped {}; in time {}\n",
-            a.asks, a.none, a.one, a.two, a.excused, a.plays, a.turned_back, a.scrapped, a.in_time
+            "answers: {} requests; none {}, one {}, two {}; not owed {}; plays {}, rejected {}, failed {}; in time {}\n",
+            counts.requests,
+            counts.unanswered,
+            counts.answered_once,
+            counts.answered_repeatedly,
+            counts.excused,
+            counts.plays,
+            counts.rejected,
+            counts.failed,
+            counts.in_time
         );
         text += &format!(
-            "service (stand-ins): {:.3} whole, {:.3} worst 10 s",
-            self.service.whole, self.service.worst_ten_s
+            "service (stand-ins): {:.3} overall, {:.3} worst 10 s",
+            self.service.overall, self.service.worst_ten_s
         );
-        for (lane, service) in &self.service.lanes {
-            text += &format!(", {service:.3} {lane}");
+        for (class, ratio) in &self.service.by_class {
+            text += &format!(", {ratio:.3} {class}");
         }
-        text += &format!("\nset-ups {}, streamers fallen {}\n", self.set_ups, self.fell);
+        text += &format!("\nset-ups {}, streamers crashed {}\n", self.set_ups, self.streamer_crashes);
         text
     }
 }
 
-struct Book {
-    rule: Rule,
+/// Counts the checks of one rule and collects its violations.
+struct RuleChecker {
+    result: RuleResult,
 }
 
-impl Book {
-    fn new(name: &'static str) -> Book {
-        Book { rule: Rule { name, checked: 0, broken: 0, breaches: Vec::new() } }
+impl RuleChecker {
+    fn new(name: &'static str) -> RuleChecker {
+        RuleChecker {
+            result: RuleResult { name, check_count: 0, violation_count: 0, violations: Vec::new() },
+        }
     }
 
-    fn holds(&mut self, fine: bool, what: impl FnOnce() -> String, lines: &[&TapRecord]) {
-        self.rule.checked += 1;
-        if fine {
+    fn check(&mut self, passed: bool, description: impl FnOnce() -> String, records: &[&TapRecord]) {
+        self.result.check_count += 1;
+        if passed {
             return;
         }
-        self.rule.broken += 1;
-        if self.rule.breaches.len() < SHOWN {
-            let lines = lines.iter().filter_map(|line| serde_json::to_string(line).ok()).collect();
-            self.rule.breaches.push(Breach { what: what(), lines });
+        self.result.violation_count += 1;
+        if self.result.violations.len() < MAX_LISTED_VIOLATIONS {
+            let records = records.iter().filter_map(|record| serde_json::to_string(record).ok()).collect();
+            self.result.violations.push(Violation { description: description(), records });
         }
     }
 }
 
-/// All that the taps say of one ask, in order.
+/// All records of one request, by kind and in order.
 #[derive(Default)]
-struct Ask<'a> {
-    ask: Option<&'a TapRecord>,
-    answers: Vec<&'a TapRecord>,
-    left: Option<&'a TapRecord>,
-    asked: Vec<&'a TapRecord>,
-    answered: Vec<&'a TapRecord>,
-    sent: Vec<&'a TapRecord>,
-    got: Vec<&'a TapRecord>,
-    /// Heard and given up at the controller's end, done at the streamer's.
-    over: Vec<&'a TapRecord>,
-    done: Vec<&'a TapRecord>,
-    given: Vec<&'a TapRecord>,
+struct RequestRecords<'a> {
+    request_sent: Option<&'a TapRecord>,
+    responses_received: Vec<&'a TapRecord>,
+    viewer_left: Option<&'a TapRecord>,
+    requests_received: Vec<&'a TapRecord>,
+    responses_sent: Vec<&'a TapRecord>,
+    attempts_sent: Vec<&'a TapRecord>,
+    attempts_received: Vec<&'a TapRecord>,
+    /// Outcomes that the controller received, and attempts that it abandoned.
+    ends_at_controller: Vec<&'a TapRecord>,
+    /// Ends of attempts as the streamer recorded them.
+    ends_at_streamer: Vec<&'a TapRecord>,
+    delivered: Vec<&'a TapRecord>,
 }
 
-/// Judges a day by its taps, in any order. None where the taps state no terms.
-pub fn judge(lines: &[TapRecord]) -> Option<Verdict> {
-    let mut sorted: Vec<&TapRecord> = lines.iter().collect();
+/// Checks all rules on the records of a scenario, which can be in any order. None if no record states the rules.
+pub fn check_rules(records: &[TapRecord]) -> Option<Verdict> {
+    let mut sorted: Vec<&TapRecord> = records.iter().collect();
     sorted.sort_by(|a, b| a.at.total_cmp(&b.at));
-    let terms = sorted.iter().find_map(|line| match &line.event {
-        TapEvent::Rules { rules: terms } => Some(terms),
+    let rules = sorted.iter().find_map(|record| match &record.event {
+        TapEvent::Rules { rules } => Some(rules),
         _ => None,
     })?;
-    let day = Taps::sort(&sorted, terms);
-    let (lost, answers) = day.none_lost();
+    let index = RecordIndex::new(&sorted, rules);
+    let (response_rule, responses) = index.check_responses();
     let rules = vec![
-        lost,
-        day.none_twice(),
-        day.drains_kept(),
-        day.none_pushed_over(),
-        day.terms_kept(),
-        day.rationed(),
-        day.cold_shared(),
-        day.one_heir(),
+        response_rule,
+        index.check_repeated_attempts(),
+        index.check_drains(),
+        index.check_cold_starts(),
+        index.check_class_limits(),
+        index.check_retry_budget(),
+        index.check_shared_cold_budget(),
+        index.check_turn_coverage(),
     ];
-    let set_ups = day.asks.values().map(|ask| ask.got.len()).sum();
-    let fell = sorted.iter().filter(|line| matches!(line.event, TapEvent::StreamerCrashed { .. })).count();
-    Some(Verdict { rules, answers, service: day.service(), set_ups, fell })
+    let set_ups = index.requests.values().map(|request| request.attempts_received.len()).sum();
+    let streamer_crashes =
+        sorted.iter().filter(|record| matches!(record.event, TapEvent::StreamerCrashed { .. })).count();
+    Some(Verdict { rules, responses, service: index.service(), set_ups, streamer_crashes })
 }
 
-struct Taps<'a> {
-    terms: &'a JudgeRules,
-    lines: &'a [&'a TapRecord],
-    asks: BTreeMap<&'a str, Ask<'a>>,
-    /// Moments at which each controller was killed and came up, and spans in which it stood still.
-    killed: BTreeMap<usize, Vec<f64>>,
-    up: BTreeMap<usize, Vec<f64>>,
-    paused: BTreeMap<usize, Vec<(f64, f64)>>,
+/// The records, indexed by request and by controller.
+struct RecordIndex<'a> {
+    rules: &'a JudgeRules,
+    records: &'a [&'a TapRecord],
+    requests: BTreeMap<&'a str, RequestRecords<'a>>,
+    /// For each controller: times at which it was killed, times at which it started, periods in which it was paused.
+    kills: BTreeMap<usize, Vec<f64>>,
+    starts: BTreeMap<usize, Vec<f64>>,
+    pauses: BTreeMap<usize, Vec<(f64, f64)>>,
 }
 
-/// The number of the controller that an end's name tells.
-fn controller(end: &str) -> Option<usize> {
-    end.strip_prefix("controller:")?.parse().ok()
+/// The number of a controller, from the name of its endpoint.
+fn controller_number(endpoint: &str) -> Option<usize> {
+    endpoint.strip_prefix("controller:")?.parse().ok()
 }
 
-impl<'a> Taps<'a> {
-    fn sort(lines: &'a [&'a TapRecord], terms: &'a JudgeRules) -> Taps<'a> {
-        let mut taps = Taps {
-            terms,
-            lines,
-            asks: BTreeMap::new(),
-            killed: BTreeMap::new(),
-            up: BTreeMap::new(),
-            paused: BTreeMap::new(),
+impl<'a> RecordIndex<'a> {
+    fn new(records: &'a [&'a TapRecord], rules: &'a JudgeRules) -> RecordIndex<'a> {
+        let mut index = RecordIndex {
+            rules,
+            records,
+            requests: BTreeMap::new(),
+            kills: BTreeMap::new(),
+            starts: BTreeMap::new(),
+            pauses: BTreeMap::new(),
         };
-        for line in lines.iter().copied() {
-            match &line.event {
-                TapEvent::RequestSent { request_id: ask, .. } => taps.of(ask).ask = Some(line),
-                TapEvent::ResponseReceived { request_id: ask, .. } => taps.of(ask).answers.push(line),
-                TapEvent::ViewerLeft { request_id: ask } => taps.of(ask).left = Some(line),
-                TapEvent::RequestReceived { request_id: ask, .. } => taps.of(ask).asked.push(line),
-                TapEvent::ResponseSent { request_id: ask, .. } => taps.of(ask).answered.push(line),
-                TapEvent::AttemptSent { request_id: ask, .. } => taps.of(ask).sent.push(line),
-                TapEvent::AttemptReceived { request_id: ask, .. } => taps.of(ask).got.push(line),
-                TapEvent::OutcomeReceived { request_id: ask, .. }
-                | TapEvent::AttemptAbandoned { request_id: ask, .. } => taps.of(ask).over.push(line),
-                TapEvent::AttemptEnded { request_id: ask, .. } => taps.of(ask).done.push(line),
-                TapEvent::Delivered { request_id: ask, .. } => taps.of(ask).given.push(line),
-                TapEvent::Killed { controller } => taps.killed.entry(*controller).or_default().push(line.at),
+        for record in records.iter().copied() {
+            match &record.event {
+                TapEvent::RequestSent { request_id, .. } => {
+                    index.entry(request_id).request_sent = Some(record)
+                }
+                TapEvent::ResponseReceived { request_id, .. } => {
+                    index.entry(request_id).responses_received.push(record)
+                }
+                TapEvent::ViewerLeft { request_id } => index.entry(request_id).viewer_left = Some(record),
+                TapEvent::RequestReceived { request_id, .. } => {
+                    index.entry(request_id).requests_received.push(record)
+                }
+                TapEvent::ResponseSent { request_id, .. } => {
+                    index.entry(request_id).responses_sent.push(record)
+                }
+                TapEvent::AttemptSent { request_id, .. } => {
+                    index.entry(request_id).attempts_sent.push(record)
+                }
+                TapEvent::AttemptReceived { request_id, .. } => {
+                    index.entry(request_id).attempts_received.push(record)
+                }
+                TapEvent::OutcomeReceived { request_id, .. }
+                | TapEvent::AttemptAbandoned { request_id, .. } => {
+                    index.entry(request_id).ends_at_controller.push(record)
+                }
+                TapEvent::AttemptEnded { request_id, .. } => {
+                    index.entry(request_id).ends_at_streamer.push(record)
+                }
+                TapEvent::Delivered { request_id, .. } => index.entry(request_id).delivered.push(record),
+                TapEvent::Killed { controller } => {
+                    index.kills.entry(*controller).or_default().push(record.at)
+                }
                 TapEvent::ControllerStarted { controller } => {
-                    taps.up.entry(*controller).or_default().push(line.at)
+                    index.starts.entry(*controller).or_default().push(record.at)
                 }
                 TapEvent::Paused { controller } => {
-                    taps.paused.entry(*controller).or_default().push((line.at, f64::INFINITY));
+                    index.pauses.entry(*controller).or_default().push((record.at, f64::INFINITY));
                 }
                 TapEvent::Continued { controller } => {
-                    if let Some(last) = taps.paused.entry(*controller).or_default().last_mut() {
-                        last.1 = line.at;
+                    if let Some(last) = index.pauses.entry(*controller).or_default().last_mut() {
+                        last.1 = record.at;
                     }
                 }
                 _ => {}
             }
         }
-        taps
+        index
     }
 
-    fn of(&mut self, ask: &'a str) -> &mut Ask<'a> {
-        self.asks.entry(ask).or_default()
+    fn entry(&mut self, request_id: &'a str) -> &mut RequestRecords<'a> {
+        self.requests.entry(request_id).or_default()
     }
 
-    fn lane(&self, name: &str) -> Option<&ClassRules> {
-        self.terms.classes.iter().find(|lane| lane.name == name)
+    fn class_rules(&self, name: &str) -> Option<&ClassRules> {
+        self.rules.classes.iter().find(|class| class.name == name)
     }
 
-    /// Whether the controller was killed, or stood still, at some moment of this span.
-    fn was_off(&self, controller: usize, from: f64, to: f64) -> bool {
-        let killed = self.killed.get(&controller).into_iter().flatten();
-        let paused = self.paused.get(&controller).into_iter().flatten();
-        killed.clone().any(|at| (from - NEAR..=to + NEAR).contains(at))
-            || paused.clone().any(|(since, until)| *since <= to + NEAR && *until >= from - NEAR)
+    /// Whether the controller was killed or paused at any time in this period.
+    fn was_unavailable(&self, controller: usize, from: f64, to: f64) -> bool {
+        let killed = self.kills.get(&controller).into_iter().flatten();
+        let paused = self.pauses.get(&controller).into_iter().flatten();
+        killed.clone().any(|at| (from - TIME_TOLERANCE_S..=to + TIME_TOLERANCE_S).contains(at))
+            || paused
+                .clone()
+                .any(|(since, until)| *since <= to + TIME_TOLERANCE_S && *until >= from - TIME_TOLERANCE_S)
     }
 
-    /// 1: every ask that a running controller took has exactly one answer before the viewer's time is up.
-    fn none_lost(&self) -> (Rule, Answers) {
-        let mut book = Book::new("no subscription lost");
-        let mut answers = Answers::default();
-        for (name, ask) in &self.asks {
-            let Some(line) = ask.ask else {
-                // Nobody asked this: an answer to it is one too many.
-                if let Some(answered) = ask.answered.first() {
-                    book.holds(false, || format!("{name}: answered, never asked"), &[answered]);
+    /// Rule 1: each request that a running controller accepted gets exactly one response before its deadline.
+    fn check_responses(&self) -> (RuleResult, ResponseCounts) {
+        let mut checker = RuleChecker::new("no subscription lost");
+        let mut counts = ResponseCounts::default();
+        for (name, request) in &self.requests {
+            let Some(record) = request.request_sent else {
+                // No player sent this request, so any response to it is a violation.
+                if let Some(response) = request.responses_sent.first() {
+                    checker.check(false, || format!("{name}: answered, but never requested"), &[response]);
                 }
                 continue;
             };
-            let TapEvent::RequestSent { controller, latency_goal: goal, deadline: cut_off, .. } = &line.event
-            else {
+            let TapEvent::RequestSent { controller, latency_goal, deadline, .. } = &record.event else {
                 continue;
             };
-            answers.asks += 1;
-            let last = cut_off + self.terms.answer_slack_s;
-            let said = |kind: ResponseKind| {
-                ask.answers.iter().any(
-                    |line| matches!(&line.event, TapEvent::ResponseReceived { kind: k, .. } if *k == kind),
+            counts.requests += 1;
+            let answer_by = deadline + self.rules.answer_slack_s;
+            let received = |kind: ResponseKind| {
+                request.responses_received.iter().any(
+                    |record| matches!(&record.event, TapEvent::ResponseReceived { kind: k, .. } if *k == kind),
                 )
             };
-            answers.plays += usize::from(said(ResponseKind::Plays));
-            answers.turned_back += usize::from(said(ResponseKind::Rejected));
-            answers.scrapped += usize::from(said(ResponseKind::Failed));
-            let real: Vec<&&TapRecord> = ask
-                .answers
+            counts.plays += usize::from(received(ResponseKind::Plays));
+            counts.rejected += usize::from(received(ResponseKind::Rejected));
+            counts.failed += usize::from(received(ResponseKind::Failed));
+            let responses: Vec<&&TapRecord> = request
+                .responses_received
                 .iter()
-                .filter(|line| {
-                    !matches!(&line.event, TapEvent::ResponseReceived { kind: ResponseKind::NoResponse, .. })
+                .filter(|record| {
+                    !matches!(
+                        &record.event,
+                        TapEvent::ResponseReceived { kind: ResponseKind::NoResponse, .. }
+                    )
                 })
                 .collect();
-            answers.in_time +=
-                usize::from(said(ResponseKind::Plays) && real.iter().any(|line| line.at <= *goal));
-            let left_early = ask.left.is_some_and(|left| left.at < *cut_off - NEAR);
-            let off = self.was_off(*controller, line.at, last);
-            // A connection that failed where no controller had taken the ask: nobody owes an answer.
-            let not_taken = ask.asked.is_empty() && real.is_empty() && said(ResponseKind::NoResponse);
-            let twice = real.len() > 1 || ask.answered.len() > 1;
-            let in_time = real.first().is_some_and(|line| line.at <= last);
-            if !twice && !in_time && (left_early || off || not_taken) {
-                answers.excused += 1;
+            counts.in_time += usize::from(
+                received(ResponseKind::Plays) && responses.iter().any(|record| record.at <= *latency_goal),
+            );
+            let left_early = request.viewer_left.is_some_and(|left| left.at < *deadline - TIME_TOLERANCE_S);
+            let unavailable = self.was_unavailable(*controller, record.at, answer_by);
+            // The connection failed before any controller received the request, so none has to answer it.
+            let not_received = request.requests_received.is_empty()
+                && responses.is_empty()
+                && received(ResponseKind::NoResponse);
+            let repeated = responses.len() > 1 || request.responses_sent.len() > 1;
+            let in_time = responses.first().is_some_and(|record| record.at <= answer_by);
+            if !repeated && !in_time && (left_early || unavailable || not_received) {
+                counts.excused += 1;
                 continue;
             }
-            match (real.len(), twice) {
-                (_, true) => answers.two += 1,
-                (0, _) => answers.none += 1,
-                _ => answers.one += 1,
+            match (responses.len(), repeated) {
+                (_, true) => counts.answered_repeatedly += 1,
+                (0, _) => counts.unanswered += 1,
+                _ => counts.answered_once += 1,
             }
-            let lines: Vec<&TapRecord> = [line]
+            let records: Vec<&TapRecord> = [record]
                 .into_iter()
-                .chain(ask.asked.iter().copied())
-                .chain(ask.answers.iter().copied())
+                .chain(request.requests_received.iter().copied())
+                .chain(request.responses_received.iter().copied())
                 .collect();
-            let what = || match (real.len(), twice) {
+            let description = || match (responses.len(), repeated) {
                 (_, true) => format!("{name}: more than one answer"),
                 (0, _) => format!("{name}: no answer"),
-                _ => format!("{name}: answered after the viewer's time was up"),
+                _ => format!("{name}: answered after its deadline"),
             };
-            book.holds(in_time && !twice, what, &lines);
+            checker.check(in_time && !repeated, description, &records);
         }
-        (book.rule, answers)
+        (checker.result, counts)
     }
 
-    /// When a shot was over for the controller that sent it, as far as its end says; and whether the streamer
-    /// sent it back unseen.
-    fn over(&self, ask: &Ask<'a>, of: u32, streamer: &str, sent: f64) -> (Option<f64>, bool) {
-        let mut over: Option<f64> = None;
-        let mut back = false;
-        for line in &ask.over {
-            let ends = match &line.event {
-                TapEvent::OutcomeReceived { attempt: shot, outcome: how, .. } if *shot == of => {
-                    back |= *how == TapOutcome::Refused;
-                    // A shot that plays is not over, but it is answered: no other may follow it.
-                    *how != TapOutcome::Served
+    /// When an attempt ended for the controller that sent it, by the controller's own records; and whether that
+    /// controller received a refusal from the streamer.
+    fn attempt_end(
+        &self,
+        request: &RequestRecords<'a>,
+        number: u32,
+        streamer: &str,
+        sent_at: f64,
+    ) -> (Option<f64>, bool) {
+        let mut ended_at: Option<f64> = None;
+        let mut refused = false;
+        for record in &request.ends_at_controller {
+            let is_end = match &record.event {
+                TapEvent::OutcomeReceived { attempt, outcome, .. } if *attempt == number => {
+                    refused |= *outcome == TapOutcome::Refused;
+                    // A session that plays has not ended, but its request is answered, so no further attempt is allowed.
+                    *outcome != TapOutcome::Served
                 }
-                TapEvent::AttemptAbandoned { attempt: shot, .. } if *shot == of => true,
+                TapEvent::AttemptAbandoned { attempt, .. } if *attempt == number => true,
                 _ => false,
             };
-            if ends && line.at >= sent {
-                over = Some(over.map_or(line.at, |at: f64| at.min(line.at)));
+            if is_end && record.at >= sent_at {
+                ended_at = Some(ended_at.map_or(record.at, |at: f64| at.min(record.at)));
             }
         }
-        let lost = self.lines.iter().find(|line| {
-            line.at >= sent && matches!(&line.event, TapEvent::LinkLost { streamer: s } if s == streamer)
+        let lost = self.records.iter().find(|record| {
+            record.at >= sent_at
+                && matches!(&record.event, TapEvent::LinkLost { streamer: s } if s == streamer)
         });
-        let lost = lost.map(|line| line.at);
-        (over.into_iter().chain(lost).reduce(f64::min), back)
+        let lost_at = lost.map(|record| record.at);
+        (ended_at.into_iter().chain(lost_at).reduce(f64::min), refused)
     }
 
-    /// 2: a paid subscription is sent again or turned back only when each earlier shot provably never ran, and
-    /// no subscription has two shots out at once.
-    fn none_twice(&self) -> Rule {
-        let mut book = Book::new("no set-up twice");
-        for (name, ask) in &self.asks {
+    /// Rule 2: a request of an at-most-once class is retried or rejected only if each earlier attempt provably never
+    /// ran, and no request has two attempts in progress at once.
+    fn check_repeated_attempts(&self) -> RuleResult {
+        let mut checker = RuleChecker::new("no set-up twice");
+        for (name, request) in &self.requests {
             let mut arrived = BTreeMap::new();
-            for line in &ask.got {
-                let TapEvent::AttemptReceived { streamer, attempt: shot, .. } = &line.event else { continue };
-                let before = arrived.insert((streamer, shot), *line);
-                let lines: Vec<&TapRecord> = before.into_iter().chain([*line]).collect();
-                book.holds(
+            for record in &request.attempts_received {
+                let TapEvent::AttemptReceived { streamer, attempt, .. } = &record.event else { continue };
+                let before = arrived.insert((streamer, attempt), *record);
+                let records: Vec<&TapRecord> = before.into_iter().chain([*record]).collect();
+                checker.check(
                     before.is_none(),
-                    || format!("{name}: shot {shot} reached {streamer} twice"),
-                    &lines,
+                    || format!("{name}: attempt {attempt} reached {streamer} twice"),
+                    &records,
                 );
-                let sent = ask.sent.iter().any(|line| {
-                    matches!(&line.event, TapEvent::AttemptSent { streamer: s, attempt: n, .. } if s == streamer && n == shot)
+                let sent = request.attempts_sent.iter().any(|record| {
+                    matches!(&record.event, TapEvent::AttemptSent { streamer: s, attempt: n, .. } if s == streamer && n == attempt)
                 });
-                book.holds(
+                checker.check(
                     sent,
-                    || format!("{name}: shot {shot} reached {streamer}, no one sent it"),
-                    &[line],
+                    || format!("{name}: attempt {attempt} reached {streamer}, but no controller sent it"),
+                    &[record],
                 );
             }
-            let paid = ask.ask.or(ask.sent.first().copied()).is_some_and(|line| match &line.event {
-                TapEvent::RequestSent { class: lane, .. } | TapEvent::AttemptSent { class: lane, .. } => {
-                    self.lane(lane).is_none_or(|lane| lane.at_most_once)
-                }
-                _ => false,
-            });
-            for (i, line) in ask.sent.iter().enumerate() {
-                for earlier in &ask.sent[..i] {
-                    let TapEvent::AttemptSent { attempt: shot, streamer, .. } = &earlier.event else {
+            let at_most_once =
+                request.request_sent.or(request.attempts_sent.first().copied()).is_some_and(|record| {
+                    match &record.event {
+                        TapEvent::RequestSent { class, .. } | TapEvent::AttemptSent { class, .. } => {
+                            self.class_rules(class).is_none_or(|class| class.at_most_once)
+                        }
+                        _ => false,
+                    }
+                });
+            for (i, record) in request.attempts_sent.iter().enumerate() {
+                for earlier in &request.attempts_sent[..i] {
+                    let TapEvent::AttemptSent { attempt, streamer, .. } = &earlier.event else {
                         continue;
                     };
-                    let (over, back) = self.over(ask, *shot, streamer, earlier.at);
-                    let fine = over.is_some_and(|over| over <= line.at);
-                    book.holds(
-                        fine,
-                        || format!("{name}: sent again while shot {shot} is out"),
-                        &[earlier, line],
+                    let (ended_at, refused) = self.attempt_end(request, *attempt, streamer, earlier.at);
+                    let ended_before = ended_at.is_some_and(|ended_at| ended_at <= record.at);
+                    checker.check(
+                        ended_before,
+                        || format!("{name}: retried while attempt {attempt} was in progress"),
+                        &[earlier, record],
                     );
-                    if paid {
-                        let what = || format!("{name}: paid, sent again though shot {shot} may have run");
-                        book.holds(back && self.went_back(ask, *shot), what, &[earlier, line]);
+                    if at_most_once {
+                        let description = || {
+                            format!(
+                                "{name}: at most once, but retried although attempt {attempt} can have run"
+                            )
+                        };
+                        checker.check(
+                            refused && self.was_refused(request, *attempt),
+                            description,
+                            &[earlier, record],
+                        );
                     }
                 }
             }
-            let turned_back = ask.answered.iter().find(|line| {
-                matches!(&line.event, TapEvent::ResponseSent { kind: ResponseKind::Rejected, .. })
+            let rejection = request.responses_sent.iter().find(|record| {
+                matches!(&record.event, TapEvent::ResponseSent { kind: ResponseKind::Rejected, .. })
             });
-            if let (true, Some(answer)) = (paid, turned_back) {
-                for line in &ask.sent {
-                    let TapEvent::AttemptSent { attempt: shot, .. } = &line.event else { continue };
-                    let what = || format!("{name}: paid, turned back though shot {shot} may have run");
-                    book.holds(self.went_back(ask, *shot), what, &[line, answer]);
+            if let (true, Some(response)) = (at_most_once, rejection) {
+                for record in &request.attempts_sent {
+                    let TapEvent::AttemptSent { attempt, .. } = &record.event else { continue };
+                    let description = || {
+                        format!("{name}: at most once, but rejected although attempt {attempt} can have run")
+                    };
+                    checker.check(self.was_refused(request, *attempt), description, &[record, response]);
                 }
             }
         }
-        book.rule
+        checker.result
     }
 
-    /// Whether the streamer itself sent the shot back unseen.
-    fn went_back(&self, ask: &Ask<'a>, of: u32) -> bool {
-        ask.done
+    /// Whether the streamer itself recorded that it refused the attempt without running it.
+    fn was_refused(&self, request: &RequestRecords<'a>, number: u32) -> bool {
+        request.ends_at_streamer
             .iter()
-            .any(|line| matches!(&line.event, TapEvent::AttemptEnded { attempt: shot, outcome: TapOutcome::Refused, .. } if *shot == of))
+            .any(|record| matches!(&record.event, TapEvent::AttemptEnded { attempt, outcome: TapOutcome::Refused, .. } if *attempt == number))
     }
 
-    /// What a controller had been told of a streamer by some moment, of its present run: since when it must
-    /// not be sent to, and the latest start.
-    fn told(&self, of: usize, name: &str, by: f64) -> (Option<&'a TapRecord>, Option<f64>) {
-        let since =
-            self.up.get(&of).into_iter().flatten().filter(|up| **up <= by).fold(0.0, |a: f64, b| a.max(*b));
-        let (mut shut, mut latest) = (None, None::<f64>);
-        for line in self.lines.iter().filter(|line| line.at >= since && line.at <= by) {
-            let TapEvent::ListChangeReceived { streamer, state: stage, started_at: started } = &line.event
-            else {
+    /// What a controller knew of a streamer by a given time, from the list changes that it received since its own last
+    /// start: the change since which it must not send there, if any, and the latest start of the streamer.
+    fn known_state(&self, number: usize, name: &str, by: f64) -> (Option<&'a TapRecord>, Option<f64>) {
+        let since = self
+            .starts
+            .get(&number)
+            .into_iter()
+            .flatten()
+            .filter(|start| **start <= by)
+            .fold(0.0, |a: f64, b| a.max(*b));
+        let (mut not_ready_since, mut last_start) = (None, None::<f64>);
+        for record in self.records.iter().filter(|record| record.at >= since && record.at <= by) {
+            let TapEvent::ListChangeReceived { streamer, state, started_at } = &record.event else {
                 continue;
             };
-            if streamer != name || controller(&line.endpoint) != Some(of) {
+            if streamer != name || controller_number(&record.endpoint) != Some(number) {
                 continue;
             }
-            if *stage == StreamerState::Ready {
-                shut = None;
+            if *state == StreamerState::Ready {
+                not_ready_since = None;
             } else {
-                shut = shut.or(Some(*line));
+                not_ready_since = not_ready_since.or(Some(*record));
             }
-            latest = latest.into_iter().chain(*started).reduce(f64::max);
+            last_start = last_start.into_iter().chain(*started_at).reduce(f64::max);
         }
-        (shut, latest)
+        (not_ready_since, last_start)
     }
 
-    /// 3: nothing new to a streamer later than the grace after the controller was told that it drains or is gone.
-    fn drains_kept(&self) -> Rule {
-        let mut book = Book::new("drains kept");
-        let told = self.lines.iter().filter_map(|line| match &line.event {
-            TapEvent::ListChangeReceived { streamer, state: stage, .. } if *stage != StreamerState::Ready => {
+    /// Rule 3: no new attempt to a streamer later than the grace period after the controller received that it drains or
+    /// is gone.
+    fn check_drains(&self) -> RuleResult {
+        let mut checker = RuleChecker::new("drains kept");
+        let changed = self.records.iter().filter_map(|record| match &record.event {
+            TapEvent::ListChangeReceived { streamer, state, .. } if *state != StreamerState::Ready => {
                 Some(streamer.as_str())
             }
             _ => None,
         });
-        let ever: BTreeSet<&str> = told.collect();
-        for (name, ask) in &self.asks {
-            for line in &ask.sent {
-                let TapEvent::AttemptSent { streamer, .. } = &line.event else { continue };
-                let Some(of) = controller(&line.endpoint) else { continue };
-                let shut =
-                    if ever.contains(streamer.as_str()) { self.told(of, streamer, line.at).0 } else { None };
-                let late = shut.filter(|shut| line.at > shut.at + self.terms.drain_grace_s);
-                let lines: Vec<&TapRecord> = late.into_iter().chain([*line]).collect();
-                book.holds(
+        let ever_not_ready: BTreeSet<&str> = changed.collect();
+        for (name, request) in &self.requests {
+            for record in &request.attempts_sent {
+                let TapEvent::AttemptSent { streamer, .. } = &record.event else { continue };
+                let Some(number) = controller_number(&record.endpoint) else { continue };
+                let not_ready_since = if ever_not_ready.contains(streamer.as_str()) {
+                    self.known_state(number, streamer, record.at).0
+                } else {
+                    None
+                };
+                let late = not_ready_since.filter(|since| record.at > since.at + self.rules.drain_grace_s);
+                let records: Vec<&TapRecord> = late.into_iter().chain([*record]).collect();
+                checker.check(
                     late.is_none(),
                     || format!("{name}: sent to {streamer}, which drains or is gone"),
-                    &lines,
+                    &records,
                 );
             }
         }
-        book.rule
+        checker.result
     }
 
-    /// 4: set-ups that a streamer got while it was cold, against what it can take in any window of that length.
-    fn none_pushed_over(&self) -> Rule {
-        let mut book = Book::new("no cold streamer pushed over");
-        let cold = &self.terms.cold_start;
-        let mut got: BTreeMap<&str, Vec<&TapRecord>> = BTreeMap::new();
-        for line in self.lines {
-            if let TapEvent::AttemptReceived { streamer, .. } = &line.event {
-                got.entry(streamer).or_default().push(line);
+    /// Rule 4: attempts that a streamer received while it was cold, against its capacity in each sliding window. A window
+    /// over budget is a violation only if the senders of more than half of its attempts knew of the start.
+    fn check_cold_starts(&self) -> RuleResult {
+        let mut checker = RuleChecker::new("no cold streamer pushed over");
+        let cold = &self.rules.cold_start;
+        let mut received: BTreeMap<&str, Vec<&TapRecord>> = BTreeMap::new();
+        for record in self.records {
+            if let TapEvent::AttemptReceived { streamer, .. } = &record.event {
+                received.entry(streamer).or_default().push(record);
             }
         }
-        for line in self.lines {
-            let TapEvent::StreamerStarted { streamer, started_at: started } = &line.event else { continue };
-            let all = got.get(streamer.as_str()).map_or(&[][..], |got| got);
-            let here: Vec<&&TapRecord> =
-                all.iter().filter(|got| got.at >= *started && got.at < started + cold.warm_up_s).collect();
-            for (i, last) in here.iter().enumerate() {
+        for record in self.records {
+            let TapEvent::StreamerStarted { streamer, started_at } = &record.event else { continue };
+            let all = received.get(streamer.as_str()).map_or(&[][..], |received| received);
+            let while_cold: Vec<&&TapRecord> = all
+                .iter()
+                .filter(|attempt| attempt.at >= *started_at && attempt.at < started_at + cold.warm_up_s)
+                .collect();
+            for (i, last) in while_cold.iter().enumerate() {
                 let window: Vec<&&&TapRecord> =
-                    here[..=i].iter().filter(|got| last.at - got.at <= cold.window_s).collect();
+                    while_cold[..=i].iter().filter(|attempt| last.at - attempt.at <= cold.window_s).collect();
                 let warmth = cold.initial_part
-                    + (1.0 - cold.initial_part) * (last.at - started) / cold.warm_up_s.max(1e-3);
+                    + (1.0 - cold.initial_part) * (last.at - started_at) / cold.warm_up_s.max(1e-3);
                 let budget = cold.overload_multiple * cold.max_streams / cold.warm_up_s.max(1e-3)
                     * warmth.min(1.0)
                     * cold.window_s;
-                // Some slack for chance: one set-up.
-                let over = window.len() as f64 > budget + 1.0;
-                let knew = window.iter().filter(|got| self.knew(got, streamer, *started)).count();
-                let blame = over && knew * 2 > window.len();
-                let what = || {
+                // One attempt of slack, for randomness.
+                let over_budget = window.len() as f64 > budget + 1.0;
+                let informed = window
+                    .iter()
+                    .filter(|attempt| self.sender_knew_start(attempt, streamer, *started_at))
+                    .count();
+                let violated = over_budget && informed * 2 > window.len();
+                let description = || {
                     let count = window.len();
                     format!("{streamer}: {count} set-ups within {} s, {budget:.1} allowed", cold.window_s)
                 };
-                let lines: Vec<&TapRecord> =
-                    [*line].into_iter().chain(window.iter().map(|got| **got as &TapRecord)).collect();
-                book.holds(!blame, what, &lines);
+                let records: Vec<&TapRecord> = [*record]
+                    .into_iter()
+                    .chain(window.iter().map(|attempt| **attempt as &TapRecord))
+                    .collect();
+                checker.check(!violated, description, &records);
             }
         }
-        book.rule
+        checker.result
     }
 
-    /// Beside rule 4, over all controllers together: what those sent who knew of a streamer's start, in any window while
-    /// it was cold, against what it can take then. Held against the moments at which set-ups left, as turns are.
-    fn cold_shared(&self) -> Rule {
-        let mut book = Book::new("cold budget shared out");
-        let cold = &self.terms.cold_start;
+    /// In addition to rule 4, over all controllers together: attempts sent by controllers that knew of a streamer's start,
+    /// in any window while it was cold, against its capacity. Uses the times at which attempts were sent, since turns
+    /// are assigned by these.
+    fn check_shared_cold_budget(&self) -> RuleResult {
+        let mut checker = RuleChecker::new("cold budget shared out");
+        let cold = &self.rules.cold_start;
         let mut sent: BTreeMap<&str, Vec<(usize, &TapRecord)>> = BTreeMap::new();
-        for line in self.lines {
-            if let (TapEvent::AttemptSent { streamer, .. }, Some(of)) =
-                (&line.event, controller(&line.endpoint))
+        for record in self.records {
+            if let (TapEvent::AttemptSent { streamer, .. }, Some(number)) =
+                (&record.event, controller_number(&record.endpoint))
             {
-                sent.entry(streamer).or_default().push((of, line));
+                sent.entry(streamer).or_default().push((number, record));
             }
         }
-        for line in self.lines {
-            let TapEvent::StreamerStarted { streamer, started_at: started } = &line.event else { continue };
+        for record in self.records {
+            let TapEvent::StreamerStarted { streamer, started_at } = &record.event else { continue };
             let all = sent.get(streamer.as_str()).map_or(&[][..], |sent| sent);
-            let there = |at: f64| at >= *started && at < started + cold.warm_up_s;
-            let knew = |of: &usize, at: f64| self.knew_start(*of, streamer, *started, at);
-            let here: Vec<&TapRecord> = all
+            let is_cold = |at: f64| at >= *started_at && at < started_at + cold.warm_up_s;
+            let knew = |number: &usize, at: f64| self.knew_start(*number, streamer, *started_at, at);
+            let while_cold: Vec<&TapRecord> = all
                 .iter()
-                .filter(|(of, line)| there(line.at) && knew(of, line.at))
-                .map(|(_, line)| *line)
+                .filter(|(number, record)| is_cold(record.at) && knew(number, record.at))
+                .map(|(_, record)| *record)
                 .collect();
-            for (i, last) in here.iter().enumerate() {
-                let window: Vec<&TapRecord> =
-                    here[..=i].iter().filter(|sent| last.at - sent.at <= cold.window_s).copied().collect();
+            for (i, last) in while_cold.iter().enumerate() {
+                let window: Vec<&TapRecord> = while_cold[..=i]
+                    .iter()
+                    .filter(|sent| last.at - sent.at <= cold.window_s)
+                    .copied()
+                    .collect();
                 let warmth = cold.initial_part
-                    + (1.0 - cold.initial_part) * (last.at - started) / cold.warm_up_s.max(1e-3);
+                    + (1.0 - cold.initial_part) * (last.at - started_at) / cold.warm_up_s.max(1e-3);
                 let budget = cold.overload_multiple * cold.max_streams / cold.warm_up_s.max(1e-3)
                     * warmth.min(1.0)
                     * cold.window_s;
-                let what = || {
+                let description = || {
                     let count = window.len();
                     format!(
-                        "{streamer}: {count} sent within {} s by all together, {budget:.1} allowed",
+                        "{streamer}: {count} sent within {} s by all controllers together, {budget:.1} allowed",
                         cold.window_s
                     )
                 };
-                let lines: Vec<&TapRecord> = [*line].into_iter().chain(window.iter().copied()).collect();
-                book.holds(window.len() as f64 <= budget + 1.0, what, &lines);
+                let records: Vec<&TapRecord> = [*record].into_iter().chain(window.iter().copied()).collect();
+                checker.check(window.len() as f64 <= budget + 1.0, description, &records);
             }
         }
-        book.rule
+        checker.result
     }
 
-    /// Turns of a missing controller are taken by one other at a time, whatever each sees of the fleet.
-    fn one_heir(&self) -> Rule {
-        let mut book = Book::new("one heir a number");
-        // Who stands for a number, from when, and until when it does by its last word.
-        let mut stands: BTreeMap<u32, Vec<(usize, f64, f64, &TapRecord)>> = BTreeMap::new();
-        for line in self.lines {
-            let (of, numbers, until) = match &line.event {
-                TapEvent::TurnsCovered { controllers: numbers, until } => {
-                    (controller(&line.endpoint), &numbers[..], *until)
+    /// The turns of a missing controller are covered by one other controller at a time, whichever instances each of them
+    /// considers present.
+    fn check_turn_coverage(&self) -> RuleResult {
+        let mut checker = RuleChecker::new("one heir a number");
+        // For each number: which controller covers it, from when, and until when by its last record.
+        let mut coverage: BTreeMap<u32, Vec<(usize, f64, f64, &TapRecord)>> = BTreeMap::new();
+        for record in self.records {
+            let (number, covered, until) = match &record.event {
+                TapEvent::TurnsCovered { controllers, until } => {
+                    (controller_number(&record.endpoint), &controllers[..], *until)
                 }
-                TapEvent::Killed { controller } => (Some(*controller), &[][..], line.at),
+                TapEvent::Killed { controller } => (Some(*controller), &[][..], record.at),
                 _ => continue,
             };
-            let Some(of) = of else { continue };
-            for spans in stands.values_mut() {
-                for span in spans.iter_mut().filter(|span| span.0 == of && span.2 > line.at) {
-                    span.2 = line.at;
+            let Some(number) = number else { continue };
+            for periods in coverage.values_mut() {
+                for period in periods.iter_mut().filter(|period| period.0 == number && period.2 > record.at) {
+                    period.2 = record.at;
                 }
             }
-            for number in numbers {
-                let spans = stands.entry(*number).or_default();
-                match spans.iter_mut().find(|span| span.0 == of && span.2 >= line.at) {
-                    Some(span) => span.2 = until,
-                    None => spans.push((of, line.at, until, line)),
+            for missing in covered {
+                let periods = coverage.entry(*missing).or_default();
+                match periods.iter_mut().find(|period| period.0 == number && period.2 >= record.at) {
+                    Some(period) => period.2 = until,
+                    None => periods.push((number, record.at, until, record)),
                 }
             }
         }
-        for (number, spans) in stands {
-            for (i, later) in spans.iter().enumerate() {
-                let both = spans[..i]
-                    .iter()
-                    .find(|span| span.0 != later.0 && span.2.min(later.2) > span.1.max(later.1) + NEAR);
-                let lines: Vec<&TapRecord> = both.into_iter().map(|span| span.3).chain([later.3]).collect();
-                book.holds(both.is_none(), || format!("two stand for controller {number}"), &lines);
+        for (missing, periods) in coverage {
+            for (i, later) in periods.iter().enumerate() {
+                let overlapping = periods[..i].iter().find(|period| {
+                    period.0 != later.0 && period.2.min(later.2) > period.1.max(later.1) + TIME_TOLERANCE_S
+                });
+                let records: Vec<&TapRecord> =
+                    overlapping.into_iter().map(|period| period.3).chain([later.3]).collect();
+                checker.check(
+                    overlapping.is_none(),
+                    || format!("two controllers cover the turns of controller {missing}"),
+                    &records,
+                );
             }
         }
-        book.rule
+        checker.result
     }
 
-    /// Whether the controller that sent this set-up knew of the streamer's start.
-    fn knew(&self, got: &TapRecord, name: &str, started: f64) -> bool {
-        let TapEvent::AttemptReceived { controller: of, .. } = &got.event else { return false };
-        self.knew_start(*of, name, started, got.at)
+    /// Whether the controller that sent this attempt knew of the streamer's start.
+    fn sender_knew_start(&self, received: &TapRecord, name: &str, started_at: f64) -> bool {
+        let TapEvent::AttemptReceived { controller, .. } = &received.event else { return false };
+        self.knew_start(*controller, name, started_at, received.at)
     }
 
-    /// Whether a controller knew of a streamer's start by some moment: it was told, it saw the old process break, or
-    /// it came up later itself.
-    fn knew_start(&self, of: usize, name: &str, started: f64, by: f64) -> bool {
-        let told = self.told(of, name, by).1;
-        let up = self.up.get(&of).into_iter().flatten().any(|up| *up >= started && *up <= by);
-        let witness = self.lines.iter().any(|line| {
-            let lost = matches!(&line.event, TapEvent::LinkLost { streamer } if streamer == name);
-            lost && controller(&line.endpoint) == Some(of) && (started - 60.0..=by).contains(&line.at)
+    /// Whether a controller knew of a streamer's start by a given time: it received the list change, it lost its link
+    /// to the old process, or it started later than the streamer.
+    fn knew_start(&self, number: usize, name: &str, started_at: f64, by: f64) -> bool {
+        let known_start = self.known_state(number, name, by).1;
+        let started_later =
+            self.starts.get(&number).into_iter().flatten().any(|start| *start >= started_at && *start <= by);
+        let lost_link = self.records.iter().any(|record| {
+            let lost = matches!(&record.event, TapEvent::LinkLost { streamer } if streamer == name);
+            lost && controller_number(&record.endpoint) == Some(number)
+                && (started_at - 60.0..=by).contains(&record.at)
         });
-        up || witness || told.is_some_and(|told| told >= started - NEAR)
+        started_later || lost_link || known_start.is_some_and(|start| start >= started_at - TIME_TOLERANCE_S)
     }
 
-    /// 5: never under a lane's floor, and never more subscriptions of one title and lane than seats.
-    fn terms_kept(&self) -> Rule {
-        let mut book = Book::new("terms kept");
-        let floor = |lane: &str| self.lane(lane).map_or(0, |lane| lane.min_rung);
-        /// Seats taken and given back, with the line of the set-up.
-        type Seats<'a> = Vec<(f64, i64, &'a TapRecord)>;
-        let mut seats: BTreeMap<(usize, &str, &str), Seats> = BTreeMap::new();
-        for line in self.lines {
-            let (lane, rung) = match &line.event {
-                TapEvent::AttemptReceived { class: lane, rung, .. }
-                | TapEvent::RungChanged { class: lane, rung, .. } => (lane, *rung),
+    /// Rule 5: no rung under a class's minimum, and no more sessions of a title and class at one controller than the
+    /// class allows.
+    fn check_class_limits(&self) -> RuleResult {
+        let mut checker = RuleChecker::new("terms kept");
+        let min_rung = |class: &str| self.class_rules(class).map_or(0, |class| class.min_rung);
+        /// Changes of the number of sessions, each with the record of the attempt.
+        type SessionChanges<'a> = Vec<(f64, i64, &'a TapRecord)>;
+        let mut sessions: BTreeMap<(usize, &str, &str), SessionChanges> = BTreeMap::new();
+        for record in self.records {
+            let (class, rung) = match &record.event {
+                TapEvent::AttemptReceived { class, rung, .. } | TapEvent::RungChanged { class, rung, .. } => {
+                    (class, *rung)
+                }
                 _ => continue,
             };
-            book.holds(rung >= floor(lane), || format!("rung {rung} is under the floor of {lane}"), &[line]);
+            let description = || format!("rung {rung} is under the minimum of class {class}");
+            checker.check(rung >= min_rung(class), description, &[record]);
         }
-        for ask in self.asks.values() {
-            for line in &ask.sent {
-                let TapEvent::AttemptSent { attempt: shot, streamer, class: lane, title, .. } = &line.event
-                else {
+        for request in self.requests.values() {
+            for record in &request.attempts_sent {
+                let TapEvent::AttemptSent { attempt, streamer, class, title, .. } = &record.event else {
                     continue;
                 };
-                let (Some(of), true) = (
-                    controller(&line.endpoint),
-                    self.lane(lane).is_some_and(|lane| lane.max_sessions_per_title > 0),
+                let (Some(number), true) = (
+                    controller_number(&record.endpoint),
+                    self.class_rules(class).is_some_and(|class| class.max_sessions_per_title > 0),
                 ) else {
                     continue;
                 };
-                let (over, _) = self.over(ask, *shot, streamer, line.at);
-                let done = ask.done.iter().find(
-                    |line| matches!(&line.event, TapEvent::AttemptEnded { attempt: n, .. } if n == shot),
+                let (ended_at, _) = self.attempt_end(request, *attempt, streamer, record.at);
+                let ended = request.ends_at_streamer.iter().find(
+                    |record| matches!(&record.event, TapEvent::AttemptEnded { attempt: n, .. } if n == attempt),
                 );
-                let killed = self.killed.get(&of).into_iter().flatten().find(|at| **at >= line.at).copied();
-                let ends = [over, done.map(|done| done.at), killed].into_iter().flatten().reduce(f64::min);
-                let taken = seats.entry((of, lane, title)).or_default();
-                taken.push((line.at, 1, line));
-                taken.push((ends.unwrap_or(f64::INFINITY), -1, line));
+                let killed =
+                    self.kills.get(&number).into_iter().flatten().find(|at| **at >= record.at).copied();
+                let ends =
+                    [ended_at, ended.map(|ended| ended.at), killed].into_iter().flatten().reduce(f64::min);
+                let changes = sessions.entry((number, class, title)).or_default();
+                changes.push((record.at, 1, record));
+                changes.push((ends.unwrap_or(f64::INFINITY), -1, record));
             }
         }
-        for ((of, lane, title), mut taken) in seats {
-            // At one moment a seat is given back before it is taken.
-            taken.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-            let most = self.lane(lane).map_or(0, |lane| lane.max_sessions_per_title) as i64;
-            let mut held = 0;
-            for (_, change, line) in taken {
-                held += change;
-                let what =
-                    || format!("controller {of} holds {held} of {title} in {lane}, which has {most} seats");
+        for ((number, class, title), mut changes) in sessions {
+            // At equal times the end of a session counts before the start of another.
+            changes.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+            let max_sessions = self.class_rules(class).map_or(0, |class| class.max_sessions_per_title) as i64;
+            let mut count = 0;
+            for (_, change, record) in changes {
+                count += change;
+                let description = || {
+                    format!("controller {number} has {count} sessions of {title} in class {class}, {max_sessions} allowed")
+                };
                 if change > 0 {
-                    book.holds(held <= most, what, &[line]);
+                    checker.check(count <= max_sessions, description, &[record]);
                 }
             }
         }
-        book.rule
+        checker.result
     }
 
-    /// 6: in any window, a controller's shots beyond each subscription's first stay within the ration.
-    fn rationed(&self) -> Rule {
-        let mut book = Book::new("shots rationed");
-        let Some(ration) = &self.terms.retry_budget else { return book.rule };
-        let mut taken: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
-        let mut further: BTreeMap<usize, Vec<&TapRecord>> = BTreeMap::new();
-        for line in self.lines {
-            let Some(of) = controller(&line.endpoint) else { continue };
-            match &line.event {
-                TapEvent::RequestReceived { .. } => taken.entry(of).or_default().push(line.at),
-                TapEvent::AttemptSent { attempt: shot, .. } if *shot > 0 => {
-                    further.entry(of).or_default().push(line)
+    /// Rule 6: in any window, a controller's attempts beyond each request's first one stay within the retry budget.
+    fn check_retry_budget(&self) -> RuleResult {
+        let mut checker = RuleChecker::new("shots rationed");
+        let Some(budget) = &self.rules.retry_budget else { return checker.result };
+        let mut requests: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
+        let mut retries: BTreeMap<usize, Vec<&TapRecord>> = BTreeMap::new();
+        for record in self.records {
+            let Some(number) = controller_number(&record.endpoint) else { continue };
+            match &record.event {
+                TapEvent::RequestReceived { .. } => requests.entry(number).or_default().push(record.at),
+                TapEvent::AttemptSent { attempt, .. } if *attempt > 0 => {
+                    retries.entry(number).or_default().push(record)
                 }
                 _ => {}
             }
         }
-        for (of, lines) in further {
+        for (number, records) in retries {
             let none = Vec::new();
-            let taken = taken.get(&of).unwrap_or(&none);
-            let ups = self.up.get(&of).cloned().unwrap_or_default();
-            for (i, line) in lines.iter().enumerate() {
-                let since = ups.iter().filter(|up| **up <= line.at).fold(0.0, |a: f64, b| a.max(*b));
-                let from = (line.at - ration.window_s).max(since);
-                let made = lines[..=i].iter().filter(|other| other.at > from + NEAR).count();
-                let took = taken.iter().filter(|at| **at >= from - NEAR && **at <= line.at + NEAR).count();
-                let most = ration.min_retries + ration.request_share * took as f64;
-                let what = || format!("controller {of}: {made} further shots, {took} subscriptions taken");
-                book.holds(made as f64 <= most, what, &[line]);
+            let received = requests.get(&number).unwrap_or(&none);
+            let starts = self.starts.get(&number).cloned().unwrap_or_default();
+            for (i, record) in records.iter().enumerate() {
+                let last_start =
+                    starts.iter().filter(|start| **start <= record.at).fold(0.0, |a: f64, b| a.max(*b));
+                let from = (record.at - budget.window_s).max(last_start);
+                let retry_count =
+                    records[..=i].iter().filter(|other| other.at > from + TIME_TOLERANCE_S).count();
+                let request_count = received
+                    .iter()
+                    .filter(|at| **at >= from - TIME_TOLERANCE_S && **at <= record.at + TIME_TOLERANCE_S)
+                    .count();
+                let allowed = budget.min_retries + budget.request_share * request_count as f64;
+                let description = || {
+                    format!("controller {number}: {retry_count} retries, {request_count} requests received")
+                };
+                checker.check(retry_count as f64 <= allowed, description, &[record]);
             }
         }
-        book.rule
+        checker.result
     }
 
-    /// Gain of what played, set up within the latency goal, over the gain of what viewers wanted.
-    fn service(&self) -> Service {
-        let mut sums: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
-        let mut seconds: BTreeMap<i64, (f64, f64)> = BTreeMap::new();
-        // A viewer's later tries ask for what its first one asked for already.
-        let mut firsts: BTreeMap<&str, &TapRecord> = BTreeMap::new();
-        for line in self.lines {
-            if let TapEvent::RequestSent { viewer, .. } = &line.event {
-                firsts.entry(viewer).or_insert(line);
+    /// Gain of the sessions that were set up within their latency goal, divided by the gain of all that viewers wanted.
+    fn service(&self) -> ServiceRatios {
+        // In each pair the first number is the gain earned, the second the gain wanted.
+        let mut by_class: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
+        let mut by_second: BTreeMap<i64, (f64, f64)> = BTreeMap::new();
+        // A viewer's retries ask for what its first request already asked for, so only the first counts.
+        let mut first_requests: BTreeMap<&str, &TapRecord> = BTreeMap::new();
+        for record in self.records {
+            if let TapEvent::RequestSent { viewer, .. } = &record.event {
+                first_requests.entry(viewer).or_insert(record);
             }
         }
-        for line in firsts.values() {
-            let TapEvent::RequestSent { class: lane, max_rung: top, wanted_s: wanted, .. } = &line.event
-            else {
+        for record in first_requests.values() {
+            let TapEvent::RequestSent { class, max_rung, wanted_s, .. } = &record.event else {
                 continue;
             };
-            let gain = self.lane(lane).map_or(1.0, |lane| lane.gain);
-            let worth = gain * self.terms.gain_by_rung.get(*top).copied().unwrap_or(1.0);
-            sums.entry(lane).or_default().1 += worth * wanted;
-            let mut at = line.at;
-            let end = line.at + wanted;
+            let class_gain = self.class_rules(class).map_or(1.0, |class| class.gain);
+            let gain_per_s = class_gain * self.rules.gain_by_rung.get(*max_rung).copied().unwrap_or(1.0);
+            by_class.entry(class).or_default().1 += gain_per_s * wanted_s;
+            let mut at = record.at;
+            let end = record.at + wanted_s;
             while at < end {
                 let next = (at.floor() + 1.0).min(end);
-                seconds.entry(at.floor() as i64).or_default().1 += worth * (next - at);
+                by_second.entry(at.floor() as i64).or_default().1 += gain_per_s * (next - at);
                 at = next;
             }
         }
-        for ask in self.asks.values() {
-            let Some(line) = ask.ask else { continue };
-            let TapEvent::RequestSent { class: lane, latency_goal: goal, .. } = &line.event else { continue };
-            let plays = ask.answers.iter().find(|line| {
-                matches!(&line.event, TapEvent::ResponseReceived { kind: ResponseKind::Plays, .. })
+        for request in self.requests.values() {
+            let Some(record) = request.request_sent else { continue };
+            let TapEvent::RequestSent { class, latency_goal, .. } = &record.event else { continue };
+            let plays = request.responses_received.iter().find(|record| {
+                matches!(&record.event, TapEvent::ResponseReceived { kind: ResponseKind::Plays, .. })
             });
-            if plays.is_none_or(|plays| plays.at > *goal) {
+            if plays.is_none_or(|plays| plays.at > *latency_goal) {
                 continue;
             }
-            let gain = self.lane(lane).map_or(1.0, |lane| lane.gain);
-            for line in &ask.given {
-                let TapEvent::Delivered { rung, seconds: lasted, share, .. } = &line.event else { continue };
-                let rung = self.terms.gain_by_rung.get(*rung).copied().unwrap_or(0.0);
-                let lost = self.terms.shortfall_cost * (0.98 - share).max(0.0);
-                let earned = gain * rung * lasted * (1.0 - lost).max(0.0);
-                sums.entry(lane).or_default().0 += earned;
-                seconds.entry((line.at - lasted / 2.0).floor() as i64).or_default().0 += earned;
+            let class_gain = self.class_rules(class).map_or(1.0, |class| class.gain);
+            for record in &request.delivered {
+                let TapEvent::Delivered { rung, seconds, share, .. } = &record.event else { continue };
+                let rung_gain = self.rules.gain_by_rung.get(*rung).copied().unwrap_or(0.0);
+                let lost = self.rules.shortfall_cost * (0.98 - share).max(0.0);
+                let earned = class_gain * rung_gain * seconds * (1.0 - lost).max(0.0);
+                by_class.entry(class).or_default().0 += earned;
+                by_second.entry((record.at - seconds / 2.0).floor() as i64).or_default().0 += earned;
             }
         }
-        let ratio = |(earned, asked): (f64, f64)| if asked > 0.0 { earned / asked } else { 1.0 };
-        let whole = ratio(sums.values().fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1)));
-        let moments: Vec<i64> = seconds.keys().copied().collect();
-        let window = |from: i64| {
-            let parts = seconds.range(from..from + 10).map(|(_, part)| *part);
+        let ratio = |(earned, wanted): (f64, f64)| if wanted > 0.0 { earned / wanted } else { 1.0 };
+        let overall = ratio(by_class.values().fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1)));
+        let seconds: Vec<i64> = by_second.keys().copied().collect();
+        let window_ratio = |from: i64| {
+            let parts = by_second.range(from..from + 10).map(|(_, part)| *part);
             ratio(parts.fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1)))
         };
-        let (first, last) = (moments.first().copied().unwrap_or(0), moments.last().copied().unwrap_or(0));
-        let worst_ten_s = (first..=(last - 9).max(first)).map(window).fold(f64::INFINITY, f64::min);
-        Service {
-            whole,
-            lanes: sums.iter().map(|(lane, sum)| ((*lane).to_owned(), ratio(*sum))).collect(),
+        let (first, last) = (seconds.first().copied().unwrap_or(0), seconds.last().copied().unwrap_or(0));
+        let worst_ten_s = (first..=(last - 9).max(first)).map(window_ratio).fold(f64::INFINITY, f64::min);
+        ServiceRatios {
+            overall,
+            by_class: by_class.iter().map(|(class, sums)| ((*class).to_owned(), ratio(*sums))).collect(),
             worst_ten_s: if worst_ten_s.is_finite() { worst_ten_s } else { 1.0 },
         }
     }
--- a/crates/lemontide-standin/src/soak/front.rs
+++ b/crates/lemontide-standin/src/soak/front.rs
@@ -2,7 +2,7 @@
 //! verdict.
 
 use crate::day::{Day, DayTenant, Trouble, What};
-use crate::judge::{judge, Verdict};
+use crate::judge::{check_rules, Verdict};
 use crate::run::{self, How};
 use lemontide_wire::tap;
 use rand::rngs::StdRng;
@@ -106,7 +106,7 @@
     for file in finished.taps.iter().filter(|file| file.exists()) {
         lines.extend(tap::read_records(file)?);
     }
-    let verdict = judge(&lines).ok_or_else(|| io::Error::other("the taps state no terms"))?;
+    let verdict = check_rules(&lines).ok_or_else(|| io::Error::other("the taps state no terms"))?;
     let result = if verdict.is_clean() { "no rule broken" } else { "a rule broken" };
     let summary = format!(
         "front seed {seed}: {controllers} controllers, {} viewers, {}: {result}",
