--- a/crates/lemontide-cli/src/day.rs
+++ b/crates/lemontide-cli/src/day.rs
@@ -4,8 +4,8 @@
 use lemontide_standin::day::Day;
 use lemontide_standin::import::import;
 use lemontide_standin::judge::check_rules;
-use lemontide_standin::run::{self, How};
-use lemontide_standin::streamer::{Fault, Fleet};
+use lemontide_standin::run::{self, RunOptions};
+use lemontide_standin::streamer::{Defect, Fleet};
 use lemontide_wire::clock::Clock;
 use lemontide_wire::tap::{self, Tap};
 use std::path::{Path, PathBuf};
@@ -84,13 +84,13 @@
         return Err(format!("{}: a day lies there already; name an empty folder", folder.display()).into());
     }
     let folder = std::path::absolute(folder)?;
-    let fault = fault.map(|fault| match fault {
-        Meddle::Duplicates => Fault::Duplicates,
-        Meddle::Swallows => Fault::Swallows,
+    let defect = fault.map(|fault| match fault {
+        Meddle::Duplicates => Defect::DuplicateSetUps,
+        Meddle::Swallows => Defect::LostResponses,
     });
     let (name, about) = (day.name.clone(), day.about.clone());
     let sizes = (day.controllers.len(), day.streamers.len());
-    let how = How { program: std::env::current_exe()?, folder, fault };
+    let how = RunOptions { program: std::env::current_exe()?, folder, defect };
     let ran = runtime()?.block_on(run::run(day, how))?;
     let mut lines = Vec::new();
     for tap in &ran.taps {
--- a/crates/lemontide-cli/src/measure/gossip.rs
+++ b/crates/lemontide-cli/src/measure/gossip.rs
@@ -2,9 +2,9 @@
 //! at large sizes in virtual time.
 
 use crate::Outcome;
-use lemontide_standin::day::{Day, DayGossip, What};
+use lemontide_standin::day::{Day, DayGossip, FaultKind};
 use lemontide_standin::judge::{check_rules, Verdict};
-use lemontide_standin::run::{self, How};
+use lemontide_standin::run::{self, RunOptions};
 use lemontide_standin::simulated_network::{instance_name, NetworkConfig, SimulatedNetwork};
 use lemontide_wire::tap::{self, TapRecord};
 use serde_json::{json, Value};
@@ -48,13 +48,15 @@
 fn play(day: &Day, gossip: Option<DayGossip>, folder: &Path) -> Result<Run, Failed> {
     let mut day = day.clone();
     day.gossip = gossip;
-    let trouble = day.troubles.iter().find_map(|trouble| match &trouble.what {
-        What::QuickErrors { on, .. } => Some((trouble.at_s, trouble.at_s + trouble.for_s, on.clone())),
+    let trouble = day.faults.iter().find_map(|trouble| match &trouble.kind {
+        FaultKind::QuickErrors { on, .. } => {
+            Some((trouble.at_s, trouble.at_s + trouble.duration_s, on.clone()))
+        }
         _ => None,
     });
     let (from, to, on) = trouble.ok_or("the day has no quick errors, which this measures")?;
     let failing: BTreeSet<String> = on.iter().map(|at| day.streamers[*at].name.clone()).collect();
-    let how = How { program: std::env::current_exe()?, folder: folder.to_owned(), fault: None };
+    let how = RunOptions { program: std::env::current_exe()?, folder: folder.to_owned(), defect: None };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     let ran = runtime.block_on(run::run(day, how))?;
     let mut lines: Vec<TapRecord> = Vec::new();
@@ -158,7 +160,7 @@
     if !args.towns_only {
         let day = Day::read(&args.day)?;
         let scratch = tempfile::tempdir()?;
-        let with = |liar| Some(DayGossip { bytes_per_s: args.budget, liar, period_s: 1.0 });
+        let with = |liar| Some(DayGossip { bytes_per_s: args.budget, has_lying_member: liar, period_s: 1.0 });
         println!(
             "{} controllers, {} streamers (stand-ins), the same day three times",
             day.controllers.len(),
--- a/crates/lemontide-cli/src/measure/shedding.rs
+++ b/crates/lemontide-cli/src/measure/shedding.rs
@@ -358,7 +358,7 @@
         (folder.join("own.tap"), folder.join("players.tap"), folder.join("streamers.tap"));
     let clock = Clock::start();
     let tap = Tap::open(&players, clock, "player")?;
-    tap.record(TapEvent::Rules { rules: rig.day.terms() });
+    tap.record(TapEvent::Rules { rules: rig.day.judge_rules() });
     let fleet = rig.runtime.block_on(Fleet::start(
         &rig.day,
         clock,
@@ -387,12 +387,12 @@
 pub fn run(args: &Args) -> Outcome {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     let mut day = roomy_day(1, 20)?;
-    let mut free = day.lanes[0].clone();
-    free.lane.name = "free".into();
-    day.lanes[0].lane.gain = args.gain;
-    day.lanes.push(free);
-    for lane in &mut day.lanes {
-        (lane.lane.latency_goal_s, lane.lane.deadline_s) = (GOAL_S, CUT_OFF_S);
+    let mut free = day.classes[0].clone();
+    free.class.name = "free".into();
+    day.classes[0].class.gain = args.gain;
+    day.classes.push(free);
+    for lane in &mut day.classes {
+        (lane.class.latency_goal_s, lane.class.deadline_s) = (GOAL_S, CUT_OFF_S);
     }
     let clock = Clock::start();
     let fleet = runtime.block_on(Fleet::start(&day, clock, Tap::disabled(clock), None))?;
--- a/crates/lemontide-standin/src/day.rs
+++ b/crates/lemontide-standin/src/day.rs
@@ -1,7 +1,7 @@
-//! A day as it is written down: the fleet as it really is, what controllers are told of it, the viewers, and
-//! the troubles. JSON with a schema; lengths in seconds, rates in kB a second.
+//! A day: the scenario file of a run on loopback. It holds the fleet as it really is, the settings that controllers
+//! get, the viewers, and the faults to inject. It is JSON with a schema; durations are in seconds, rates in kB/s.
 
-use crate::relay::End;
+use crate::relay::Endpoint;
 use lemontide_front::settings::{
     read_json, AttemptSettings, ChargeSettings, ClassSettings, ColdStartSettings, CoordinationSettings,
     FleetSettings, Ladder, LinkSettings, LoadReportSettings, ProbeSettings, ProcessLimits, RepeatPolicy,
@@ -15,63 +15,72 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
+/// A scenario: fleet, viewers and faults of one run.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Day {
     pub name: String,
-    /// Where it comes from and what was scaled; for people.
+    /// Origin of the day and what was scaled, for readers.
     #[serde(default)]
     pub about: String,
     pub seed: u64,
-    /// Viewers come for so long; the day goes on until the last of them is through.
+    /// New viewers arrive for this long; the run goes on until the last one has finished.
     pub length_s: f64,
     pub zones: Vec<String>,
-    /// The zone of each controller. Each runs as a process of its own.
+    /// The zone of each controller. Each controller runs as its own process.
     pub controllers: Vec<String>,
     pub streamers: Vec<Streamer>,
-    /// What the uplink of each rack really carries.
+    /// The real capacity of each rack's uplink, in kB/s.
     pub uplinks_kb: Vec<f64>,
-    /// Streams of a streamer at most, and what controllers are told of links.
+    /// The machine kind of all streamers.
     pub kind: String,
-    pub places: f64,
+    /// Maximum number of streams on one streamer.
+    #[serde(rename = "places")]
+    pub max_streams: f64,
+    /// Link capacity for each unit of weight that controllers are configured with, in kB/s.
     pub kb_per_weight: f64,
     pub cells: usize,
     pub titles: BTreeMap<String, Title>,
-    pub lanes: Vec<DayLane>,
+    #[serde(rename = "lanes")]
+    pub classes: Vec<DayClass>,
     #[serde(default)]
     pub tenants: Vec<DayTenant>,
     #[serde(default)]
     pub over_share_gain: f64,
     pub ladder: Ladder,
-    /// Points of gain lost for each point of the rate that is missing under 98 in 100.
+    /// Factor from the part of the rate that is missing below 0.98 to the part of the gain that is lost.
     pub shortfall_cost: f64,
     pub viewers: Viewers,
     pub reports: Reports,
-    pub news: News,
-    pub shots: AttemptSettings,
+    #[serde(rename = "news")]
+    pub list_delays: ListDelays,
+    #[serde(rename = "shots")]
+    pub attempts: AttemptSettings,
     pub retry_after: RetryAfterSettings,
-    #[serde(default)]
-    pub looks: ProbeSettings,
+    #[serde(rename = "looks", default)]
+    pub probes: ProbeSettings,
     #[serde(default)]
     pub charges: ChargeSettings,
-    pub cold: ColdStartSettings,
-    #[serde(default)]
-    pub ration: Option<RetryBudgetSettings>,
+    #[serde(rename = "cold")]
+    pub cold_start: ColdStartSettings,
+    #[serde(rename = "ration", default)]
+    pub retry_budget: Option<RetryBudgetSettings>,
     pub links: LinkSettings,
     pub rules: Rules,
-    /// Controllers gossip, where this is there; the users' own share nothing.
+    /// Gossip between controllers; if absent, controllers share nothing.
     #[serde(default)]
     pub gossip: Option<DayGossip>,
-    /// How controllers act as many, where they share turns and streamers out.
-    #[serde(default)]
-    pub together: Option<CoordinationSettings>,
-    /// Names for some controllers and streamers, for troubles between them.
+    /// How controllers coordinate, if they share out turns and streamers.
+    #[serde(rename = "together", default)]
+    pub coordination: Option<CoordinationSettings>,
+    /// Named groups of controllers and streamers, for faults between them.
     #[serde(default)]
     pub groups: BTreeMap<String, Group>,
-    #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    #[serde(rename = "troubles", default)]
+    pub faults: Vec<FaultWindow>,
 }
 
+/// A streamer of the day.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Streamer {
@@ -79,34 +88,40 @@
     pub zone: String,
     pub cell: usize,
     pub weight: f64,
-    /// What its link really carries.
+    /// The real capacity of its link, in kB/s.
     pub link_kb: f64,
-    /// Not there at the start: a spare that a removal brings in.
+    /// Not running at the start: a spare that a removal starts.
     #[serde(default)]
     pub spare: bool,
 }
 
+/// Placement and popularity of a title.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Title {
-    pub home: usize,
-    pub copies: usize,
-    /// Part of the viewers who want it, next to the others' parts.
+    #[serde(rename = "home")]
+    pub first_cell: usize,
+    #[serde(rename = "copies")]
+    pub replicas: usize,
+    /// Part of the viewers who want it, relative to the parts of the other titles.
     pub share: f64,
 }
 
+/// A class of requests and the viewers who make them.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
-pub struct DayLane {
+#[schemars(rename = "DayLane")]
+pub struct DayClass {
     #[serde(flatten)]
-    pub lane: ClassSettings,
+    pub class: ClassSettings,
     /// Part of the viewers.
     pub share: f64,
     /// Shortest and longest time that a viewer watches.
     pub watched_s: (f64, f64),
-    /// Mean work of a set-up at a warm streamer.
+    /// Mean duration of a set-up at a warm streamer.
     pub set_up_s: f64,
 }
 
+/// A tenant and its part of the viewers.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct DayTenant {
@@ -116,37 +131,39 @@
     pub share: f64,
 }
 
+/// How viewers behave.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Viewers {
-    /// New viewers a second.
+    /// New viewers per second.
     pub per_s: f64,
-    /// Part that comes again after a break or a turn-back, and after how long.
+    /// Part that retries after a lost session or a rejection, and after what delay.
     pub returns: f64,
     pub rejoin_s: f64,
-    /// Part that can't use the two upper rungs.
+    /// Part that can't use the two highest rungs.
     #[serde(default)]
     pub small_screens: f64,
-    /// Part that leaves before the answer.
+    /// Part that leaves before the response.
     #[serde(default)]
     pub impatient: f64,
     /// Part that stops watching half way.
     #[serde(default)]
     pub leave_early: f64,
-    /// Part that closes its half of the connection behind its wish, and part that resets it before the answer.
+    /// Part that closes its half of the connection after sending the request, and part that resets the connection
+    /// before the response.
     #[serde(default)]
     pub close_half: f64,
     #[serde(default)]
     pub reset: f64,
-    /// How far viewers lean to some controllers: 0 evenly, 1 very much.
-    #[serde(default)]
-    pub lean: f64,
-    /// How long viewers go on coming to a dead controller.
-    #[serde(default)]
-    pub notice_s: f64,
+    /// How unevenly viewers choose among controllers, from 0 (evenly) to 1.
+    #[serde(rename = "lean", default)]
+    pub controller_bias: f64,
+    /// How long viewers keep sending requests to a dead controller.
+    #[serde(rename = "notice_s", default)]
+    pub failover_delay_s: f64,
 }
 
-/// How late and noisy streamers' reports are.
+/// Delay, interval, noise and contents of the streamers' load reports.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Reports {
@@ -161,34 +178,36 @@
     pub rack: bool,
 }
 
-/// How late the list of streamers knows.
+/// Delays until the list of streamers shows a change.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct News {
-    /// Of a process that ended or drains, of one that went silent, of one that started.
+#[schemars(rename = "News")]
+pub struct ListDelays {
+    /// Delay for a process that ended or drains, for one that stopped responding, and for one that started.
     pub ended_s: f64,
     pub silent_s: f64,
     pub started_s: f64,
 }
 
+/// Gossip between the controllers of the day.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct DayGossip {
-    /// Bytes that may leave each controller in any second.
+    /// Maximum number of gossip bytes that each controller sends in any second.
     pub bytes_per_s: usize,
-    /// A member that calls every streamer failing and every other member dead.
-    #[serde(default)]
-    pub liar: bool,
-    /// One member is probed in this time.
-    #[serde(default = "period")]
+    /// Adds a member that reports every streamer as failing and every other member as dead.
+    #[serde(rename = "liar", default)]
+    pub has_lying_member: bool,
+    /// Interval in which each member probes one other member.
+    #[serde(default = "default_period_s")]
     pub period_s: f64,
 }
 
-fn period() -> f64 {
+fn default_period_s() -> f64 {
     1.0
 }
 
-/// Places in the day's lists of controllers and streamers.
+/// Indices into the day's lists of controllers and streamers.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Group {
@@ -196,23 +215,28 @@
     pub streamers: Vec<usize>,
 }
 
-/// What happens to traffic on its way. Gossip's datagrams meet all of it; on links to streamers a lost piece is sent
-/// again a moment later, and nothing is doubled or reordered.
+/// Network faults on a path. All of them apply to gossip datagrams. On links to streamers a lost piece is delivered a
+/// moment later, as after a retransmission, and nothing is duplicated or reordered.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
-pub struct Harm {
-    /// Parts from 0 to 1 that get lost, come twice, or come after their successors.
+#[schemars(rename = "Harm")]
+pub struct Impairment {
+    /// Parts from 0 to 1 that are lost, duplicated, or delivered after later ones.
     pub loss: f64,
-    pub doubled: f64,
+    #[serde(rename = "doubled")]
+    pub duplicated: f64,
     pub reordered: f64,
     /// Shortest and longest delay.
     pub delay_s: (f64, f64),
-    /// Nothing passes; links break, and no new one comes up.
-    pub cut: bool,
-    /// Nothing passes for now; links stay open, and what was held comes when it is over.
-    pub still: bool,
+    /// Nothing passes; links are closed, and new ones can't be opened.
+    #[serde(rename = "cut")]
+    pub blocked: bool,
+    /// Nothing passes for now; links stay open, and held traffic is delivered when the fault ends.
+    #[serde(rename = "still")]
+    pub stalled: bool,
 }
 
+/// Tolerances of the rule checks.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
@@ -220,184 +244,196 @@
     pub drain_grace_s: f64,
 }
 
-/// Something that goes wrong, from `at_s` on.
+/// A fault that is injected from `at_s` on, for `for_s`.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
-pub struct Trouble {
+#[schemars(rename = "Trouble")]
+pub struct FaultWindow {
     pub at_s: f64,
-    pub for_s: f64,
+    #[serde(rename = "for_s")]
+    pub duration_s: f64,
     #[serde(flatten)]
-    pub what: What,
+    pub kind: FaultKind,
 }
 
-/// Numbers under `on` are places in the day's list of streamers, or of controllers where it says so.
+/// Kinds of faults; the soak prints their names. Numbers under `on` are indices into the day's list of streamers, or of controllers where the kind
+/// is about controllers.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum What {
-    /// Set-ups fail at once, with this chance.
+#[schemars(rename = "What")]
+pub enum FaultKind {
+    /// Set-ups fail at once, with this probability.
     QuickErrors { on: Vec<usize>, share: f64 },
-    /// Takes work and answers nothing; streams get nothing.
+    /// The streamer accepts set-ups and answers none; its streams deliver nothing.
     Hang { on: Vec<usize> },
-    /// Falls silent with no reset, and comes back cold.
+    /// The streamer stops sending without a reset, and restarts cold.
     Vanish { on: Vec<usize> },
-    /// The link gives so many times less.
+    /// The capacity of the link is divided by `times`.
     SlowLink { on: Vec<usize>, times: f64 },
-    /// Uplinks of racks give so many times less.
+    /// The capacity of the racks' uplinks is divided by `times`.
     WeakUplink { racks: Vec<usize>, times: f64 },
-    /// Notes and reports come later than usual.
+    /// Load reports are delayed further.
     LateReports { by_s: f64 },
-    /// The work is done, the answer is lost: in silence, or with a reset of the link.
+    /// The set-up runs and its response is lost: silently, or with a reset of the link.
     AnswersLost { on: Vec<usize>, share: f64, reset: bool },
-    /// Drains at the start, is dead after the notice; spares start so much later.
+    /// The streamer drains from the start of the fault and is killed after the notice; spares start
+    /// `spares_after_s` later.
     Removal { on: Vec<usize>, notice_s: f64, spares: Vec<usize>, spares_after_s: f64 },
-    /// Slows down, then dies and comes back cold.
+    /// The streamer gets slower, then dies and restarts cold.
     Ageing { on: Vec<usize> },
-    /// Accepts, talks, and never reads.
+    /// The streamer accepts connections and sends, but never reads.
     Deaf { on: Vec<usize> },
-    /// This part of new viewers wants these titles.
+    /// This part of the new viewers wants these titles.
     Crowd { titles: Vec<String>, share: f64 },
-    /// Controllers are killed and started again after a while, one after the other over `for_s`.
+    /// Controllers are killed one after the other over `for_s`, and each is started again after `down_s`.
     KillControllers { on: Vec<usize>, down_s: f64 },
-    /// Controllers that are not there before come one after the other over `for_s`.
+    /// Controllers that were not running start one after the other over `for_s`.
     JoinControllers { on: Vec<usize> },
-    /// Controllers leave in order, one after the other over `for_s`, and do not come back.
+    /// Controllers stop in order, one after the other over `for_s`, and do not return.
     LeaveControllers { on: Vec<usize> },
-    /// Traffic from one group to another suffers, and back where that is said.
+    /// Traffic from one group to another is impaired, and with `both_ways` also in the other direction.
     Between {
         from: String,
         to: String,
         #[serde(default)]
         both_ways: bool,
-        harm: Harm,
+        #[serde(rename = "harm")]
+        impairment: Impairment,
     },
-    /// Controllers stand still for `for_s`.
+    /// Controllers are paused for `for_s`.
     PauseControllers { on: Vec<usize> },
 }
 
 impl Day {
-    /// Reads and checks a day; an error names file, path and remedy.
+    /// Reads and checks a day. An error names the file, the path of the value and how to fix it.
     pub fn read(file: &Path) -> Result<Day, SettingsError> {
         let day: Day = read_json(file)?;
-        let wrong = |(path, what)| SettingsError { file: file.to_owned(), path, problem: what };
-        day.check().map_err(wrong)?;
+        let error = |(path, problem)| SettingsError { file: file.to_owned(), path, problem };
+        day.check().map_err(error)?;
         let mut settings = day.settings(0, Path::new("list.json"), None, 0);
-        // Keys and addresses are made when the day is played.
+        // Keys and addresses of gossip are created when the day is run.
         if day.gossip.is_some() {
             settings.coordination = None;
         }
-        settings.check().map_err(wrong)?;
+        settings.check().map_err(error)?;
         Ok(day)
     }
 
-    /// How the values must fit each other, beyond what settings of a controller ask for.
+    /// Checks the values against each other, beyond the checks of a controller's settings. The error holds the path of the
+    /// value and the problem.
     pub fn check(&self) -> Result<(), (String, String)> {
-        let wrong = |path: String, what: &str| Err((path, what.to_owned()));
+        let error = |path: String, problem: &str| Err((path, problem.to_owned()));
         if !(self.length_s > 0.0 && self.length_s <= 600.0) {
-            return wrong("length_s".into(), "a day lasts over 0 and up to 600 s");
+            return error("length_s".into(), "the length must be over 0 and at most 600 s");
         }
         if self.controllers.is_empty() || self.controllers.len() > 64 {
-            return wrong(
+            return error(
                 "controllers".into(),
-                "name the zones of 1 to 64 controllers: each is a process here",
+                "list the zones of 1 to 64 controllers; each runs as a process",
             );
         }
         if self.streamers.is_empty() || self.uplinks_kb.is_empty() || self.titles.is_empty() {
-            return wrong("streamers".into(), "a day needs streamers, uplinks and titles");
+            return error("streamers".into(), "a day needs streamers, uplinks and titles");
         }
         if let Some(i) = self.controllers.iter().position(|zone| !self.zones.contains(zone)) {
-            return wrong(format!("controllers[{i}]"), "its zone is none of `zones`");
+            return error(format!("controllers[{i}]"), "the zone is not in `zones`");
         }
         for (i, streamer) in self.streamers.iter().enumerate() {
             if streamer.cell >= self.cells || !self.zones.contains(&streamer.zone) {
-                return wrong(
+                return error(
                     format!("streamers[{i}]"),
-                    "its cell must be under `cells`, its zone one of `zones`",
+                    "the cell must be less than `cells`, and the zone must be in `zones`",
                 );
             }
             if self.streamers[..i].iter().any(|other| other.name == streamer.name) {
-                return wrong(format!("streamers[{i}].name"), "another streamer has this name");
+                return error(format!("streamers[{i}].name"), "another streamer has this name");
             }
         }
         for (name, group) in &self.groups {
-            let past = |of: &[usize], most: usize| of.iter().any(|number| *number >= most);
-            if past(&group.controllers, self.controllers.len())
-                || past(&group.streamers, self.streamers.len())
+            let out_of_range = |of: &[usize], count: usize| of.iter().any(|number| *number >= count);
+            if out_of_range(&group.controllers, self.controllers.len())
+                || out_of_range(&group.streamers, self.streamers.len())
             {
-                return wrong(format!("groups.{name}"), "a number is past the end of what it counts");
+                return error(format!("groups.{name}"), "a number is past the end of its list");
             }
         }
-        for (i, trouble) in self.troubles.iter().enumerate() {
-            let count = self.streamers.len();
-            let (on, most) = match &trouble.what {
-                What::QuickErrors { on, .. }
-                | What::Hang { on }
-                | What::Vanish { on }
-                | What::SlowLink { on, .. }
-                | What::AnswersLost { on, .. }
-                | What::Removal { on, .. }
-                | What::Ageing { on }
-                | What::Deaf { on } => (on, count),
-                What::WeakUplink { racks, .. } => (racks, self.uplinks_kb.len()),
-                What::KillControllers { on, .. }
-                | What::PauseControllers { on }
-                | What::JoinControllers { on }
-                | What::LeaveControllers { on } => (on, self.controllers.len()),
-                What::Between { from, to, harm, .. } => {
+        for (i, fault) in self.faults.iter().enumerate() {
+            let streamer_count = self.streamers.len();
+            let (on, count) = match &fault.kind {
+                FaultKind::QuickErrors { on, .. }
+                | FaultKind::Hang { on }
+                | FaultKind::Vanish { on }
+                | FaultKind::SlowLink { on, .. }
+                | FaultKind::AnswersLost { on, .. }
+                | FaultKind::Removal { on, .. }
+                | FaultKind::Ageing { on }
+                | FaultKind::Deaf { on } => (on, streamer_count),
+                FaultKind::WeakUplink { racks, .. } => (racks, self.uplinks_kb.len()),
+                FaultKind::KillControllers { on, .. }
+                | FaultKind::PauseControllers { on }
+                | FaultKind::JoinControllers { on }
+                | FaultKind::LeaveControllers { on } => (on, self.controllers.len()),
+                FaultKind::Between { from, to, impairment, .. } => {
                     if let Some(name) = [from, to].into_iter().find(|name| !self.groups.contains_key(*name)) {
-                        let what = format!("there is no group {name}; name it under `groups`");
-                        return Err((format!("troubles[{i}]"), what));
+                        let problem = format!("there is no group {name}; define it under `groups`");
+                        return Err((format!("troubles[{i}]"), problem));
                     }
-                    let parts = [harm.loss, harm.doubled, harm.reordered];
-                    let (least, most) = harm.delay_s;
+                    let parts = [impairment.loss, impairment.duplicated, impairment.reordered];
+                    let (min, max) = impairment.delay_s;
                     if !parts.iter().all(|part| (0.0..=1.0).contains(part))
-                        || !(0.0..=60.0).contains(&least)
-                        || !(least..=60.0).contains(&most)
+                        || !(0.0..=60.0).contains(&min)
+                        || !(min..=60.0).contains(&max)
                     {
-                        let what = "parts lie between 0 and 1, delays between 0 and 60 s, the shorter first";
-                        return wrong(format!("troubles[{i}].harm"), what);
+                        let problem = "parts must be between 0 and 1, delays between 0 and 60 s with the shorter one first";
+                        return error(format!("troubles[{i}].harm"), problem);
                     }
                     continue;
                 }
-                What::LateReports { .. } | What::Crowd { .. } => continue,
+                FaultKind::LateReports { .. } | FaultKind::Crowd { .. } => continue,
             };
-            if on.iter().any(|number| *number >= most) {
-                return wrong(format!("troubles[{i}].on"), "a number is past the end of what it counts");
+            if on.iter().any(|number| *number >= count) {
+                return error(format!("troubles[{i}].on"), "a number is past the end of its list");
             }
         }
         Ok(())
     }
 
-    /// Whether a controller is there from the start, and not only from the time on at which it joins.
-    pub fn starts_with(&self, controller: usize) -> bool {
-        let joins = |what: &What| matches!(what, What::JoinControllers { on } if on.contains(&controller));
-        !self.troubles.iter().any(|trouble| joins(&trouble.what))
+    /// Whether a controller runs from the start; otherwise a fault starts it later.
+    pub fn runs_from_start(&self, controller: usize) -> bool {
+        let joins =
+            |kind: &FaultKind| matches!(kind, FaultKind::JoinControllers { on } if on.contains(&controller));
+        !self.faults.iter().any(|fault| joins(&fault.kind))
     }
 
-    /// Ordered pairs of ends between two groups, without those of two streamers.
-    pub fn pairs(&self, from: &str, to: &str) -> Vec<(End, End)> {
-        let ends = |name: &str| -> Vec<End> {
+    /// Ordered pairs of endpoints from one group to another, without pairs of two streamers.
+    pub fn endpoint_pairs(&self, from: &str, to: &str) -> Vec<(Endpoint, Endpoint)> {
+        let endpoints = |name: &str| -> Vec<Endpoint> {
             let group = self.groups.get(name).cloned().unwrap_or_default();
-            let controllers = group.controllers.into_iter().map(End::Controller);
-            controllers.chain(group.streamers.into_iter().map(End::Streamer)).collect()
+            let controllers = group.controllers.into_iter().map(Endpoint::Controller);
+            controllers.chain(group.streamers.into_iter().map(Endpoint::Streamer)).collect()
         };
-        let to = ends(to);
-        let pairs = ends(from).into_iter().flat_map(|from| to.iter().map(move |to| (from, *to)));
-        let among_streamers = |pair: &(End, End)| matches!(pair, (End::Streamer(_), End::Streamer(_)));
+        let to = endpoints(to);
+        let pairs = endpoints(from).into_iter().flat_map(|from| to.iter().map(move |to| (from, *to)));
+        let among_streamers =
+            |pair: &(Endpoint, Endpoint)| matches!(pair, (Endpoint::Streamer(_), Endpoint::Streamer(_)));
         pairs.filter(|pair| pair.0 != pair.1 && !among_streamers(pair)).collect()
     }
 
-    /// Whether a trouble touches links between controllers and streamers.
-    pub fn harms_links(&self) -> bool {
-        let links = |from: &str, to: &str| {
-            let is_link =
-                |(a, b): &(End, End)| matches!((a, b), (End::Streamer(_), _) | (_, End::Streamer(_)));
-            self.pairs(from, to).iter().any(is_link)
+    /// Whether any fault impairs links between controllers and streamers.
+    pub fn impairs_links(&self) -> bool {
+        let has_link = |from: &str, to: &str| {
+            let is_link = |(a, b): &(Endpoint, Endpoint)| {
+                matches!((a, b), (Endpoint::Streamer(_), _) | (_, Endpoint::Streamer(_)))
+            };
+            self.endpoint_pairs(from, to).iter().any(is_link)
         };
-        self.troubles.iter().any(|t| matches!(&t.what, What::Between { from, to, .. } if links(from, to)))
+        self.faults
+            .iter()
+            .any(|fault| matches!(&fault.kind, FaultKind::Between { from, to, .. } if has_link(from, to)))
     }
 
-    /// A streamer's line in the list, as ready; `address` is where it listens.
-    pub fn entry(&self, at: usize, address: SocketAddr) -> ListEntry {
-        let streamer = &self.streamers[at];
+    /// The list entry of a streamer in state ready, which listens at `address`.
+    pub fn list_entry(&self, index: usize, address: SocketAddr) -> ListEntry {
+        let streamer = &self.streamers[index];
         ListEntry {
             streamer: streamer.name.clone(),
             address: address.to_string(),
@@ -410,24 +446,28 @@
         }
     }
 
-    /// The list as it stands before anything has happened: without spares.
+    /// The list at the start of the run, without spares.
     pub fn first_list(&self, addresses: &[SocketAddr]) -> StreamerList {
-        let there = (0..self.streamers.len()).filter(|at| !self.streamers[*at].spare);
-        StreamerList { version: 1, streamers: there.map(|at| self.entry(at, addresses[at])).collect() }
+        let running = (0..self.streamers.len()).filter(|index| !self.streamers[*index].spare);
+        StreamerList {
+            version: 1,
+            streamers: running.map(|index| self.list_entry(index, addresses[index])).collect(),
+        }
     }
 
-    /// The settings of one of its controllers.
-    pub fn settings(&self, me: usize, list: &Path, tap: Option<PathBuf>, seed: u64) -> Settings {
-        let place = |title: &Title| TitlePlacement { first_cell: title.home, replicas: title.copies };
+    /// The settings of one controller of the day.
+    pub fn settings(&self, number: usize, list: &Path, tap: Option<PathBuf>, seed: u64) -> Settings {
+        let placement =
+            |title: &Title| TitlePlacement { first_cell: title.first_cell, replicas: title.replicas };
         Settings {
             listen: ([127, 0, 0, 1], 0).into(),
-            own_number: me,
+            own_number: number,
             controller_count: self.controllers.len(),
             rng_seed: Some(seed),
-            zone: self.controllers[me].clone(),
+            zone: self.controllers[number].clone(),
             list: list.to_owned(),
-            titles: self.titles.iter().map(|(name, title)| (name.clone(), place(title))).collect(),
-            classes: self.lanes.iter().map(|lane| lane.lane.clone()).collect(),
+            titles: self.titles.iter().map(|(name, title)| (name.clone(), placement(title))).collect(),
+            classes: self.classes.iter().map(|class| class.class.clone()).collect(),
             tenants: self
                 .tenants
                 .iter()
@@ -442,51 +482,51 @@
                 link_kb_per_s_per_weight: self.kb_per_weight,
                 machine_kinds: vec![lemontide_front::settings::MachineKind {
                     name: self.kind.clone(),
-                    max_streams: self.places,
+                    max_streams: self.max_streams,
                 }],
             },
             load_reports: LoadReportSettings { age_s: self.reports.age_s, interval_s: self.reports.every_s },
-            attempts: self.shots.clone(),
+            attempts: self.attempts.clone(),
             retry_after: self.retry_after.clone(),
-            probes: self.looks.clone(),
+            probes: self.probes.clone(),
             charges: self.charges.clone(),
-            cold_start: self.cold.clone(),
-            retry_budget: self.ration.clone(),
+            cold_start: self.cold_start.clone(),
+            retry_budget: self.retry_budget.clone(),
             links: self.links.clone(),
             limits: ProcessLimits { stop_timeout_s: 1.0, ..ProcessLimits::default() },
             shedding: None,
             gossip: None,
-            coordination: self.together.clone(),
+            coordination: self.coordination.clone(),
             tap,
         }
     }
 
-    /// The rules in figures, as the judge takes them.
-    pub fn terms(&self) -> JudgeRules {
+    /// Parameters of the rule checks.
+    pub fn judge_rules(&self) -> JudgeRules {
         JudgeRules {
             answer_slack_s: self.rules.answer_slack_s,
             drain_grace_s: self.rules.drain_grace_s,
             cold_start: tap::ColdStartRules {
-                max_streams: self.places,
-                warm_up_s: self.cold.warm_up_s,
-                initial_part: self.cold.initial_part,
-                overload_multiple: self.cold.overload_multiple,
-                window_s: self.cold.window_s,
+                max_streams: self.max_streams,
+                warm_up_s: self.cold_start.warm_up_s,
+                initial_part: self.cold_start.initial_part,
+                overload_multiple: self.cold_start.overload_multiple,
+                window_s: self.cold_start.window_s,
             },
-            retry_budget: self.ration.as_ref().map(|r| tap::RetryBudget {
-                min_retries: r.min_retries,
-                request_share: r.request_share,
-                window_s: r.window_s,
+            retry_budget: self.retry_budget.as_ref().map(|budget| tap::RetryBudget {
+                min_retries: budget.min_retries,
+                request_share: budget.request_share,
+                window_s: budget.window_s,
             }),
             classes: self
-                .lanes
+                .classes
                 .iter()
-                .map(|lane| ClassRules {
-                    name: lane.lane.name.clone(),
-                    gain: lane.lane.gain,
-                    at_most_once: lane.lane.repeat_policy == RepeatPolicy::AtMostOnce,
-                    min_rung: lane.lane.min_rung,
-                    max_sessions_per_title: lane.lane.max_sessions_per_title,
+                .map(|class| ClassRules {
+                    name: class.class.name.clone(),
+                    gain: class.class.gain,
+                    at_most_once: class.class.repeat_policy == RepeatPolicy::AtMostOnce,
+                    min_rung: class.class.min_rung,
+                    max_sessions_per_title: class.class.max_sessions_per_title,
                 })
                 .collect(),
             gain_by_rung: self.ladder.gains.clone(),
--- a/crates/lemontide-standin/src/gossip_setup.rs
+++ b/crates/lemontide-standin/src/gossip_setup.rs
@@ -68,7 +68,7 @@
 
     /// Routes the datagrams of all members through a relay.
     pub async fn route_through(&mut self, relay: &Relay) -> io::Result<()> {
-        self.advertised_addresses = relay.doors(&self.listen_addresses).await?;
+        self.advertised_addresses = relay.proxy_datagrams(&self.listen_addresses).await?;
         Ok(())
     }
 
--- a/crates/lemontide-standin/src/model.rs
+++ b/crates/lemontide-standin/src/model.rs
@@ -2,7 +2,7 @@
 //! over, late and noisy reports, and everything that troubles do to it. No sockets: `streamer` carries what goes
 //! in and comes out.
 
-use crate::day::{Day, What};
+use crate::day::{Day, FaultKind};
 use lemontide_wire::cmsd::CmsdDynamic;
 use lemontide_wire::link::{Ended, Fullness, How, Plays, RungInForce, Short, StreamerMessage};
 use lemontide_wire::tap::{self, TapEvent};
@@ -146,7 +146,7 @@
         Model {
             machines: day.streamers.iter().map(machine).collect(),
             uplinks: day.uplinks_kb.iter().map(|kb| (*kb, 1.0)).collect(),
-            lanes: day.lanes.iter().map(|lane| (lane.lane.name.clone(), lane.set_up_s)).collect(),
+            lanes: day.classes.iter().map(|class| (class.class.name.clone(), class.set_up_s)).collect(),
             day: day.clone(),
             wanted: BTreeMap::new(),
             later: Vec::new(),
@@ -237,7 +237,7 @@
         let (id, key) = (set_up.id, (conn, set_up.id));
         let full = self.machines[at].streams.len() + self.machines[at].setting_up.len();
         let waiting = self.machines[at].setting_up.len();
-        if full as f64 >= self.day.places || waiting >= QUEUE {
+        if full as f64 >= self.day.max_streams || waiting >= QUEUE {
             let cmsd_dynamic = self.report(at, true);
             let how = How::SentBack.into();
             return self.over(
@@ -316,12 +316,12 @@
     // The troubles.
 
     /// A trouble begins, or ends. What it does to controllers, the list and the crowd is not the model's.
-    pub fn trouble(&mut self, now: f64, what: &What, begins: bool) {
+    pub fn trouble(&mut self, now: f64, what: &FaultKind, begins: bool) {
         match what {
-            What::QuickErrors { on, share } => {
+            FaultKind::QuickErrors { on, share } => {
                 on.iter().for_each(|at| self.machines[*at].errors = if begins { *share } else { 0.0 });
             }
-            What::Hang { on } => on.iter().for_each(|at| {
+            FaultKind::Hang { on } => on.iter().for_each(|at| {
                 self.machines[*at].hangs = begins;
                 if !begins {
                     // What it had taken is worked off from now on.
@@ -329,7 +329,7 @@
                     machine.setting_up.iter_mut().for_each(|s| s.ready_at = s.ready_at.max(now + 0.05));
                 }
             }),
-            What::Vanish { on } => on.iter().for_each(|at| {
+            FaultKind::Vanish { on } => on.iter().for_each(|at| {
                 if begins {
                     self.machines[*at].stand = Stand::Silent;
                     // What it had to say is not said any more.
@@ -339,18 +339,18 @@
                     self.restart(now, *at);
                 }
             }),
-            What::SlowLink { on, times } => {
+            FaultKind::SlowLink { on, times } => {
                 on.iter().for_each(|at| self.machines[*at].times = if begins { *times } else { 1.0 });
             }
-            What::WeakUplink { racks, times } => {
+            FaultKind::WeakUplink { racks, times } => {
                 racks.iter().for_each(|rack| self.uplinks[*rack].1 = if begins { *times } else { 1.0 });
             }
-            What::LateReports { by_s } => self.late_by = if begins { *by_s } else { 0.0 },
-            What::AnswersLost { on, share, reset } => on.iter().for_each(|at| {
+            FaultKind::LateReports { by_s } => self.late_by = if begins { *by_s } else { 0.0 },
+            FaultKind::AnswersLost { on, share, reset } => on.iter().for_each(|at| {
                 self.machines[*at].lost = if begins { *share } else { 0.0 };
                 self.machines[*at].lost_resets = *reset;
             }),
-            What::Ageing { on } => on.iter().for_each(|at| {
+            FaultKind::Ageing { on } => on.iter().for_each(|at| {
                 if begins {
                     self.machines[*at].ageing_since = Some(now);
                 } else {
@@ -358,18 +358,18 @@
                     self.restart(now, *at);
                 }
             }),
-            What::Deaf { on } => on.iter().for_each(|at| {
+            FaultKind::Deaf { on } => on.iter().for_each(|at| {
                 if !self.machines[*at].dead {
                     self.machines[*at].stand = if begins { Stand::Deaf } else { Stand::Up };
                 }
             }),
-            What::Removal { .. }
-            | What::Crowd { .. }
-            | What::KillControllers { .. }
-            | What::PauseControllers { .. }
-            | What::JoinControllers { .. }
-            | What::LeaveControllers { .. }
-            | What::Between { .. } => {}
+            FaultKind::Removal { .. }
+            | FaultKind::Crowd { .. }
+            | FaultKind::KillControllers { .. }
+            | FaultKind::PauseControllers { .. }
+            | FaultKind::JoinControllers { .. }
+            | FaultKind::LeaveControllers { .. }
+            | FaultKind::Between { .. } => {}
         }
     }
 
@@ -409,8 +409,8 @@
 
     /// Set-ups within the last window against what a cold streamer can take: it falls over as rule 4 counts.
     fn falls(&mut self, now: f64, at: usize) -> bool {
-        let cold = &self.day.cold;
-        let pace = self.day.places / cold.warm_up_s.max(1e-3) * self.warmth(now, at);
+        let cold = &self.day.cold_start;
+        let pace = self.day.max_streams / cold.warm_up_s.max(1e-3) * self.warmth(now, at);
         let machine = &mut self.machines[at];
         if machine.started.is_none_or(|started| now - started >= cold.warm_up_s) {
             return false;
@@ -430,7 +430,7 @@
     }
 
     fn warmth(&self, now: f64, at: usize) -> f64 {
-        let cold = &self.day.cold;
+        let cold = &self.day.cold_start;
         let Some(started) = self.machines[at].started else { return 1.0 };
         (cold.initial_part + (1.0 - cold.initial_part) * (now - started) / cold.warm_up_s.max(1e-3))
             .clamp(0.0, 1.0)
--- a/crates/lemontide-standin/src/relay.rs
+++ b/crates/lemontide-standin/src/relay.rs
@@ -1,11 +1,11 @@
-//! Stands between controllers, and between controllers and streamers, and does to their traffic what a day's script
-//! says: datagrams and bytes are dropped, delayed, doubled, reordered, cut off or held, for each ordered pair.
+//! A relay between controllers, and between controllers and streamers, that injects the network faults of a day:
+//! datagrams and bytes are dropped, delayed, duplicated, reordered, blocked or held, for each ordered pair of endpoints.
 //!
-//! Datagrams: each controller has a door, the address that it tells others. What comes to a door is known by where it
-//! came from, and goes on to the owner from the sender's own door, so that answers come by here, too. Links: each
-//! controller has an address of its own for each streamer.
+//! Datagrams: each controller has a relay address, which it advertises to the others. The relay finds the sender of a
+//! datagram by its source address and forwards it from the sender's relay address, so that replies pass through the
+//! relay, too. Links: each controller has its own relay address for each streamer.
 
-use crate::day::Harm;
+use crate::day::Impairment;
 use lemontide_wire::tap::{Tap, TapEvent};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -20,65 +20,66 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-/// Datagrams on their way at most; more are lost, as in a full queue.
-const FLYING_MOST: usize = 8192;
-/// What a lost piece of a link costs: the other end's stack sends it again.
-const SENT_AGAIN: Duration = Duration::from_millis(200);
-/// How much later than its neighbours a datagram comes that is overtaken.
-const OVERTAKEN: Duration = Duration::from_millis(30);
-/// How often something that is held looks whether it may go on.
-const LOOK: Duration = Duration::from_millis(10);
-const PIECE: usize = 16 * 1024;
-const DATAGRAM: usize = 2048;
-
-/// One end of a pair.
+/// Maximum number of datagrams in transit; further ones are dropped, as by a full queue.
+const MAX_DATAGRAMS_IN_TRANSIT: usize = 8192;
+/// Delay of a lost piece of a link, as by a retransmission in the sender's TCP stack.
+const RETRANSMISSION_DELAY: Duration = Duration::from_millis(200);
+/// Extra delay of a datagram that is reordered behind later ones.
+const REORDERING_DELAY: Duration = Duration::from_millis(30);
+/// Interval in which held traffic checks whether it can go on; also the delay after a socket error.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+const STREAM_BUFFER_BYTES: usize = 16 * 1024;
+const DATAGRAM_BUFFER_BYTES: usize = 2048;
+
+/// One endpoint of a path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
+pub enum Endpoint {
     Controller(usize),
     Streamer(usize),
 }
 
-impl End {
+impl Endpoint {
     fn name(self) -> String {
         match self {
-            End::Controller(number) => format!("controller:{number}"),
-            End::Streamer(number) => format!("streamer:{number}"),
+            Endpoint::Controller(number) => format!("controller:{number}"),
+            Endpoint::Streamer(number) => format!("streamer:{number}"),
         }
     }
 }
 
+/// What the relay did to the traffic of one path.
 #[derive(Clone, Copy, Debug, Default)]
-struct Count {
+struct PathCounts {
     passed: u64,
     dropped: u64,
     delayed: u64,
-    doubled: u64,
+    duplicated: u64,
 }
 
-/// What is done now, and what was done, pair by pair.
+/// The impairments in force by number of the fault, and the counts by path.
 #[derive(Default)]
-struct Script {
-    harms: BTreeMap<usize, (Vec<(End, End)>, Harm)>,
-    counts: BTreeMap<(End, End), Count>,
+struct RelayState {
+    impairments: BTreeMap<usize, (Vec<(Endpoint, Endpoint)>, Impairment)>,
+    counts: BTreeMap<(Endpoint, Endpoint), PathCounts>,
 }
 
-/// What becomes of one piece of traffic.
+/// What the relay does with one datagram or one read of a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
-    /// It goes on after this time, and once more where it is doubled.
-    Passes {
-        after: Duration,
-        doubled: bool,
+enum Disposition {
+    /// It is forwarded after this delay, twice if it is duplicated.
+    Forward {
+        delay: Duration,
+        duplicated: bool,
     },
-    Lost,
+    Drop,
 }
 
 struct Shared {
-    script: Mutex<Script>,
-    chance: Mutex<StdRng>,
+    state: Mutex<RelayState>,
+    rng: Mutex<StdRng>,
 }
 
-/// The relay of a day. What it carries ends with the runtime that it was started on.
+/// The relay of a run. Its sockets close with the runtime that it was started on.
 #[derive(Clone)]
 pub struct Relay {
     shared: Arc<Shared>,
@@ -89,116 +90,120 @@
 }
 
 impl Shared {
-    fn harms(&self, from: End, to: End) -> Vec<Harm> {
-        let script = lock(&self.script);
-        let on = script.harms.values().filter(|(pairs, _)| pairs.contains(&(from, to)));
-        on.map(|(_, harm)| harm.clone()).collect()
+    fn impairments(&self, from: Endpoint, to: Endpoint) -> Vec<Impairment> {
+        let state = lock(&self.state);
+        let on = state.impairments.values().filter(|(pairs, _)| pairs.contains(&(from, to)));
+        on.map(|(_, impairment)| impairment.clone()).collect()
     }
 
-    fn is_cut(&self, from: End, to: End) -> bool {
-        self.harms(from, to).iter().any(|harm| harm.cut)
+    fn is_blocked(&self, from: Endpoint, to: Endpoint) -> bool {
+        self.impairments(from, to).iter().any(|impairment| impairment.blocked)
     }
 
-    fn is_still(&self, from: End, to: End) -> bool {
-        self.harms(from, to).iter().any(|harm| harm.still)
+    fn is_stalled(&self, from: Endpoint, to: Endpoint) -> bool {
+        self.impairments(from, to).iter().any(|impairment| impairment.stalled)
     }
 
-    fn chance(&self, below: f64) -> bool {
-        lock(&self.chance).random::<f64>() < below
+    fn draw_below(&self, probability: f64) -> bool {
+        lock(&self.rng).random::<f64>() < probability
     }
 
-    fn count(&self, from: End, to: End, change: impl FnOnce(&mut Count)) {
-        change(lock(&self.script).counts.entry((from, to)).or_default());
+    fn count(&self, from: Endpoint, to: Endpoint, change: impl FnOnce(&mut PathCounts)) {
+        change(lock(&self.state).counts.entry((from, to)).or_default());
     }
 
-    fn fate(&self, from: End, to: End) -> Fate {
-        let (mut after, mut doubled) = (Duration::ZERO, false);
-        for harm in self.harms(from, to) {
-            if harm.cut || self.chance(harm.loss) {
+    fn disposition(&self, from: Endpoint, to: Endpoint) -> Disposition {
+        let (mut total_delay, mut duplicated) = (Duration::ZERO, false);
+        for impairment in self.impairments(from, to) {
+            if impairment.blocked || self.draw_below(impairment.loss) {
                 self.count(from, to, |count| count.dropped += 1);
-                return Fate::Lost;
+                return Disposition::Drop;
             }
-            let (least, most) = harm.delay_s;
-            let delay = least + (most - least).max(0.0) * lock(&self.chance).random::<f64>();
-            after += Duration::try_from_secs_f64(delay).unwrap_or_default();
-            if self.chance(harm.reordered) {
-                after += OVERTAKEN;
+            let (min, max) = impairment.delay_s;
+            let delay = min + (max - min).max(0.0) * lock(&self.rng).random::<f64>();
+            total_delay += Duration::try_from_secs_f64(delay).unwrap_or_default();
+            if self.draw_below(impairment.reordered) {
+                total_delay += REORDERING_DELAY;
             }
-            doubled |= self.chance(harm.doubled);
+            duplicated |= self.draw_below(impairment.duplicated);
         }
         self.count(from, to, |count| {
             count.passed += 1;
-            count.delayed += u64::from(after > Duration::ZERO);
-            count.doubled += u64::from(doubled);
+            count.delayed += u64::from(total_delay > Duration::ZERO);
+            count.duplicated += u64::from(duplicated);
         });
-        Fate::Passes { after, doubled }
+        Disposition::Forward { delay: total_delay, duplicated }
     }
 }
 
 impl Relay {
     pub fn new(seed: u64) -> Relay {
-        let chance = Mutex::new(StdRng::seed_from_u64(seed));
-        Relay { shared: Arc::new(Shared { script: Mutex::default(), chance }) }
+        let rng = Mutex::new(StdRng::seed_from_u64(seed));
+        Relay { shared: Arc::new(Shared { state: Mutex::default(), rng }) }
     }
 
-    /// From now on this is done to all traffic from one of these to one of those; `number` names it for its end.
-    pub fn begin(&self, number: usize, pairs: Vec<(End, End)>, harm: Harm) {
-        lock(&self.shared.script).harms.insert(number, (pairs, harm));
+    /// Starts an impairment of these paths; `number` identifies it for `end_impairment`.
+    pub fn begin_impairment(&self, number: usize, pairs: Vec<(Endpoint, Endpoint)>, impairment: Impairment) {
+        lock(&self.shared.state).impairments.insert(number, (pairs, impairment));
     }
 
-    pub fn end(&self, number: usize) {
-        lock(&self.shared.script).harms.remove(&number);
+    /// Ends the impairment with this number.
+    pub fn end_impairment(&self, number: usize) {
+        lock(&self.shared.state).impairments.remove(&number);
     }
 
-    /// What was done, a line for each pair that had traffic.
-    pub fn tell(&self, tap: &Tap) {
-        for ((from, to), count) in &lock(&self.shared.script).counts {
+    /// Records what was done, with one record for each path that had traffic.
+    pub fn record_counts(&self, tap: &Tap) {
+        for ((from, to), count) in &lock(&self.shared.state).counts {
             tap.record(TapEvent::Relayed {
                 from: from.name(),
                 to: to.name(),
                 passed: count.passed,
                 dropped: count.dropped,
                 delayed: count.delayed,
-                duplicated: count.doubled,
+                duplicated: count.duplicated,
             });
         }
     }
 
-    /// Opens the doors of controllers that listen at these addresses; who is to be reached there. An address that is
-    /// none of theirs is nobody's, and its datagrams go nowhere.
-    pub async fn doors(&self, listening: &[SocketAddr]) -> io::Result<Vec<SocketAddr>> {
-        let mut doors = Vec::new();
+    /// Opens relay sockets for the datagrams of controllers that listen at these addresses, and returns the addresses of
+    /// the sockets. Datagrams from any other source address are dropped.
+    pub async fn proxy_datagrams(&self, listening: &[SocketAddr]) -> io::Result<Vec<SocketAddr>> {
+        let mut sockets = Vec::new();
         for number in 0..listening.len() {
             let at = SocketAddr::from(([127, 0, 3, (number + 1).min(250) as u8], 0));
-            doors.push(UdpSocket::bind(at).await?);
+            sockets.push(UdpSocket::bind(at).await?);
         }
-        let addresses = doors.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
-        let doors = Arc::new(doors);
-        let flying = Arc::new(Semaphore::new(FLYING_MOST));
+        let addresses = sockets.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
+        let sockets = Arc::new(sockets);
+        let in_transit = Arc::new(Semaphore::new(MAX_DATAGRAMS_IN_TRANSIT));
         for to in 0..listening.len() {
-            let (shared, doors, flying, listening) =
-                (self.shared.clone(), doors.clone(), flying.clone(), listening.to_vec());
+            let (shared, sockets, in_transit, listening) =
+                (self.shared.clone(), sockets.clone(), in_transit.clone(), listening.to_vec());
             tokio::spawn(async move {
-                let mut bytes = [0u8; DATAGRAM];
+                let mut bytes = [0u8; DATAGRAM_BUFFER_BYTES];
                 loop {
-                    let Ok((length, source)) = doors[to].recv_from(&mut bytes).await else {
-                        sleep(LOOK).await;
+                    let Ok((length, source)) = sockets[to].recv_from(&mut bytes).await else {
+                        sleep(POLL_INTERVAL).await;
                         continue;
                     };
                     let Some(from) = listening.iter().position(|at| *at == source) else { continue };
-                    let ends = (End::Controller(from), End::Controller(to));
-                    let Fate::Passes { after, doubled } = shared.fate(ends.0, ends.1) else { continue };
-                    let Ok(flies) = flying.clone().try_acquire_owned() else { continue };
-                    let (shared, doors, at) = (shared.clone(), doors.clone(), listening[to]);
+                    let path = (Endpoint::Controller(from), Endpoint::Controller(to));
+                    let Disposition::Forward { delay, duplicated } = shared.disposition(path.0, path.1)
+                    else {
+                        continue;
+                    };
+                    let Ok(permit) = in_transit.clone().try_acquire_owned() else { continue };
+                    let (shared, sockets, address) = (shared.clone(), sockets.clone(), listening[to]);
                     let datagram = bytes[..length].to_vec();
                     tokio::spawn(async move {
-                        let _flies = flies;
-                        sleep(after).await;
-                        while shared.is_still(ends.0, ends.1) {
-                            sleep(LOOK).await;
+                        let _permit = permit;
+                        sleep(delay).await;
+                        while shared.is_stalled(path.0, path.1) {
+                            sleep(POLL_INTERVAL).await;
                         }
-                        for _ in 0..if doubled { 2 } else { 1 } {
-                            let _ = doors[from].send_to(&datagram, at).await;
+                        for _ in 0..if duplicated { 2 } else { 1 } {
+                            let _ = sockets[from].send_to(&datagram, address).await;
                         }
                     });
                 }
@@ -207,164 +212,81 @@
         Ok(addresses)
     }
 
-    /// Opens a way from one controller to one streamer that listens there; where the controller finds it.
-    pub async fn link(&self, controller: usize, streamer: usize, to: SocketAddr) -> io::Result<SocketAddr> {
+    /// Opens a relay address for connections of one controller to one streamer, which listens at `to`.
+    pub async fn proxy_link(
+        &self,
+        controller: usize,
+        streamer: usize,
+        to: SocketAddr,
+    ) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
         let shared = self.shared.clone();
-        let (near, far) = (End::Controller(controller), End::Streamer(streamer));
+        let (near, far) = (Endpoint::Controller(controller), Endpoint::Streamer(streamer));
         tokio::spawn(async move {
             loop {
                 let Ok((socket, _)) = listener.accept().await else {
-                    sleep(LOOK).await;
+                    sleep(POLL_INTERVAL).await;
                     continue;
                 };
-                // A way that is cut takes nobody in.
-                if shared.is_cut(near, far) || shared.is_cut(far, near) {
+                // A blocked path accepts no connections.
+                if shared.is_blocked(near, far) || shared.is_blocked(far, near) {
                     continue;
                 }
-                tokio::spawn(carry(shared.clone(), (near, far), socket, to));
+                tokio::spawn(forward_connection(shared.clone(), (near, far), socket, to));
             }
         });
         Ok(address)
     }
 }
 
-/// Carries one connection until an end closes it or the way is cut.
-async fn carry(shared: Arc<Shared>, (near, far): (End, End), socket: TcpStream, to: SocketAddr) {
+/// Forwards one connection until an endpoint closes it or the path is blocked.
+async fn forward_connection(
+    shared: Arc<Shared>,
+    (near, far): (Endpoint, Endpoint),
+    socket: TcpStream,
+    to: SocketAddr,
+) {
     let Ok(other) = TcpStream::connect(to).await else { return };
     let _ = (socket.set_nodelay(true), other.set_nodelay(true));
-    let (near_reads, near_writes) = socket.into_split();
-    let (far_reads, far_writes) = other.into_split();
-    let cut = async {
-        while !shared.is_cut(near, far) && !shared.is_cut(far, near) {
-            sleep(LOOK).await;
+    let (near_reader, near_writer) = socket.into_split();
+    let (far_reader, far_writer) = other.into_split();
+    let blocked = async {
+        while !shared.is_blocked(near, far) && !shared.is_blocked(far, near) {
+            sleep(POLL_INTERVAL).await;
         }
     };
     tokio::select! {
-        () = pass(&shared, (near, far), near_reads, far_writes) => {}
-        () = pass(&shared, (far, near), far_reads, near_writes) => {}
-        () = cut => {}
+        () = forward_direction(&shared, (near, far), near_reader, far_writer) => {}
+        () = forward_direction(&shared, (far, near), far_reader, near_writer) => {}
+        () = blocked => {}
     }
 }
 
-/// Carries one direction, in order.
-async fn pass(shared: &Shared, (from, to): (End, End), mut reads: OwnedReadHalf, mut writes: OwnedWriteHalf) {
-    let mut bytes = vec![0u8; PIECE];
+/// Forwards one direction, in order.
+async fn forward_direction(
+    shared: &Shared,
+    (from, to): (Endpoint, Endpoint),
+    mut reader: OwnedReadHalf,
+    mut writer: OwnedWriteHalf,
+) {
+    let mut bytes = vec![0u8; STREAM_BUFFER_BYTES];
     loop {
-        while shared.is_still(from, to) {
-            sleep(LOOK).await;
+        while shared.is_stalled(from, to) {
+            sleep(POLL_INTERVAL).await;
         }
-        let Ok(length @ 1..) = reads.read(&mut bytes).await else { return };
-        while shared.is_still(from, to) {
-            sleep(LOOK).await;
+        let Ok(length @ 1..) = reader.read(&mut bytes).await else { return };
+        while shared.is_stalled(from, to) {
+            sleep(POLL_INTERVAL).await;
         }
-        // Bytes of a connection are neither lost nor doubled nor overtaken: they come later.
-        let wait = match shared.fate(from, to) {
-            Fate::Passes { after, .. } => after,
-            Fate::Lost => SENT_AGAIN,
+        // Bytes of a connection are not lost, duplicated or reordered, only delayed.
+        let delay = match shared.disposition(from, to) {
+            Disposition::Forward { delay, .. } => delay,
+            Disposition::Drop => RETRANSMISSION_DELAY,
         };
-        sleep(wait).await;
-        if writes.write_all(&bytes[..length]).await.is_err() {
+        sleep(delay).await;
+        if writer.write_all(&bytes[..length]).await.is_err() {
             return;
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use lemontide_wire::clock::Clock;
-    use tokio::time::timeout;
-
-    const SOON: Duration = Duration::from_millis(150);
-    const LONG: Duration = Duration::from_secs(20);
-
-    fn one_way(from: usize, to: usize) -> Vec<(End, End)> {
-        vec![(End::Controller(from), End::Controller(to))]
-    }
-
-    async fn pair() -> (Relay, Vec<UdpSocket>, Vec<SocketAddr>) {
-        let relay = Relay::new(1);
-        let mut ends = Vec::new();
-        for _ in 0..2 {
-            ends.push(UdpSocket::bind(("127.0.0.1", 0)).await.expect("a port"));
-        }
-        let at: Vec<SocketAddr> = ends.iter().map(|end| end.local_addr().expect("bound")).collect();
-        let doors = relay.doors(&at).await.expect("doors");
-        (relay, ends, doors)
-    }
-
-    async fn heard(end: &UdpSocket, within: Duration) -> Option<(Vec<u8>, SocketAddr)> {
-        let mut bytes = [0u8; 64];
-        let (length, from) = timeout(within, end.recv_from(&mut bytes)).await.ok()?.ok()?;
-        Some((bytes[..length].to_vec(), from))
-    }
-
-    #[tokio::test]
-    async fn datagrams_come_from_their_senders_door_and_a_one_way_cut_cuts_one_way() {
-        let (relay, ends, doors) = pair().await;
-        ends[0].send_to(b"to 1", doors[1]).await.expect("sent");
-        assert_eq!(heard(&ends[1], LONG).await, Some((b"to 1".to_vec(), doors[0])));
-        relay.begin(0, one_way(0, 1), Harm { cut: true, ..Harm::default() });
-        ends[0].send_to(b"lost", doors[1]).await.expect("sent");
-        ends[1].send_to(b"back", doors[0]).await.expect("sent");
-        assert_eq!(heard(&ends[0], LONG).await, Some((b"back".to_vec(), doors[1])));
-        assert_eq!(heard(&ends[1], SOON).await, None);
-        relay.end(0);
-        relay.begin(1, one_way(0, 1), Harm { doubled: 1.0, ..Harm::default() });
-        ends[0].send_to(b"twice", doors[1]).await.expect("sent");
-        let both = [heard(&ends[1], LONG).await, heard(&ends[1], LONG).await];
-        assert!(both.iter().all(|one| one.as_ref().is_some_and(|(bytes, _)| bytes == b"twice")));
-        let folder = tempfile::tempdir().expect("a folder");
-        let file = folder.path().join("relay.tap");
-        relay.tell(&Tap::open(&file, Clock::start(), "relay").expect("a file"));
-        let lines = lemontide_wire::tap::read_records(&file).expect("it can be read");
-        let of_first = lines.iter().find_map(|line| match &line.event {
-            TapEvent::Relayed { from, passed, dropped, duplicated: doubled, .. }
-                if from == "controller:0" =>
-            {
-                Some((*passed, *dropped, *doubled))
-            }
-            _ => None,
-        });
-        assert_eq!(of_first, Some((2, 1, 1)));
-    }
-
-    #[tokio::test]
-    async fn what_is_held_comes_when_it_is_over() {
-        let (relay, ends, doors) = pair().await;
-        relay.begin(0, one_way(0, 1), Harm { still: true, ..Harm::default() });
-        ends[0].send_to(b"later", doors[1]).await.expect("sent");
-        assert_eq!(heard(&ends[1], SOON).await, None);
-        relay.end(0);
-        assert!(heard(&ends[1], LONG).await.is_some());
-    }
-
-    #[tokio::test]
-    async fn a_link_is_carried_held_and_cut() {
-        let relay = Relay::new(1);
-        let streamer = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
-        let way = relay.link(0, 3, streamer.local_addr().expect("bound")).await.expect("a way");
-        let mut near = TcpStream::connect(way).await.expect("it takes connections");
-        near.write_all(b"hello").await.expect("written");
-        let (mut far, _) = streamer.accept().await.expect("it came");
-        let mut bytes = [0u8; 5];
-        far.read_exact(&mut bytes).await.expect("read");
-        assert_eq!(&bytes, b"hello");
-        let there = vec![(End::Controller(0), End::Streamer(3))];
-        relay.begin(0, there.clone(), Harm { still: true, ..Harm::default() });
-        sleep(LOOK * 4).await;
-        near.write_all(b"later").await.expect("written");
-        assert!(timeout(SOON, far.read_exact(&mut bytes)).await.is_err(), "held, and still open");
-        relay.end(0);
-        // A read that was given up took nothing: the relay had not passed it on.
-        timeout(LONG, far.read_exact(&mut bytes)).await.expect("in time").expect("read");
-        assert_eq!(&bytes, b"later");
-        relay.begin(1, there, Harm { cut: true, ..Harm::default() });
-        let ended = timeout(LONG, far.read(&mut bytes)).await.expect("in time");
-        assert!(matches!(ended, Ok(0) | Err(_)), "cut: {ended:?}");
-        let mut refused = TcpStream::connect(way).await.expect("the listener stands");
-        assert!(matches!(timeout(LONG, refused.read(&mut bytes)).await, Ok(Ok(0) | Err(_))));
-    }
-}
--- a/crates/lemontide-standin/src/run.rs
+++ b/crates/lemontide-standin/src/run.rs
@@ -1,11 +1,11 @@
-//! Runs a day: streamers and players here, each controller as a process of its own, the list as a file, and the
-//! troubles by the clock. Every end writes a tap into the day's folder.
+//! Runs a day: streamers and players in this process, each controller as its own process, the list of streamers as a
+//! file, and the faults at their times. Every endpoint writes its records to a tap in the run's folder.
 
-use crate::day::{Day, Trouble, What};
+use crate::day::{Day, FaultKind, FaultWindow};
 use crate::gossip_setup::{self, GossipSetup};
-use crate::player::{draw, Audience};
+use crate::player::{draw_viewers, PlayerPool};
 use crate::relay::Relay;
-use crate::streamer::{Fault, Fleet};
+use crate::streamer::{Defect, Fleet};
 use lemontide_wire::clock::Clock;
 use lemontide_wire::list::{ListEntry, StreamerList, StreamerState};
 use lemontide_wire::tap::{Tap, TapEvent};
@@ -23,291 +23,310 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A controller that does not say by then where it listens is broken.
-const STARTS_WITHIN: Duration = Duration::from_secs(20);
-/// What is left of a day after the last viewer should be through.
-const AFTER: Duration = Duration::from_secs(30);
+/// Maximum time until a controller prints the address that it listens on.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Extra time at the end of a run, after the last viewer should have finished.
+const END_GRACE: Duration = Duration::from_secs(30);
 
 /// How a day is run.
-pub struct How {
+pub struct RunOptions {
     /// The program that is started as `PROGRAM front --settings FILE`.
     pub program: PathBuf,
-    /// An empty folder for settings, list, logs and taps.
+    /// An empty folder for settings, the list, logs and taps.
     pub folder: PathBuf,
-    pub fault: Option<Fault>,
+    /// A defect of the stand-ins, to test the rule checks.
+    pub defect: Option<Defect>,
 }
 
-/// What a day left: its taps, and how many viewers came.
-pub struct Ran {
+/// The result of a run.
+pub struct RunResult {
     pub taps: Vec<PathBuf>,
+    /// Number of viewers.
     pub viewers: usize,
-    /// Seconds that it took.
+    /// Duration of the run in seconds.
     pub took_s: f64,
 }
 
 #[derive(Deserialize)]
-struct Listening {
+struct ListeningLine {
     listening: SocketAddr,
 }
 
+/// One action of the run's schedule; the numbers are indices of faults, controllers or streamers.
 enum Step {
-    Begin(usize),
-    End(usize),
-    Kill(usize),
-    Leave(usize),
-    Start(usize),
-    Pause(usize),
-    Continue(usize),
-    Die(usize),
-    Born(usize),
-    /// The list learns that a streamer is at this stage.
-    Stage(usize, StreamerState),
+    BeginFault(usize),
+    EndFault(usize),
+    KillController(usize),
+    StopController(usize),
+    StartController(usize),
+    PauseController(usize),
+    ContinueController(usize),
+    KillStreamer(usize),
+    StartStreamer(usize),
+    /// The list shows a streamer in this state.
+    ListState(usize, StreamerState),
     /// Players notice that a controller is gone.
-    Forget(usize),
+    RemoveAddress(usize),
 }
 
-/// Moments for each of these, one after the other over the trouble's time.
-fn spread<'a>(trouble: &'a Trouble, on: &'a [usize]) -> impl Iterator<Item = (f64, usize)> + 'a {
-    let each = trouble.for_s / on.len().max(1) as f64;
-    on.iter().enumerate().map(move |(k, number)| (trouble.at_s + each * k as f64, *number))
+/// A time for each of these, spread evenly over the duration of the fault.
+fn spread<'a>(fault: &'a FaultWindow, on: &'a [usize]) -> impl Iterator<Item = (f64, usize)> + 'a {
+    let interval = fault.duration_s / on.len().max(1) as f64;
+    on.iter().enumerate().map(move |(k, number)| (fault.at_s + interval * k as f64, *number))
 }
 
-/// The steps of all troubles, in the order of the clock.
-fn script(day: &Day) -> Vec<(f64, Step)> {
+/// The steps of all faults, by time.
+fn schedule(day: &Day) -> Vec<(f64, Step)> {
     let mut steps = Vec::new();
-    for (i, trouble) in day.troubles.iter().enumerate() {
-        let (from, to) = (trouble.at_s, trouble.at_s + trouble.for_s);
-        match &trouble.what {
-            What::KillControllers { on, down_s } => {
-                for (at, number) in spread(trouble, on) {
-                    steps.push((at, Step::Kill(number)));
-                    if day.viewers.notice_s < *down_s {
-                        steps.push((at + day.viewers.notice_s, Step::Forget(number)));
+    for (i, fault) in day.faults.iter().enumerate() {
+        let (from, to) = (fault.at_s, fault.at_s + fault.duration_s);
+        match &fault.kind {
+            FaultKind::KillControllers { on, down_s } => {
+                for (at, number) in spread(fault, on) {
+                    steps.push((at, Step::KillController(number)));
+                    if day.viewers.failover_delay_s < *down_s {
+                        steps.push((at + day.viewers.failover_delay_s, Step::RemoveAddress(number)));
                     }
-                    // One that would come back after the day does not.
+                    // One that would start again after the end of the day stays down.
                     if at + down_s < day.length_s {
-                        steps.push((at + down_s, Step::Start(number)));
+                        steps.push((at + down_s, Step::StartController(number)));
                     }
                 }
                 continue;
             }
-            What::JoinControllers { on } => {
-                steps.extend(spread(trouble, on).map(|(at, number)| (at, Step::Start(number))));
+            FaultKind::JoinControllers { on } => {
+                steps.extend(spread(fault, on).map(|(at, number)| (at, Step::StartController(number))));
                 continue;
             }
-            What::LeaveControllers { on } => {
-                for (at, number) in spread(trouble, on) {
-                    steps.push((at, Step::Forget(number)));
-                    steps.push((at, Step::Leave(number)));
+            FaultKind::LeaveControllers { on } => {
+                for (at, number) in spread(fault, on) {
+                    steps.push((at, Step::RemoveAddress(number)));
+                    steps.push((at, Step::StopController(number)));
                 }
                 continue;
             }
-            What::PauseControllers { on } => {
-                steps.extend(on.iter().map(|number| (from, Step::Pause(*number))));
-                steps.extend(on.iter().map(|number| (to, Step::Continue(*number))));
+            FaultKind::PauseControllers { on } => {
+                steps.extend(on.iter().map(|number| (from, Step::PauseController(*number))));
+                steps.extend(on.iter().map(|number| (to, Step::ContinueController(*number))));
                 continue;
             }
-            What::Removal { on, notice_s, spares, spares_after_s } => {
+            FaultKind::Removal { on, notice_s, spares, spares_after_s } => {
                 for at in on {
-                    steps.push((from, Step::Stage(*at, StreamerState::Draining)));
-                    steps.push((from + notice_s, Step::Die(*at)));
-                    steps.push((from + notice_s + day.news.ended_s, Step::Stage(*at, StreamerState::Gone)));
+                    steps.push((from, Step::ListState(*at, StreamerState::Draining)));
+                    steps.push((from + notice_s, Step::KillStreamer(*at)));
+                    steps.push((
+                        from + notice_s + day.list_delays.ended_s,
+                        Step::ListState(*at, StreamerState::Gone),
+                    ));
                 }
                 for at in spares {
-                    let born = from + notice_s + spares_after_s;
-                    steps.push((born, Step::Born(*at)));
-                    steps.push((born + day.news.started_s, Step::Stage(*at, StreamerState::Ready)));
+                    let started = from + notice_s + spares_after_s;
+                    steps.push((started, Step::StartStreamer(*at)));
+                    steps.push((
+                        started + day.list_delays.started_s,
+                        Step::ListState(*at, StreamerState::Ready),
+                    ));
                 }
                 continue;
             }
-            What::Vanish { on } => {
+            FaultKind::Vanish { on } => {
                 for at in on {
-                    if day.news.silent_s < trouble.for_s {
-                        steps.push((from + day.news.silent_s, Step::Stage(*at, StreamerState::Gone)));
+                    if day.list_delays.silent_s < fault.duration_s {
+                        steps.push((
+                            from + day.list_delays.silent_s,
+                            Step::ListState(*at, StreamerState::Gone),
+                        ));
                     }
-                    steps.push((to + day.news.started_s, Step::Stage(*at, StreamerState::Ready)));
+                    steps.push((to + day.list_delays.started_s, Step::ListState(*at, StreamerState::Ready)));
                 }
             }
-            What::Ageing { on } => {
+            FaultKind::Ageing { on } => {
                 steps.extend(
-                    on.iter().map(|at| (to + day.news.started_s, Step::Stage(*at, StreamerState::Ready))),
+                    on.iter().map(|at| {
+                        (to + day.list_delays.started_s, Step::ListState(*at, StreamerState::Ready))
+                    }),
                 );
             }
             _ => {}
         }
-        steps.push((from, Step::Begin(i)));
-        steps.push((to, Step::End(i)));
+        steps.push((from, Step::BeginFault(i)));
+        steps.push((to, Step::EndFault(i)));
     }
     steps.sort_by(|a, b| a.0.total_cmp(&b.0));
     steps
 }
 
-struct Stagehand {
+/// The state of a run.
+struct Runner {
     day: Arc<Day>,
     clock: Clock,
-    how: How,
+    options: RunOptions,
     tap: Tap,
     fleet: Fleet,
     list: StreamerList,
-    audience: Arc<Audience>,
+    players: Arc<PlayerPool>,
     controllers: Vec<Option<Child>>,
-    gossips: Option<GossipSetup>,
+    gossip: Option<GossipSetup>,
     relay: Relay,
-    /// Where each controller finds each streamer, where something stands between.
-    ways: Vec<Vec<SocketAddr>>,
+    /// For each controller, the relay's address for each streamer; empty if links don't pass through the relay.
+    link_addresses: Vec<Vec<SocketAddr>>,
 }
 
-/// Runs a day to its end. Errors: the folder or sockets are not to be had, or a controller does not start.
-pub async fn run(day: Day, how: How) -> io::Result<Ran> {
-    let began = Instant::now();
+/// Runs a day to its end. Fails if the folder or the sockets can't be created, or a controller does not start.
+pub async fn run(day: Day, options: RunOptions) -> io::Result<RunResult> {
+    let started = Instant::now();
     let day = Arc::new(day);
     let clock = Clock::start();
-    std::fs::create_dir_all(&how.folder)?;
-    let tap = Tap::open(&how.folder.join("day.tap"), clock, "day")?;
-    tap.record(TapEvent::Rules { rules: day.terms() });
-    let streamers = Tap::open(&how.folder.join("streamers.tap"), clock, "streamers")?;
-    let fleet = Fleet::start(&day, clock, streamers, how.fault).await?;
-    let players = Tap::open(&how.folder.join("players.tap"), clock, "players")?;
-    let audience = Arc::new(Audience::new(day.clone(), clock, players, fleet.clone(), how.fault));
+    std::fs::create_dir_all(&options.folder)?;
+    let tap = Tap::open(&options.folder.join("day.tap"), clock, "day")?;
+    tap.record(TapEvent::Rules { rules: day.judge_rules() });
+    let streamer_tap = Tap::open(&options.folder.join("streamers.tap"), clock, "streamers")?;
+    let fleet = Fleet::start(&day, clock, streamer_tap, options.defect).await?;
+    let player_tap = Tap::open(&options.folder.join("players.tap"), clock, "players")?;
+    let players = Arc::new(PlayerPool::new(day.clone(), clock, player_tap, fleet.clone(), options.defect));
     let list = day.first_list(&fleet.addresses);
     let controllers = day.controllers.iter().map(|_| None).collect();
     let relay = Relay::new(day.seed);
-    let mut gossips = match &day.gossip {
-        Some(terms) => Some(GossipSetup::prepare(day.controllers.len(), terms, &how.folder)?),
+    let mut gossip = match &day.gossip {
+        Some(settings) => Some(GossipSetup::prepare(day.controllers.len(), settings, &options.folder)?),
         None => None,
     };
-    if let Some(gossips) = &mut gossips {
-        gossips.route_through(&relay).await?;
+    if let Some(gossip) = &mut gossip {
+        gossip.route_through(&relay).await?;
     }
-    let mut ways = Vec::new();
-    if day.harms_links() {
+    let mut link_addresses = Vec::new();
+    if day.impairs_links() {
         for controller in 0..day.controllers.len() {
-            let mut of = Vec::new();
+            let mut addresses = Vec::new();
             for (streamer, address) in fleet.addresses.iter().enumerate() {
-                of.push(relay.link(controller, streamer, *address).await?);
+                addresses.push(relay.proxy_link(controller, streamer, *address).await?);
             }
-            ways.push(of);
+            link_addresses.push(addresses);
         }
     }
-    let mut hand = Stagehand {
+    let mut runner = Runner {
         day: day.clone(),
         clock,
-        how,
+        options,
         tap,
         fleet,
         list,
-        audience: audience.clone(),
+        players: players.clone(),
         controllers,
-        gossips,
+        gossip,
         relay,
-        ways,
+        link_addresses,
     };
-    hand.write_list()?;
-    for number in (0..day.controllers.len()).filter(|number| day.starts_with(*number)) {
-        hand.start(number).await?;
+    runner.write_list()?;
+    for number in (0..day.controllers.len()).filter(|number| day.runs_from_start(*number)) {
+        runner.start_controller(number).await?;
     }
-    if let (Some(gossips), Some(true)) = (&hand.gossips, day.gossip.as_ref().map(|terms| terms.liar)) {
+    if let (Some(gossip), Some(true)) =
+        (&runner.gossip, day.gossip.as_ref().map(|settings| settings.has_lying_member))
+    {
         let names = day.streamers.iter().map(|streamer| streamer.name.clone()).collect();
-        tokio::spawn(gossip_setup::run_lying_member(gossips.lying_member(clock).await?, names, clock));
+        tokio::spawn(gossip_setup::run_lying_member(gossip.lying_member(clock).await?, names, clock));
     }
-    let viewers = draw(&day);
-    let count = viewers.len();
-    let opens = Instant::now();
-    let watched = tokio::spawn(async move {
+    let viewers = draw_viewers(&day);
+    let viewer_count = viewers.len();
+    let begin = Instant::now();
+    let all_watched = tokio::spawn(async move {
         let mut watching = JoinSet::new();
         for viewer in viewers {
-            tokio::time::sleep_until(opens + Duration::from_secs_f64(viewer.at_s)).await;
-            watching.spawn(audience.clone().watch(viewer));
+            tokio::time::sleep_until(begin + Duration::from_secs_f64(viewer.at_s)).await;
+            watching.spawn(players.clone().watch(viewer));
             while watching.try_join_next().is_some() {}
         }
         while watching.join_next().await.is_some() {}
     });
-    for (at, step) in script(&day) {
-        tokio::time::sleep_until(opens + Duration::from_secs_f64(at)).await;
-        hand.step(step).await?;
+    for (at, step) in schedule(&day) {
+        tokio::time::sleep_until(begin + Duration::from_secs_f64(at)).await;
+        runner.step(step).await?;
     }
-    let longest = day.lanes.iter().map(|lane| lane.watched_s.1).fold(0.0, f64::max);
-    let last = opens + Duration::from_secs_f64(day.length_s + longest) + AFTER;
-    let _ = tokio::time::timeout_at(last, watched).await;
-    // What the last news said is written down before the ends go away.
+    let max_watched_s = day.classes.iter().map(|class| class.watched_s.1).fold(0.0, f64::max);
+    let last = begin + Duration::from_secs_f64(day.length_s + max_watched_s) + END_GRACE;
+    let _ = tokio::time::timeout_at(last, all_watched).await;
+    // Lets the endpoints record the last messages before they are stopped.
     sleep(Duration::from_millis(300)).await;
-    hand.end().await;
-    hand.relay.tell(&hand.tap);
+    runner.stop_controllers().await;
+    runner.relay.record_counts(&runner.tap);
     let mut taps = vec!["day.tap".into(), "streamers.tap".into(), "players.tap".into()];
     taps.extend((0..day.controllers.len()).map(|number| format!("controller-{number}.tap")));
-    let taps = taps.iter().map(|name: &String| hand.how.folder.join(name)).collect();
-    Ok(Ran { taps, viewers: count, took_s: began.elapsed().as_secs_f64() })
+    let taps = taps.iter().map(|name: &String| runner.options.folder.join(name)).collect();
+    Ok(RunResult { taps, viewers: viewer_count, took_s: started.elapsed().as_secs_f64() })
 }
 
-impl Stagehand {
+impl Runner {
     async fn step(&mut self, step: Step) -> io::Result<()> {
         match step {
-            Step::Begin(i) | Step::End(i) => {
-                let begins = matches!(step, Step::Begin(_));
+            Step::BeginFault(i) | Step::EndFault(i) => {
+                let begins = matches!(step, Step::BeginFault(_));
                 let day = self.day.clone();
-                if let What::Between { from, to, both_ways, harm } = &day.troubles[i].what {
-                    let mut pairs = day.pairs(from, to);
+                if let FaultKind::Between { from, to, both_ways, impairment } = &day.faults[i].kind {
+                    let mut pairs = day.endpoint_pairs(from, to);
                     if *both_ways {
-                        pairs.extend(day.pairs(to, from));
+                        pairs.extend(day.endpoint_pairs(to, from));
                     }
                     match begins {
-                        true => self.relay.begin(i, pairs, harm.clone()),
-                        false => self.relay.end(i),
+                        true => self.relay.begin_impairment(i, pairs, impairment.clone()),
+                        false => self.relay.end_impairment(i),
                     }
                 }
-                self.fleet.with(|model, now| model.trouble(now, &day.troubles[i].what, begins));
+                self.fleet.with_model(|model, now| model.trouble(now, &day.faults[i].kind, begins));
             }
-            Step::Die(at) => self.fleet.with(|model, _| model.kill(at)),
-            Step::Born(at) => self.fleet.with(|model, now| model.restart(now, at)),
-            Step::Stage(at, stage) => self.tell(at, stage)?,
-            Step::Kill(number) => {
+            Step::KillStreamer(at) => self.fleet.with_model(|model, _| model.kill(at)),
+            Step::StartStreamer(at) => self.fleet.with_model(|model, now| model.restart(now, at)),
+            Step::ListState(at, state) => self.publish_state(at, state)?,
+            Step::KillController(number) => {
                 if let Some(mut child) = self.controllers[number].take() {
                     self.tap.record(TapEvent::Killed { controller: number });
                     child.kill().await?;
                 }
             }
-            Step::Forget(number) => self.point(number, None),
-            Step::Leave(number) => {
+            Step::RemoveAddress(number) => self.set_address(number, None),
+            Step::StopController(number) => {
                 self.signal(number, Signal::SIGTERM, TapEvent::Leaving { controller: number });
-                // Waited for when the day ends; it is started no more.
+                // The run waits for its exit at the end; it is not started again.
             }
-            Step::Start(number) => self.start(number).await?,
-            Step::Pause(number) => {
+            Step::StartController(number) => self.start_controller(number).await?,
+            Step::PauseController(number) => {
                 self.signal(number, Signal::SIGSTOP, TapEvent::Paused { controller: number })
             }
-            Step::Continue(number) => {
+            Step::ContinueController(number) => {
                 self.signal(number, Signal::SIGCONT, TapEvent::Continued { controller: number });
             }
         }
         Ok(())
     }
 
-    fn signal(&self, number: usize, signal: Signal, seen: TapEvent) {
+    /// Records the event and sends the signal to the controller's process, if it runs.
+    fn signal(&self, number: usize, signal: Signal, event: TapEvent) {
         let id = self.controllers[number].as_ref().and_then(Child::id);
         if let Some(id) = id.and_then(|id| i32::try_from(id).ok()) {
-            self.tap.record(seen);
+            self.tap.record(event);
             let _ = kill(Pid::from_raw(id), signal);
         }
     }
 
-    fn point(&self, number: usize, at: Option<SocketAddr>) {
-        self.audience.controllers.write().unwrap_or_else(PoisonError::into_inner)[number] = at;
+    /// Sets the address at which players reach a controller.
+    fn set_address(&self, number: usize, address: Option<SocketAddr>) {
+        self.players.controllers.write().unwrap_or_else(PoisonError::into_inner)[number] = address;
     }
 
-    /// Starts a controller's process and waits until it says where it listens.
-    async fn start(&mut self, number: usize) -> io::Result<()> {
-        let folder = &self.how.folder;
+    /// Starts a controller's process and waits until it prints the address that it listens on.
+    async fn start_controller(&mut self, number: usize) -> io::Result<()> {
+        let folder = &self.options.folder;
         let tap = folder.join(format!("controller-{number}.tap"));
-        let list = folder.join(self.list_of(number));
+        let list = folder.join(self.list_file(number));
         let mut settings = self.day.settings(number, &list, Some(tap), self.day.seed + number as u64);
-        settings.gossip = self.gossips.as_ref().map(|gossips| gossips.settings(number));
+        settings.gossip = self.gossip.as_ref().map(|gossip| gossip.settings(number));
         let file = folder.join(format!("controller-{number}.json"));
         std::fs::write(&file, serde_json::to_vec_pretty(&settings)?)?;
         let log = std::fs::File::options()
             .create(true)
             .append(true)
             .open(folder.join(format!("controller-{number}.log")))?;
-        let mut child = Command::new(&self.how.program)
+        let mut child = Command::new(&self.options.program)
             .arg("front")
             .arg("--settings")
             .arg(&file)
@@ -316,25 +335,25 @@
             .stderr(log)
             .kill_on_drop(true)
             .spawn()?;
-        let said = child.stdout.take().map(BufReader::new);
+        let stdout = child.stdout.take().map(BufReader::new);
         let mut line = String::new();
-        if let Some(mut said) = said {
-            let _ = timeout(STARTS_WITHIN, said.read_line(&mut line)).await;
+        if let Some(mut stdout) = stdout {
+            let _ = timeout(START_TIMEOUT, stdout.read_line(&mut line)).await;
         }
-        let Ok(Listening { listening }) = serde_json::from_str(&line) else {
-            let what = format!("controller {number} did not start; its log is in {}", folder.display());
-            return Err(io::Error::other(what));
+        let Ok(ListeningLine { listening }) = serde_json::from_str(&line) else {
+            let problem = format!("controller {number} did not start; its log is in {}", folder.display());
+            return Err(io::Error::other(problem));
         };
         self.controllers[number] = Some(child);
-        self.point(number, Some(listening));
+        self.set_address(number, Some(listening));
         Ok(())
     }
 
-    fn tell(&mut self, at: usize, stage: StreamerState) -> io::Result<()> {
-        let (started, dead) = self.fleet.with(|model, _| (model.started(at), model.is_dead(at)));
-        let stage = if dead { StreamerState::Gone } else { stage };
-        let entry =
-            ListEntry { state: stage, started_at: started, ..self.day.entry(at, self.fleet.addresses[at]) };
+    /// Publishes a list that shows a streamer in this state, or as gone if its process is dead.
+    fn publish_state(&mut self, at: usize, state: StreamerState) -> io::Result<()> {
+        let (started_at, dead) = self.fleet.with_model(|model, _| (model.started(at), model.is_dead(at)));
+        let state = if dead { StreamerState::Gone } else { state };
+        let entry = ListEntry { state, started_at, ..self.day.list_entry(at, self.fleet.addresses[at]) };
         match self.list.streamers.iter_mut().find(|old| old.streamer == entry.streamer) {
             Some(old) => *old = entry,
             None => self.list.streamers.push(entry),
@@ -343,37 +362,37 @@
         self.write_list()
     }
 
-    /// Replaces the list's file in one go.
+    /// Replaces the list's file, or the file of each controller if links pass through the relay.
     fn write_list(&self) -> io::Result<()> {
         let entries = self.list.streamers.clone();
         self.tap.record(TapEvent::ListPublished { version: self.list.version, entries });
-        if self.ways.is_empty() {
-            return replace(&self.how.folder.join("list.json"), &serde_json::to_vec(&self.list)?);
+        if self.link_addresses.is_empty() {
+            return replace(&self.options.folder.join("list.json"), &serde_json::to_vec(&self.list)?);
         }
-        // Each controller finds the streamers by ways of its own.
-        for (number, ways) in self.ways.iter().enumerate() {
+        // Each controller has its own address at the relay for each streamer.
+        for (number, addresses) in self.link_addresses.iter().enumerate() {
             let mut list = self.list.clone();
             for entry in &mut list.streamers {
                 let at = self.day.streamers.iter().position(|streamer| streamer.name == entry.streamer);
-                if let Some(way) = at.and_then(|at| ways.get(at)) {
-                    entry.address = way.to_string();
+                if let Some(address) = at.and_then(|at| addresses.get(at)) {
+                    entry.address = address.to_string();
                 }
             }
-            replace(&self.how.folder.join(self.list_of(number)), &serde_json::to_vec(&list)?)?;
+            replace(&self.options.folder.join(self.list_file(number)), &serde_json::to_vec(&list)?)?;
         }
         Ok(())
     }
 
-    fn list_of(&self, controller: usize) -> String {
-        if self.ways.is_empty() {
+    fn list_file(&self, controller: usize) -> String {
+        if self.link_addresses.is_empty() {
             "list.json".to_owned()
         } else {
             format!("list-{controller}.json")
         }
     }
 
-    /// Ends the controllers: politely, and outright where that does not help.
-    async fn end(&mut self) {
+    /// Stops the controllers: with SIGTERM, and with SIGKILL after 5 s.
+    async fn stop_controllers(&mut self) {
         for child in self.controllers.iter().flatten() {
             if let Some(id) = child.id().and_then(|id| i32::try_from(id).ok()) {
                 let _ = kill(Pid::from_raw(id), Signal::SIGTERM);
@@ -388,9 +407,9 @@
     }
 }
 
-/// Writes a file beside and moves it into place, so that nobody reads half of it.
+/// Replaces a file atomically: writes a temporary file next to it and renames that, so that no reader sees a part.
 pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let beside = path.with_extension("new");
-    std::fs::write(&beside, bytes)?;
-    std::fs::rename(beside, path)
+    let temporary = path.with_extension("new");
+    std::fs::write(&temporary, bytes)?;
+    std::fs::rename(temporary, path)
 }
--- a/crates/lemontide-standin/src/soak/front.rs
+++ b/crates/lemontide-standin/src/soak/front.rs
@@ -1,9 +1,9 @@
 //! Seeded days of `lemontide front`: sizes, viewers and troubles depend on the seed; the judge of days gives the
 //! verdict.
 
-use crate::day::{Day, DayTenant, Trouble, What};
+use crate::day::{Day, DayTenant, FaultKind, FaultWindow};
 use crate::judge::{check_rules, Verdict};
-use crate::run::{self, How};
+use crate::run::{self, RunOptions};
 use lemontide_wire::tap;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -56,41 +56,41 @@
     day.over_share_gain = if tenants > 0 { 0.2 } else { 0.0 };
     let count = rng.random_range(TROUBLE_COUNT);
     let latest = seconds - QUIET_END_S;
-    day.troubles = (0..count).map(|at| trouble(&day, &mut rng, at, latest)).collect();
+    day.faults = (0..count).map(|at| trouble(&day, &mut rng, at, latest)).collect();
     Ok(day)
 }
 
 /// Generates one trouble. The number selects its kind, so that each kind occurs at most once.
-fn trouble(day: &Day, rng: &mut StdRng, number: usize, latest: f64) -> Trouble {
+fn trouble(day: &Day, rng: &mut StdRng, number: usize, latest: f64) -> FaultWindow {
     // Each trouble has its own streamers or controllers, so that its end does not end another one.
     let on = vec![number % STREAMER_COUNT];
     let controller = vec![rng.random_range(0..day.controllers.len())];
     let part = |rng: &mut StdRng| rng.random_range(0.1..0.7);
     let what = match number {
         0 => match rng.random_range(0..3) {
-            0 => What::KillControllers { on: controller, down_s: 0.6 },
-            1 => What::PauseControllers { on: controller },
-            _ => What::LeaveControllers { on: controller },
+            0 => FaultKind::KillControllers { on: controller, down_s: 0.6 },
+            1 => FaultKind::PauseControllers { on: controller },
+            _ => FaultKind::LeaveControllers { on: controller },
         },
-        1 => What::AnswersLost { on, share: part(rng), reset: rng.random_bool(0.5) },
+        1 => FaultKind::AnswersLost { on, share: part(rng), reset: rng.random_bool(0.5) },
         2 => match rng.random_range(0..3) {
-            0 => What::Hang { on },
-            1 => What::Vanish { on },
-            _ => What::Deaf { on },
+            0 => FaultKind::Hang { on },
+            1 => FaultKind::Vanish { on },
+            _ => FaultKind::Deaf { on },
         },
-        3 => What::Removal { on, notice_s: 0.6, spares: vec![SPARE_STREAMER], spares_after_s: 0.8 },
+        3 => FaultKind::Removal { on, notice_s: 0.6, spares: vec![SPARE_STREAMER], spares_after_s: 0.8 },
         4 => match rng.random_range(0..2) {
-            0 => What::QuickErrors { on, share: part(rng) },
-            _ => What::WeakUplink { racks: vec![rng.random_range(0..RACK_COUNT)], times: 3.0 },
+            0 => FaultKind::QuickErrors { on, share: part(rng) },
+            _ => FaultKind::WeakUplink { racks: vec![rng.random_range(0..RACK_COUNT)], times: 3.0 },
         },
-        _ => What::Crowd { titles: day.titles.keys().take(2).cloned().collect(), share: part(rng) },
+        _ => FaultKind::Crowd { titles: day.titles.keys().take(2).cloned().collect(), share: part(rng) },
     };
-    Trouble { at_s: rng.random_range(0.5..latest), for_s: rng.random_range(0.5..3.0), what }
+    FaultWindow { at_s: rng.random_range(0.5..latest), duration_s: rng.random_range(0.5..3.0), kind: what }
 }
 
-/// The kind of a trouble, as named in the type `What`.
-fn trouble_kind(trouble: &Trouble) -> String {
-    let debug = format!("{:?}", trouble.what);
+/// The kind of a trouble, as named in the type `FaultKind`.
+fn trouble_kind(trouble: &FaultWindow) -> String {
+    let debug = format!("{:?}", trouble.kind);
     debug.split_whitespace().next().unwrap_or_default().to_owned()
 }
 
@@ -98,9 +98,9 @@
 pub async fn run_seed(seed: u64, program: &Path, seconds: f64, folder: &Path) -> io::Result<Outcome> {
     let day = generate_day(seed, seconds)?;
     day.check().map_err(|(path, what)| io::Error::other(format!("seed {seed}: {path}: {what}")))?;
-    let troubles: Vec<String> = day.troubles.iter().map(trouble_kind).collect();
+    let troubles: Vec<String> = day.faults.iter().map(trouble_kind).collect();
     let controllers = day.controllers.len();
-    let how = How { program: program.to_owned(), folder: folder.to_owned(), fault: None };
+    let how = RunOptions { program: program.to_owned(), folder: folder.to_owned(), defect: None };
     let finished = run::run(day, how).await?;
     let mut lines = Vec::new();
     for file in finished.taps.iter().filter(|file| file.exists()) {
--- a/crates/lemontide-standin/src/streamer.rs
+++ b/crates/lemontide-standin/src/streamer.rs
@@ -1,4 +1,5 @@
-//! The streamers' sockets: a listener for each streamer of a day, links of controllers, and the model behind.
+//! The sockets of the stand-in streamers: a listener for each streamer of a day, and the links of controllers. The
+//! model of the streamers decides what is sent.
 
 use crate::day::Day;
 use crate::model::{Conn, Model, Out, Stand};
@@ -19,32 +20,33 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// The model's step, and how often a still streamer is looked at again.
-const STEP: Duration = Duration::from_millis(10);
-const STILL: Duration = Duration::from_millis(20);
-/// Words that wait for a controller that reads slowly before it is cut off.
-const WORDS_MOST: usize = 8192;
+/// Interval between steps of the model.
+const STEP_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval in which the sockets check the state of their streamer.
+const STATE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of messages queued for a controller that reads slowly; beyond it the link is closed.
+const MAX_QUEUED_MESSAGES: usize = 8192;
 
-/// A fault that the stand-ins make on purpose, to show that the judge finds it.
+/// A defect of the stand-ins, which a test of the rule checks injects on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// Every so many set-ups reach the streamer twice, as if sent twice.
-    Duplicates,
-    /// Every so many answers never reach the player.
-    Swallows,
+pub enum Defect {
+    /// Some set-ups reach the streamer twice, as if they had been sent twice.
+    DuplicateSetUps,
+    /// Some responses are not recorded by the player, as if they had been lost.
+    LostResponses,
 }
 
-/// Every so many, where a fault is made on purpose.
-pub const FAULT_EVERY: u64 = 20;
+/// One in so many set-ups or responses is affected by a defect.
+pub const DEFECT_INTERVAL: u64 = 20;
 
 struct Shared {
     clock: Clock,
     tap: Tap,
     model: Mutex<Model>,
-    wires: Mutex<HashMap<Conn, mpsc::Sender<StreamerMessage>>>,
+    links: Mutex<HashMap<Conn, mpsc::Sender<StreamerMessage>>>,
     names: Vec<String>,
-    fault: Option<Fault>,
-    set_ups: AtomicU64,
+    defect: Option<Defect>,
+    set_up_count: AtomicU64,
 }
 
 /// All streamers of a day, on loopback.
@@ -60,55 +62,55 @@
 
 impl Fleet {
     /// Binds every streamer to a free port of loopback and starts the model.
-    pub async fn start(day: &Day, clock: Clock, tap: Tap, fault: Option<Fault>) -> io::Result<Fleet> {
+    pub async fn start(day: &Day, clock: Clock, tap: Tap, defect: Option<Defect>) -> io::Result<Fleet> {
         let shared = Arc::new(Shared {
             clock,
             tap,
             model: Mutex::new(Model::new(day, clock.now())),
-            wires: Mutex::new(HashMap::new()),
+            links: Mutex::new(HashMap::new()),
             names: day.streamers.iter().map(|streamer| streamer.name.clone()).collect(),
-            fault,
-            set_ups: AtomicU64::new(0),
+            defect,
+            set_up_count: AtomicU64::new(0),
         });
         let mut addresses = Vec::new();
         for at in 0..day.streamers.len() {
             let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
             addresses.push(listener.local_addr()?);
-            tokio::spawn(accept(shared.clone(), at, listener));
+            tokio::spawn(accept_links(shared.clone(), at, listener));
         }
-        let steps = shared.clone();
+        let stepper = shared.clone();
         tokio::spawn(async move {
-            let mut ticks = tokio::time::interval(STEP);
+            let mut ticks = tokio::time::interval(STEP_INTERVAL);
             ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
             loop {
                 ticks.tick().await;
-                steps.with(|model, now| model.step(now));
+                stepper.with_model(|model, now| model.step(now));
             }
         });
         Ok(Fleet { shared, addresses })
     }
 
-    /// Calls on the model and sends out what comes of it.
-    pub fn with<T>(&self, call: impl FnOnce(&mut Model, f64) -> T) -> T {
-        self.shared.with(call)
+    /// Calls the model and sends the messages that result.
+    pub fn with_model<T>(&self, call: impl FnOnce(&mut Model, f64) -> T) -> T {
+        self.shared.with_model(call)
     }
 }
 
 impl Shared {
-    fn with<T>(&self, call: impl FnOnce(&mut Model, f64) -> T) -> T {
+    fn with_model<T>(&self, call: impl FnOnce(&mut Model, f64) -> T) -> T {
         let mut model = lock(&self.model);
         let result = call(&mut model, self.clock.now());
-        // Routed under the model's lock, so that words leave in the order in which they were said.
+        // Sent under the model's lock, so that messages leave in the order in which the model produced them.
         for out in model.take() {
             match out {
                 Out::Say { conn, told } => {
-                    let mut wires = lock(&self.wires);
-                    if wires.get(&conn).is_some_and(|wire| wire.try_send(told).is_err()) {
-                        wires.remove(&conn);
+                    let mut links = lock(&self.links);
+                    if links.get(&conn).is_some_and(|link| link.try_send(told).is_err()) {
+                        links.remove(&conn);
                     }
                 }
                 Out::Cut { conn } => {
-                    lock(&self.wires).remove(&conn);
+                    lock(&self.links).remove(&conn);
                 }
                 Out::Tap { streamer, seen } => {
                     self.tap.with_endpoint(&format!("streamer:{}", self.names[streamer])).record(seen);
@@ -119,23 +121,23 @@
     }
 }
 
-async fn accept(shared: Arc<Shared>, at: usize, listener: TcpListener) {
+async fn accept_links(shared: Arc<Shared>, at: usize, listener: TcpListener) {
     loop {
         while lock(&shared.model).stand(at) == Stand::Silent {
-            sleep(STILL).await;
+            sleep(STATE_POLL_INTERVAL).await;
         }
         let Ok((socket, _)) = listener.accept().await else {
-            sleep(STILL).await;
+            sleep(STATE_POLL_INTERVAL).await;
             continue;
         };
-        // One that is down takes no connection: what was accepted here ends at once.
+        // A streamer that is down accepts no connection, so this one is closed at once.
         if matches!(lock(&shared.model).stand(at), Stand::Up | Stand::Deaf) {
-            tokio::spawn(serve(shared.clone(), at, socket));
+            tokio::spawn(serve_link(shared.clone(), at, socket));
         }
     }
 }
 
-async fn serve(shared: Arc<Shared>, at: usize, socket: TcpStream) {
+async fn serve_link(shared: Arc<Shared>, at: usize, socket: TcpStream) {
     let _ = socket.set_nodelay(true);
     let mut framed = Framed::new(socket, StreamerCodec::default());
     let hello = timeout(Duration::from_secs(2), framed.next()).await;
@@ -145,66 +147,68 @@
     if hello.version != PROTOCOL_VERSION || framed.send(StreamerMessage::Welcome(welcome)).await.is_err() {
         return;
     }
-    let (say, mut said) = mpsc::channel(WORDS_MOST);
-    let conn = shared.with(|model, now| {
+    let (sender, mut messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
+    let conn = shared.with_model(|model, now| {
         let conn = model.connected(now, at, hello.controller as usize);
-        lock(&shared.wires).insert(conn, say);
+        lock(&shared.links).insert(conn, sender);
         conn
     });
     loop {
         let stand = lock(&shared.model).stand(at);
         if stand == Stand::Silent {
-            if said.is_closed() {
+            if messages.is_closed() {
                 break;
             }
-            sleep(STILL).await;
+            sleep(STATE_POLL_INTERVAL).await;
             continue;
         }
         tokio::select! {
-            told = said.recv() => {
-                let Some(told) = told else { break };
-                if framed.send(told).await.is_err() {
+            message = messages.recv() => {
+                let Some(message) = message else { break };
+                if framed.send(message).await.is_err() {
                     break;
                 }
             }
-            order = framed.next(), if stand == Stand::Up => {
-                let Some(Ok(order)) = order else { break };
-                take(&shared, at, conn, order);
+            received = framed.next(), if stand == Stand::Up => {
+                let Some(Ok(message)) = received else { break };
+                handle_message(&shared, at, conn, message);
             }
-            // The stand may have changed meanwhile.
-            () = sleep(STILL) => {}
+            // The state of the streamer can have changed meanwhile.
+            () = sleep(STATE_POLL_INTERVAL) => {}
         }
     }
-    lock(&shared.wires).remove(&conn);
-    shared.with(|model, _| model.disconnected(at, conn));
+    lock(&shared.links).remove(&conn);
+    shared.with_model(|model, _| model.disconnected(at, conn));
 }
 
-fn take(shared: &Shared, at: usize, conn: Conn, order: ControllerMessage) {
-    let say = |told| {
-        if let Some(wire) = lock(&shared.wires).get(&conn) {
-            let _ = wire.try_send(told);
+/// Handles one message of a controller.
+fn handle_message(shared: &Shared, at: usize, conn: Conn, message: ControllerMessage) {
+    let reply = |message| {
+        if let Some(link) = lock(&shared.links).get(&conn) {
+            let _ = link.try_send(message);
         }
     };
-    match order {
+    match message {
         ControllerMessage::SetUp(set_up) => {
-            let number = shared.set_ups.fetch_add(1, Ordering::Relaxed) + 1;
-            let twice = shared.fault == Some(Fault::Duplicates) && number.is_multiple_of(FAULT_EVERY);
-            if twice {
-                shared.with(|model, now| model.set_up(now, at, conn, set_up.clone()));
+            let number = shared.set_up_count.fetch_add(1, Ordering::Relaxed) + 1;
+            let is_duplicated =
+                shared.defect == Some(Defect::DuplicateSetUps) && number.is_multiple_of(DEFECT_INTERVAL);
+            if is_duplicated {
+                shared.with_model(|model, now| model.set_up(now, at, conn, set_up.clone()));
             }
-            shared.with(|model, now| model.set_up(now, at, conn, set_up));
+            shared.with_model(|model, now| model.set_up(now, at, conn, set_up));
         }
-        ControllerMessage::SetRung(rung) => shared.with(|model, _| {
+        ControllerMessage::SetRung(rung) => shared.with_model(|model, _| {
             model.set_rung(at, conn, rung.id, rung.rung as usize, f64::from(rung.rate_kb));
         }),
         ControllerMessage::Cancel(cancel) => {
-            shared.with(|model, _| model.cancel(at, conn, cancel.id, cancel.shot))
+            shared.with_model(|model, _| model.cancel(at, conn, cancel.id, cancel.shot))
         }
         ControllerMessage::Look(look) => {
-            let cmsd_dynamic = shared.with(|model, _| model.look(at));
-            say(StreamerMessage::Looked(Looked { nonce: look.nonce, cmsd_dynamic }));
+            let cmsd_dynamic = shared.with_model(|model, _| model.look(at));
+            reply(StreamerMessage::Looked(Looked { nonce: look.nonce, cmsd_dynamic }));
         }
-        ControllerMessage::Ping(ping) => say(StreamerMessage::Pong(Pong { nonce: ping.nonce })),
+        ControllerMessage::Ping(ping) => reply(StreamerMessage::Pong(Pong { nonce: ping.nonce })),
         ControllerMessage::Hello(_) => {}
     }
 }
--- a/crates/lemontide-standin/src/swarm.rs
+++ b/crates/lemontide-standin/src/swarm.rs
@@ -321,7 +321,7 @@
 
     /// Counts a set-up against what a cold streamer takes in a window at its coldest.
     fn count_cold(&mut self, at: usize) {
-        let cold = &self.day.cold;
+        let cold = &self.day.cold_start;
         let Some(started) = self.model.started(at).filter(|started| self.now - started < cold.warm_up_s)
         else {
             return;
@@ -331,7 +331,7 @@
         got.push_back(self.now);
         got.retain(|then| self.now - then <= cold.window_s && *then >= started);
         let warmth = cold.initial_part + (1.0 - cold.initial_part) * (self.now - started) / cold.warm_up_s;
-        let budget = cold.overload_multiple * self.day.places / cold.warm_up_s * warmth * cold.window_s;
+        let budget = cold.overload_multiple * self.day.max_streams / cold.warm_up_s * warmth * cold.window_s;
         self.came.over_budget += u64::from(got.len() as f64 > budget + 1.0);
     }
 
--- a/crates/lemontide-standin/tests/model.rs
+++ b/crates/lemontide-standin/tests/model.rs
@@ -1,9 +1,9 @@
 //! The fleet's model, the draws of a day and the importer: what they promise to who measures with them.
 
-use lemontide_standin::day::{Day, What};
+use lemontide_standin::day::{Day, FaultKind};
 use lemontide_standin::import::import;
 use lemontide_standin::model::{Model, Out, Stand};
-use lemontide_standin::player::draw;
+use lemontide_standin::player::draw_viewers;
 use lemontide_wire::link::{SetUp, StreamerMessage};
 use lemontide_wire::tap::TapEvent;
 use serde_json::json;
@@ -32,7 +32,7 @@
 #[test]
 fn the_same_day_gives_the_same_viewers_and_the_same_fleet() {
     let day = day();
-    assert_eq!(draw(&day), draw(&day));
+    assert_eq!(draw_viewers(&day), draw_viewers(&day));
     let run = || {
         let mut model = Model::new(&day, 100.0);
         let conn = model.connected(100.0, 0, 0);
@@ -69,7 +69,7 @@
 #[test]
 fn a_fresh_streamer_falls_over_when_it_is_flooded_and_stays_down() {
     let mut day = day();
-    day.cold.overload_multiple = 2.0;
+    day.cold_start.overload_multiple = 2.0;
     let mut model = Model::new(&day, 100.0);
     model.restart(100.0, 0);
     let conn = model.connected(100.0, 0, 0);
@@ -92,7 +92,7 @@
     let conn = model.connected(100.0, 4, 0);
     model.set_up(100.0, 4, conn, set_up(1, 200));
     play(&mut model, 100.0, 0.5);
-    let vanish = What::Vanish { on: vec![4] };
+    let vanish = FaultKind::Vanish { on: vec![4] };
     model.trouble(100.5, &vanish, true);
     let out = play(&mut model, 100.5, 3.0);
     assert!(out.iter().all(|out| matches!(out, Out::Tap { .. })), "{out:?}");
@@ -134,10 +134,10 @@
     assert!(
         notes.iter().any(|note| note.contains("24 of 96")) && notes.iter().any(|n| n.contains("unheard_of"))
     );
-    let count = |is: fn(&What) -> bool| day.troubles.iter().filter(|trouble| is(&trouble.what)).count();
-    assert_eq!(count(|what| matches!(what, What::PauseControllers { .. })), 2);
-    assert_eq!(count(|what| matches!(what, What::Removal { .. })), 2);
-    assert!(day.troubles.iter().any(|t| matches!(&t.what, What::QuickErrors { on, .. } if on.len() == 2)));
-    assert_eq!(day.ration.as_ref().map(|ration| ration.request_share), Some(0.3));
+    let count = |is: fn(&FaultKind) -> bool| day.faults.iter().filter(|trouble| is(&trouble.kind)).count();
+    assert_eq!(count(|what| matches!(what, FaultKind::PauseControllers { .. })), 2);
+    assert_eq!(count(|what| matches!(what, FaultKind::Removal { .. })), 2);
+    assert!(day.faults.iter().any(|t| matches!(&t.kind, FaultKind::QuickErrors { on, .. } if on.len() == 2)));
+    assert_eq!(day.retry_budget.as_ref().map(|ration| ration.request_share), Some(0.3));
     assert_eq!(import(&json!({"family": "proxy"}), "x").err().map(|e| e.starts_with("family")), Some(true));
 }
