--- a/crates/lemontide-standin/src/judge.rs
+++ b/crates/lemontide-standin/src/judge.rs
@@ -83,6 +83,7 @@
 }
 
 impl Verdict {
+    /// Whether no rule was violated.
     pub fn is_clean(&self) -> bool {
         self.rules.iter().all(|rule| rule.violation_count == 0)
             && self.responses.unanswered == 0
--- a/crates/lemontide-standin/src/lib.rs
+++ b/crates/lemontide-standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what lemontide meets in service: scripted streamers and players, the days that they play, and
-//! the judge that checks the rules from taps alone.
+//! Stand-ins for the other parties of lemontide: streamers, players and discovery services that follow a script, the
+//! days (scenario files) that they run, and the checks of the service's rules from records alone.
 
 pub mod crowd;
 pub mod day;
--- a/crates/lemontide-standin/src/player.rs
+++ b/crates/lemontide-standin/src/player.rs
@@ -142,6 +142,7 @@
 }
 
 impl PlayerPool {
+    /// Players that know no controller yet.
     pub fn new(day: Arc<Day>, clock: Clock, tap: Tap, fleet: Fleet, defect: Option<Defect>) -> PlayerPool {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
--- a/crates/lemontide-standin/src/relay.rs
+++ b/crates/lemontide-standin/src/relay.rs
@@ -92,8 +92,8 @@
 impl Shared {
     fn impairments(&self, from: Endpoint, to: Endpoint) -> Vec<Impairment> {
         let state = lock(&self.state);
-        let on = state.impairments.values().filter(|(pairs, _)| pairs.contains(&(from, to)));
-        on.map(|(_, impairment)| impairment.clone()).collect()
+        let active = state.impairments.values().filter(|(pairs, _)| pairs.contains(&(from, to)));
+        active.map(|(_, impairment)| impairment.clone()).collect()
     }
 
     fn is_blocked(&self, from: Endpoint, to: Endpoint) -> bool {
@@ -112,6 +112,7 @@
         change(lock(&self.state).counts.entry((from, to)).or_default());
     }
 
+    /// Draws what happens to one datagram or one read of a link, and counts it.
     fn disposition(&self, from: Endpoint, to: Endpoint) -> Disposition {
         let (mut total_delay, mut duplicated) = (Duration::ZERO, false);
         for impairment in self.impairments(from, to) {
@@ -137,6 +138,7 @@
 }
 
 impl Relay {
+    /// A relay without impairments; the seed is for its random draws.
     pub fn new(seed: u64) -> Relay {
         let rng = Mutex::new(StdRng::seed_from_u64(seed));
         Relay { shared: Arc::new(Shared { state: Mutex::default(), rng }) }
--- a/crates/lemontide-standin/src/streamer.rs
+++ b/crates/lemontide-standin/src/streamer.rs
@@ -53,6 +53,7 @@
 #[derive(Clone)]
 pub struct Fleet {
     shared: Arc<Shared>,
+    /// The address of each streamer, by its index in the day.
     pub addresses: Vec<SocketAddr>,
 }
 
--- a/crates/lemontide-standin/tests/crossings.rs
+++ b/crates/lemontide-standin/tests/crossings.rs
@@ -1,4 +1,4 @@
-//! Two events that cross on a socket of the platform, the crossing forced by an end that holds its bytes.
+//! Races between two events on a socket of the platform. An endpoint that does not read or write forces each race.
 
 use bytes::Bytes;
 use lemontide::clock::{Point, Span};
@@ -18,27 +18,27 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::timeout;
 
-const ON: Connection = Connection { link: 1, dial: 1 };
+const CONNECTION: Connection = Connection { link: 1, dial: 1 };
 
-/// A connection to a streamer as the loop runs it; the test plays the streamer.
-struct Line {
-    orders: mpsc::Sender<Vec<QueuedMessage<OutboundMessage>>>,
+/// A connection to a streamer, run as by the event loop; the test plays the streamer.
+struct StreamerConnection {
+    outbound: mpsc::Sender<Vec<QueuedMessage<OutboundMessage>>>,
     close: Option<oneshot::Sender<Close>>,
     reports: mpsc::Receiver<Report>,
     streamer: TcpStream,
 }
 
-async fn line() -> Line {
+async fn connect() -> StreamerConnection {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a free port");
     let address = listener.local_addr().expect("it is bound").to_string();
-    let (orders, ordered) = mpsc::channel(4);
-    let (close, closed) = oneshot::channel();
+    let (outbound, outbound_receiver) = mpsc::channel(4);
+    let (close, close_receiver) = oneshot::channel();
     let (report, mut reports) = mpsc::channel(256);
-    let to = Dial { connection: ON, address, timeout: SOON };
-    tokio::spawn(run(Clock::start(), to, ordered, closed, report));
+    let dial = Dial { connection: CONNECTION, address, timeout: SOON };
+    tokio::spawn(run(Clock::start(), dial, outbound_receiver, close_receiver, report));
     let streamer = timeout(SOON, listener.accept()).await.expect("it dials").expect("accepted").0;
-    assert!(matches!(reports.recv().await, Some(Report::Connected { connection: ON })));
-    Line { orders, close: Some(close), reports, streamer }
+    assert!(matches!(reports.recv().await, Some(Report::Connected { connection: CONNECTION })));
+    StreamerConnection { outbound, close: Some(close), reports, streamer }
 }
 
 fn set_up(session: u64, permit: &Permit) -> QueuedMessage<OutboundMessage> {
@@ -48,11 +48,11 @@
         description: Bytes::from(vec![7; 15_000]),
         ..SetUp::default()
     });
-    let order = OutboundMessage { message: Message { session, body }, permit: Some(permit.clone()) };
-    QueuedMessage { message: order, attempt: Some((session as u32, 0)), not_after: None }
+    let outbound = OutboundMessage { message: Message { session, body }, permit: Some(permit.clone()) };
+    QueuedMessage { message: outbound, attempt: Some((session as u32, 0)), not_after: None }
 }
 
-/// The sessions of all set-ups that a streamer reads until the other end closes, whole ones only.
+/// The sessions of all complete set-ups that a streamer reads until the other end closes.
 async fn read_all(streamer: &mut TcpStream) -> Vec<u64> {
     let mut bytes = Vec::new();
     let _ = timeout(SOON, streamer.read_to_end(&mut bytes)).await.expect("it ends");
@@ -66,31 +66,31 @@
     sessions
 }
 
-/// Set-ups in a batch on a connection that takes no bytes, until the socket is full and more wait behind it.
-async fn fill(line: &Line) -> Vec<(u64, Permit)> {
+/// Sends a batch of set-ups on a connection whose peer does not read, until the socket's buffer is full and others wait.
+async fn fill(connection: &StreamerConnection) -> Vec<(u64, Permit)> {
     let all: Vec<(u64, Permit)> = (1..=1000).map(|session| (session, Permit::new())).collect();
     let batch = all.iter().map(|(session, permit)| set_up(*session, permit)).collect();
-    line.orders.send(batch).await.expect("it takes orders");
+    connection.outbound.send(batch).await.expect("the batch is accepted");
     let begun = || all.iter().filter(|(_, permit)| permit.has_begun()).count();
-    // Full when nothing more begins for a while; whether a few more do is of no matter to any test.
-    let full = async {
+    // The buffer counts as full when no write begins for 50 ms; no test depends on whether a few more do later.
+    let buffer_full = async {
         let mut before = usize::MAX;
         while begun() == 0 || before != begun() {
             before = begun();
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    timeout(SOON, full).await.expect("it begins, and stops when the socket is full");
+    timeout(SOON, buffer_full).await.expect("it begins, and stops when the socket is full");
     assert!(begun() < all.len(), "some wait");
     all
 }
 
-/// A set-up in a batch left although its viewer had gone, or it had been given up: it is taken back until its first
-/// byte is with the socket, and only until then.
+/// Guards against sending a set-up of a batch after its viewer left or its attempt was abandoned. It can be withdrawn
+/// until its first byte is written to the socket, and only until then.
 #[tokio::test]
-async fn what_is_taken_back_out_of_a_batch_never_leaves_and_the_rest_does() {
-    let mut line = line().await;
-    let all = fill(&line).await;
+async fn messages_withdrawn_from_a_batch_are_never_sent_and_the_others_are() {
+    let mut connection = connect().await;
+    let all = fill(&connection).await;
     let kept = |session: u64| session.is_multiple_of(3);
     let left: Vec<u64> = all
         .iter()
@@ -98,11 +98,11 @@
         .map(|(session, _)| *session)
         .collect();
     assert!(left.len() < all.len());
-    drop(line.orders);
-    assert_eq!(read_all(&mut line.streamer).await, left);
-    drop(line.close);
+    drop(connection.outbound);
+    assert_eq!(read_all(&mut connection.streamer).await, left);
+    drop(connection.close);
     let mut wrote = 0;
-    while let Some(report) = timeout(SOON, line.reports.recv()).await.expect("its task ends") {
+    while let Some(report) = timeout(SOON, connection.reports.recv()).await.expect("its task ends") {
         if let Report::Written { unsent, .. } = report {
             assert_eq!(unsent.len(), all.len() - left.len());
             wrote += 1;
@@ -111,18 +111,21 @@
     assert_eq!(wrote, 1);
 }
 
-/// After a hang-up the writer went on with the batch: what the dispatcher had declared broken and sent elsewhere left all
-/// the same. And it is over only when the socket is closed, as the next attempt leaves then.
+/// Guards against a writer that continues its batch after the connection is closed: attempts that the dispatcher counted
+/// as lost and retried elsewhere were then sent all the same. The end is reported only once the socket is closed, since
+/// the next attempt is sent then.
 #[tokio::test]
-async fn after_a_hang_up_nothing_more_begins_and_the_end_is_told_after_the_close() {
-    let mut line = line().await;
-    let all = fill(&line).await;
-    drop(line.close.take());
-    let told = timeout(SOON, line.reports.recv()).await.expect("told at once, though a write is stuck");
-    assert!(matches!(told, Some(Report::Closed { by_streamer: false, .. })));
+async fn after_a_close_no_write_begins_and_the_end_is_reported_after_the_socket_is_closed() {
+    let mut connection = connect().await;
+    let all = fill(&connection).await;
+    drop(connection.close.take());
+    let report = timeout(SOON, connection.reports.recv())
+        .await
+        .expect("reported at once, although a write is blocked");
+    assert!(matches!(report, Some(Report::Closed { by_streamer: false, .. })));
     let begun: Vec<u64> = all.iter().filter(|(_, permit)| permit.has_begun()).map(|(s, _)| *s).collect();
-    // Closed already: nothing is left to be sent but what the socket holds, and then its end.
-    let read = read_all(&mut line.streamer).await;
+    // The socket is closed already: only what is in its buffer is still sent, and then the end.
+    let read = read_all(&mut connection.streamer).await;
     assert!(
         read.len() <= begun.len() && begun.starts_with(&read),
         "{} read, {} begun",
@@ -131,63 +134,63 @@
     );
 }
 
-/// This end's close proves nothing of what a streamer has read: its own close is awaited and told, and that there was
-/// none.
+/// This end's close does not show what a streamer has read. The streamer's own close is awaited and reported, and so is
+/// its absence.
 #[tokio::test]
-async fn the_close_of_a_connection_is_told_with_whose_it_was() {
+async fn the_close_of_a_connection_is_reported_with_the_side_that_closed_it() {
     for by_streamer in [false, true] {
-        let mut line = line().await;
+        let mut connection = connect().await;
         let permit = Permit::new();
-        line.orders.send(vec![set_up(1, &permit)]).await.expect("it takes orders");
-        assert!(matches!(line.reports.recv().await, Some(Report::Written { .. })));
-        let close = line.close.take().expect("it is up");
+        connection.outbound.send(vec![set_up(1, &permit)]).await.expect("the batch is accepted");
+        assert!(matches!(connection.reports.recv().await, Some(Report::Written { .. })));
+        let close = connection.close.take().expect("it is up");
         close.send(Close::AwaitStreamer).expect("it is up");
         if by_streamer {
-            // It reads all that came, and the end of it.
-            assert_eq!(read_all(&mut line.streamer).await, [1]);
-            drop(line.streamer);
+            // The streamer reads everything up to the end.
+            assert_eq!(read_all(&mut connection.streamer).await, [1]);
+            drop(connection.streamer);
         }
-        let told = timeout(SOON, line.reports.recv()).await.expect("told").expect("told");
-        assert!(matches!(told, Report::Closed { by_streamer: by, .. } if by == by_streamer));
+        let report = timeout(SOON, connection.reports.recv()).await.expect("reported").expect("reported");
+        assert!(matches!(report, Report::Closed { by_streamer: by, .. } if by == by_streamer));
     }
 }
 
 #[tokio::test]
-async fn a_set_up_that_waits_past_its_time_never_leaves() {
-    let mut line = line().await;
+async fn a_set_up_that_waits_past_its_time_limit_is_never_sent() {
+    let mut connection = connect().await;
     let permit = Permit::new();
     let past = Point::at(Clock::start().now()) - Span::of(1.0);
     let late = QueuedMessage { not_after: Some(past), ..set_up(1, &permit) };
     let other = Permit::new();
-    line.orders.send(vec![late, set_up(2, &other)]).await.expect("it takes orders");
-    let told = timeout(SOON, line.reports.recv()).await.expect("told");
-    assert!(matches!(told, Some(Report::Written { unsent, .. }) if unsent == [(1, 0)]));
-    assert!(!permit.begin() && other.has_begun(), "nobody may begin it any more");
-    drop(line.orders);
-    assert_eq!(read_all(&mut line.streamer).await, [2]);
+    connection.outbound.send(vec![late, set_up(2, &other)]).await.expect("the batch is accepted");
+    let report = timeout(SOON, connection.reports.recv()).await.expect("reported");
+    assert!(matches!(report, Some(Report::Written { unsent, .. }) if unsent == [(1, 0)]));
+    assert!(!permit.begin() && other.has_begun(), "it can no longer begin");
+    drop(connection.outbound);
+    assert_eq!(read_all(&mut connection.streamer).await, [2]);
 }
 
-/// A dial that is given up while nobody accepts it ends at once, and holds no descriptor.
+/// An attempt to connect that is cancelled before it is accepted ends at once, and keeps no file descriptor.
 #[tokio::test]
-async fn a_hang_up_ends_a_dial() {
+async fn a_close_cancels_an_attempt_to_connect() {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a free port");
     let listener = socket.listen(1).expect("it listens");
     let at = listener.local_addr().expect("it is bound");
-    // Its queue is full, so that the next connection does not come up.
+    // The listen queue is full, so that the next connection is not established.
     let mut full = Vec::new();
     while let Ok(Ok(one)) = timeout(Duration::from_millis(200), TcpStream::connect(at)).await {
         full.push(one);
     }
-    let (_orders, ordered) = mpsc::channel(4);
-    let (close, closed) = oneshot::channel();
+    let (_orders, outbound_receiver) = mpsc::channel(4);
+    let (close, close_receiver) = oneshot::channel();
     let (report, mut reports) = mpsc::channel(4);
-    let to = Dial { connection: ON, address: at.to_string(), timeout: SOON * 2 };
-    tokio::spawn(run(Clock::start(), to, ordered, closed, report));
+    let dial = Dial { connection: CONNECTION, address: at.to_string(), timeout: SOON * 2 };
+    tokio::spawn(run(Clock::start(), dial, outbound_receiver, close_receiver, report));
     tokio::task::yield_now().await;
     drop(close);
-    let told = timeout(SOON, reports.recv()).await.expect("told before the dial's time is over");
-    assert!(matches!(told, Some(Report::Closed { by_streamer: false, .. })));
+    let report = timeout(SOON, reports.recv()).await.expect("reported before the connect timeout");
+    assert!(matches!(report, Some(Report::Closed { by_streamer: false, .. })));
 }
 
 fn event(pos: u64) -> String {
@@ -199,74 +202,76 @@
     &hosts.streamers[0].id
 }
 
-/// The service moves while an event waits for room: it was counted as taken, dropped, and never asked for again.
+/// Guards against losing an event that waits for room in the channel while the service moves: it was counted as accepted,
+/// then dropped, and never requested again.
 #[tokio::test]
-async fn an_event_that_waits_when_the_service_moves_is_asked_for_again() {
+async fn an_event_that_waits_when_the_service_moves_is_requested_again() {
     let (old, new) = (Journal::start().await.expect("a port"), Journal::start().await.expect("a port"));
     let address = |journal: &Journal| journal.address().expect("it is bound").to_string();
     let (moves, moved) = watch::channel(address(&old));
-    let (news, mut heard) = mpsc::channel(1);
-    let follower = tokio::spawn(journal::follow(moved, 0, news));
-    let (mut reader, last) = old.reader().await.expect("it asks");
+    let (updates, mut received) = mpsc::channel(1);
+    let follower = tokio::spawn(journal::follow(moved, 0, updates));
+    let (mut reader, last) = old.reader().await.expect("the journal is requested");
     assert_eq!(last, 0);
     reader.write_all((event(1) + &event(2)).as_bytes()).await.expect("sent");
-    // The first fills the channel; the second has been read once the service's word after it makes no difference.
+    // The first event fills the channel. The pause gives the follower time to read the second one, which then waits.
     let first = async {
-        while heard.is_empty() {
+        while received.is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    timeout(SOON, first).await.expect("told");
+    timeout(SOON, first).await.expect("reported");
     tokio::time::sleep(Duration::from_millis(100)).await;
     moves.send(address(&new)).expect("followed");
-    let (mut reader, last) = new.reader().await.expect("it asks at the new address");
-    assert_eq!(last, 1, "for the one that found no room");
+    let (mut reader, last) = new.reader().await.expect("the journal is requested at the new address");
+    assert_eq!(last, 1, "from the event that found no room");
     reader.write_all(event(2).as_bytes()).await.expect("sent");
     for expected in ["s1", "s2"] {
-        let hosts = timeout(SOON, heard.recv()).await.expect("told").expect("followed");
+        let hosts = timeout(SOON, received.recv()).await.expect("reported").expect("followed");
         assert_eq!(name(&hosts), expected);
     }
     follower.abort();
 }
 
-/// A list that goes quiet and stays quiet: the next connection is silent, too, and the one after it tells.
+/// A service that sends nothing: the following connections are silent, too, and the last one sends an event.
 #[tokio::test]
-async fn a_service_that_stays_silent_is_asked_again_and_again() {
+async fn a_silent_service_is_requested_again_until_it_answers() {
     let service = Journal::start().await.expect("a port");
     let (_moves, moved) = watch::channel(service.address().expect("it is bound").to_string());
-    let (news, mut heard) = mpsc::channel(8);
-    let follower = tokio::spawn(journal::follow(moved, 3, news));
+    let (updates, mut received) = mpsc::channel(8);
+    let follower = tokio::spawn(journal::follow(moved, 3, updates));
     let mut silent = Vec::new();
-    for half in [&b""[..], b"{\"pos\":4,\"hosts\":{", b""] {
-        let (mut reader, last) = service.reader().await.expect("it asks");
+    for partial in [&b""[..], b"{\"pos\":4,\"hosts\":{", b""] {
+        let (mut reader, last) = service.reader().await.expect("the journal is requested");
         assert_eq!(last, 3);
-        reader.write_all(half).await.expect("sent");
+        reader.write_all(partial).await.expect("sent");
         silent.push(reader);
     }
-    let (mut reader, _) = service.reader().await.expect("it asks");
+    let (mut reader, _) = service.reader().await.expect("the journal is requested");
     reader.write_all(event(4).as_bytes()).await.expect("sent");
-    let hosts = timeout(SOON, heard.recv()).await.expect("told").expect("followed");
+    let hosts = timeout(SOON, received.recv()).await.expect("reported").expect("followed");
     assert_eq!(name(&hosts), "s4");
     follower.abort();
 }
 
-/// A connection that begins past what was asked for is asked about again; a gap that stays is the service's own.
+/// If a response starts after the requested position, it is requested once more. A gap that remains is accepted, since the
+/// service no longer has those events.
 #[tokio::test]
-async fn a_gap_is_asked_about_once() {
+async fn a_gap_is_requested_again_once() {
     let service = Journal::start().await.expect("a port");
     let (_moves, moved) = watch::channel(service.address().expect("it is bound").to_string());
-    let (news, mut heard) = mpsc::channel(8);
-    let follower = tokio::spawn(journal::follow(moved, 3, news));
+    let (updates, mut received) = mpsc::channel(8);
+    let follower = tokio::spawn(journal::follow(moved, 3, updates));
     for _ in 0..2 {
-        let (mut reader, last) = service.reader().await.expect("it asks");
+        let (mut reader, last) = service.reader().await.expect("the journal is requested");
         assert_eq!(last, 3);
-        assert!(heard.is_empty());
+        assert!(received.is_empty());
         reader.write_all(("3\n".to_owned() + &event(6)).as_bytes()).await.expect("sent");
-        if let Ok(hosts) = timeout(Duration::from_millis(500), heard.recv()).await {
+        if let Ok(hosts) = timeout(Duration::from_millis(500), received.recv()).await {
             assert_eq!(name(&hosts.expect("followed")), "s6");
             follower.abort();
             return;
         }
     }
-    panic!("what the service no longer has is asked for for ever");
+    panic!("events that the service no longer has are requested forever");
 }
--- a/crates/lemontide-standin/tests/sockets.rs
+++ b/crates/lemontide-standin/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The controller over real sockets on loopback, against odd players and odd streamers.
+//! The controller over real sockets on loopback, with players and streamers that misbehave.
 
 use futures::{SinkExt, StreamExt};
 use lemontide_front::server::ControllerServer;
@@ -22,34 +22,36 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-const SOON: Duration = Duration::from_secs(10);
+/// How long a test waits for something that must happen.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn settings(folder: &Path) -> Settings {
-    let lane = |name: &str, repeat: &str| json!({"name": name, "gain": 1, "latency_goal_s": 1, "cut_off_s": 3, "repeat": repeat});
+    let class = |name: &str, repeat: &str| json!({"name": name, "gain": 1, "latency_goal_s": 1, "cut_off_s": 3, "repeat": repeat});
     let settings = json!({
         "listen": "127.0.0.1:0", "me": 0, "controllers": 1, "seed": 7, "zone": "here",
         "list": folder.join("list.json"), "titles": {"t": {"home": 0, "copies": 1}},
-        "lanes": [lane("free", "free"), lane("paid", "paid")],
+        "lanes": [class("free", "free"), class("paid", "paid")],
         "ladder": {"kb": [200, 400, 800], "gain": [0.3, 0.6, 1.0]},
         "fleet": {"cells": 1, "racks": 1, "rack_kb": 1e6, "kb_per_weight": 1e5,
                   "kinds": [{"name": "std", "streams": 3000}]},
         "notes": {"age_s": 1, "every_s": 3}, "shots": {"most": 2},
         "retry_after": {"allowed": true, "longest_s": 0.5},
-        // No warm-up here: a new controller would hold back for half of it.
+        // No warm-up, since a new controller sends less during the first half of it.
         "cold": {"span_s": 0, "from": 1, "multiple": 2, "window_s": 1},
         "links": {"dial_timeout_s": 0.25}, "limits": {"stop_s": 0.1, "request_s": 1.0}
     });
     serde_json::from_value(settings).expect("the settings are valid")
 }
 
-fn list(folder: &Path, version: u64, address: SocketAddr, stage: StreamerState) {
+/// Writes a list with one streamer.
+fn write_list(folder: &Path, version: u64, address: SocketAddr, state: StreamerState) {
     let streamer = ListEntry {
         streamer: "s0".into(),
         address: address.to_string(),
         zone: "here".into(),
         kind: "std".into(),
         cell: 0,
-        state: stage,
+        state,
         weight: 1.0,
         started_at: None,
     };
@@ -58,22 +60,23 @@
     lemontide_standin::run::replace(&folder.join("list.json"), &bytes).expect("the folder can be written");
 }
 
-/// A controller with one streamer that the test plays itself; its first link, greeted.
+/// Starts a controller with one streamer, which is played by the test, and accepts the first link.
 async fn start() -> (ControllerServer, tempfile::TempDir, TcpListener, Framed<TcpStream, StreamerCodec>) {
-    let folder = tempfile::tempdir().expect("a folder is to be had");
+    let folder = tempfile::tempdir().expect("a folder can be created");
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback is there");
-    list(folder.path(), 1, listener.local_addr().expect("it is bound"), StreamerState::Ready);
-    let front = ControllerServer::start(settings(folder.path())).await.expect("it starts");
-    let link = link(&listener).await;
-    (front, folder, listener, link)
+    write_list(folder.path(), 1, listener.local_addr().expect("it is bound"), StreamerState::Ready);
+    let controller = ControllerServer::start(settings(folder.path())).await.expect("it starts");
+    let link = accept_link(&listener).await;
+    (controller, folder, listener, link)
 }
 
-async fn link(listener: &TcpListener) -> Framed<TcpStream, StreamerCodec> {
+/// Accepts a link and completes its handshake.
+async fn accept_link(listener: &TcpListener) -> Framed<TcpStream, StreamerCodec> {
     loop {
-        let (socket, _) = timeout(SOON, listener.accept()).await.expect("it dials").expect("it can");
+        let (socket, _) = timeout(TIMEOUT, listener.accept()).await.expect("it dials").expect("it can");
         let mut link = Framed::new(socket, StreamerCodec::default());
-        // A dial that gave up meanwhile says nothing.
-        if let Ok(Some(Ok(ControllerMessage::Hello(hello)))) = timeout(SOON, link.next()).await {
+        // An attempt to connect that has been given up meanwhile sends nothing.
+        if let Ok(Some(Ok(ControllerMessage::Hello(hello)))) = timeout(TIMEOUT, link.next()).await {
             assert_eq!(hello.version, PROTOCOL_VERSION);
             let welcome = Welcome { version: PROTOCOL_VERSION, streamer: "s0".into(), started: 1.0 };
             if link.send(StreamerMessage::Welcome(welcome)).await.is_ok() {
@@ -83,20 +86,23 @@
     }
 }
 
-async fn order(link: &mut Framed<TcpStream, StreamerCodec>) -> ControllerMessage {
+/// The next message of the controller that is no ping.
+async fn next_message(link: &mut Framed<TcpStream, StreamerCodec>) -> ControllerMessage {
     loop {
-        let order = timeout(SOON, link.next()).await.expect("an order comes").expect("the link is open");
-        match order.expect("it is valid") {
+        let message =
+            timeout(TIMEOUT, link.next()).await.expect("a message arrives").expect("the link is open");
+        match message.expect("it is valid") {
             ControllerMessage::Ping(_) => {}
             other => return other,
         }
     }
 }
 
-fn wish(lane: &str) -> String {
-    json!({"title": "t", "lane": lane, "ask": "a", "cmcd": {"sid": 7}}).to_string()
+fn request_body(class: &str) -> String {
+    json!({"title": "t", "lane": class, "ask": "a", "cmcd": {"sid": 7}}).to_string()
 }
 
+/// Sends a request without waiting for the response.
 async fn send(to: SocketAddr, head: &str, body: &str) -> TcpStream {
     let mut socket = TcpStream::connect(to).await.expect("it listens");
     let length = body.len();
@@ -105,185 +111,200 @@
     socket
 }
 
-async fn answer(mut socket: TcpStream) -> String {
+/// Reads the whole response.
+async fn response(mut socket: TcpStream) -> String {
     let mut text = Vec::new();
-    let _ = timeout(SOON, socket.read_to_end(&mut text)).await.expect("it is answered and closed");
+    let _ = timeout(TIMEOUT, socket.read_to_end(&mut text)).await.expect("it is answered and closed");
     String::from_utf8_lossy(&text).into_owned()
 }
 
 const POST: &str = "POST /v1/subscriptions HTTP/1.1";
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_wish_is_played_with_hints_and_garbage_hints_cost_nothing() {
-    let (front, _folder, _listener, mut link) = start().await;
-    let hints = "CMCD-Object: tb=4000,==broken==\r\nCMCD-Session: sid=\"v1\"\r\nCMCD-Request: ((((";
-    let asked = send(front.address, &format!("{POST}\r\n{hints}"), &wish("paid")).await;
-    let ControllerMessage::SetUp(set_up) = order(&mut link).await else { panic!("a set-up comes first") };
+async fn a_request_with_cmcd_is_played_and_invalid_cmcd_is_ignored() {
+    let (controller, _folder, _listener, mut link) = start().await;
+    let cmcd = "CMCD-Object: tb=4000,==broken==\r\nCMCD-Session: sid=\"v1\"\r\nCMCD-Request: ((((";
+    let request = send(controller.address, &format!("{POST}\r\n{cmcd}"), &request_body("paid")).await;
+    let ControllerMessage::SetUp(set_up) = next_message(&mut link).await else {
+        panic!("a set-up is sent first")
+    };
     assert!(set_up.rate_kb * 8 <= 4000, "the player's top bitrate is kept");
     let load = CmsdDynamic { server: "s0".into(), link_utilization: Some(0.25), ..CmsdDynamic::default() };
     let plays = Plays { id: set_up.id, shot: set_up.shot, cmsd_dynamic: load.to_header_value() };
     link.send(StreamerMessage::Plays(plays)).await.expect("it reads");
-    let text = answer(asked).await;
+    let text = response(request).await;
     assert!(text.starts_with("HTTP/1.1 201"), "{text}");
     assert!(text.contains("cmsd-static: br=") && text.contains("cmsd-dynamic: \"lemontide-0\""), "{text}");
     let body = text.split("\r\n\r\n").nth(1).expect("there is a body");
-    let Ok(PlayResponse::Plays { session: subscription, ref streamer, .. }) = serde_json::from_str(body)
-    else {
+    let Ok(PlayResponse::Plays { session, ref streamer, .. }) = serde_json::from_str(body) else {
         panic!("it plays: {body}")
     };
     assert_eq!(streamer, "s0");
-    let gone = send(front.address, &format!("DELETE /v1/subscriptions/{subscription} HTTP/1.1"), "").await;
-    assert!(answer(gone).await.starts_with("HTTP/1.1 204"));
+    let deletion =
+        send(controller.address, &format!("DELETE /v1/subscriptions/{session} HTTP/1.1"), "").await;
+    assert!(response(deletion).await.starts_with("HTTP/1.1 204"));
     assert!(
-        matches!(order(&mut link).await, ControllerMessage::Cancel(Cancel { id, .. }) if id == subscription)
+        matches!(next_message(&mut link).await, ControllerMessage::Cancel(Cancel { id, .. }) if id == session)
     );
-    tokio::task::spawn_blocking(move || front.stop()).await.expect("it stops");
+    tokio::task::spawn_blocking(move || controller.stop()).await.expect("it stops");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_player_that_goes_away_is_heard() {
-    let (front, _folder, _listener, mut link) = start().await;
-    let asked = send(front.address, POST, &wish("paid")).await;
-    let ControllerMessage::SetUp(set_up) = order(&mut link).await else { panic!("a set-up comes first") };
-    drop(asked);
-    let ControllerMessage::Cancel(cancel) = order(&mut link).await else { panic!("then its cancel") };
+async fn a_player_that_disconnects_cancels_its_attempt() {
+    let (controller, _folder, _listener, mut link) = start().await;
+    let request = send(controller.address, POST, &request_body("paid")).await;
+    let ControllerMessage::SetUp(set_up) = next_message(&mut link).await else {
+        panic!("a set-up is sent first")
+    };
+    drop(request);
+    let ControllerMessage::Cancel(cancel) = next_message(&mut link).await else {
+        panic!("then its cancellation")
+    };
     assert_eq!(cancel.id, set_up.id);
-    tokio::task::spawn_blocking(move || front.stop()).await.expect("it stops");
+    tokio::task::spawn_blocking(move || controller.stop()).await.expect("it stops");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn odd_requests_get_clear_answers_and_change_nothing() {
-    let (front, _folder, _listener, mut link) = start().await;
-    let to = front.address;
+async fn invalid_requests_get_error_responses_and_have_no_effect() {
+    let (controller, _folder, _listener, mut link) = start().await;
+    let to = controller.address;
     for (body, status) in [
         ("{", "400"),
         (r#"{"title":"t","lane":"free","tpo":1}"#, "400"),
         (r#"{"title":"none","lane":"free"}"#, "404"),
         (r#"{"title":"t","lane":"none"}"#, "400"),
     ] {
-        let text = answer(send(to, POST, body).await).await;
+        let text = response(send(to, POST, body).await).await;
         assert!(text.starts_with(&format!("HTTP/1.1 {status}")), "{body}: {text}");
         assert!(text.contains("not_taken"), "{text}");
     }
     let long = "x".repeat(20_000);
-    let text = answer(send(to, POST, &long).await).await;
+    let text = response(send(to, POST, &long).await).await;
     assert!(text.starts_with("HTTP/1.1 413"), "{text}");
-    // A head that is too long, and one that never ends: both are cut off.
-    let text = answer(send(to, &format!("{POST}\r\nx-long: {}", "y".repeat(40_000)), "{}").await).await;
+    // Headers that are too long, and headers that never end: the connection is closed.
+    let text = response(send(to, &format!("{POST}\r\nx-long: {}", "y".repeat(40_000)), "{}").await).await;
     assert!(text.is_empty() || text.starts_with("HTTP/1.1 4"), "{text}");
     let mut slow = TcpStream::connect(to).await.expect("it listens");
     slow.write_all(b"POST /v1/subscriptions HTTP/1.1\r\nhost").await.expect("it is open");
-    answer(slow).await;
-    // A body that never ends is answered, too.
+    response(slow).await;
+    // A body that never ends gets a response, too.
     let mut slow = TcpStream::connect(to).await.expect("it listens");
     let head = format!("{POST}\r\nhost: x\r\nconnection: close\r\ncontent-length: 50\r\n\r\n{{");
     slow.write_all(head.as_bytes()).await.expect("it is open");
-    assert!(answer(slow).await.starts_with("HTTP/1.1 408"));
-    // After all that a plain wish still goes through.
-    let asked = send(to, POST, &wish("free")).await;
-    assert!(matches!(order(&mut link).await, ControllerMessage::SetUp(_)));
-    drop(asked);
-    tokio::task::spawn_blocking(move || front.stop()).await.expect("it stops");
+    assert!(response(slow).await.starts_with("HTTP/1.1 408"));
+    // A valid request still works afterwards.
+    let request = send(to, POST, &request_body("free")).await;
+    assert!(matches!(next_message(&mut link).await, ControllerMessage::SetUp(_)));
+    drop(request);
+    tokio::task::spawn_blocking(move || controller.stop()).await.expect("it stops");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_streamer_that_sends_garbage_is_dialled_anew_and_what_was_out_counts_as_run() {
-    let (front, _folder, listener, mut link) = start().await;
-    let paid = send(front.address, POST, &wish("paid")).await;
-    assert!(matches!(order(&mut link).await, ControllerMessage::SetUp(_)));
-    // A frame longer than any honest one.
+async fn a_streamer_that_sends_an_invalid_frame_is_reconnected_and_its_open_attempts_count_as_run() {
+    let (controller, _folder, listener, mut link) = start().await;
+    let paid = send(controller.address, POST, &request_body("paid")).await;
+    assert!(matches!(next_message(&mut link).await, ControllerMessage::SetUp(_)));
+    // A frame longer than the maximum.
     link.get_mut().write_all(&[0xff; 64]).await.expect("it is open");
-    assert!(answer(paid).await.starts_with("HTTP/1.1 502"), "paid and may have run: scrapped");
-    let _again = self::link(&listener).await;
-    tokio::task::spawn_blocking(move || front.stop()).await.expect("it stops");
+    assert!(response(paid).await.starts_with("HTTP/1.1 502"), "at most once, and it can have run: failed");
+    let _second_link = accept_link(&listener).await;
+    tokio::task::spawn_blocking(move || controller.stop()).await.expect("it stops");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_half_written_list_keeps_the_last_and_a_drain_is_obeyed() {
-    let (front, folder, listener, mut link) = start().await;
+async fn an_incomplete_list_is_ignored_and_a_drain_takes_effect() {
+    let (controller, folder, listener, mut link) = start().await;
     std::fs::write(folder.path().join("list.json"), "{\"version\": 2, \"strea").expect("it can be written");
     tokio::time::sleep(Duration::from_millis(200)).await;
-    let asked = send(front.address, POST, &wish("free")).await;
-    assert!(matches!(order(&mut link).await, ControllerMessage::SetUp(_)), "the last list is in force");
-    drop(asked);
-    assert!(matches!(order(&mut link).await, ControllerMessage::Cancel(_)));
-    list(folder.path(), 3, listener.local_addr().expect("it is bound"), StreamerState::Draining);
+    let request = send(controller.address, POST, &request_body("free")).await;
+    assert!(
+        matches!(next_message(&mut link).await, ControllerMessage::SetUp(_)),
+        "the last list is in force"
+    );
+    drop(request);
+    assert!(matches!(next_message(&mut link).await, ControllerMessage::Cancel(_)));
+    write_list(folder.path(), 3, listener.local_addr().expect("it is bound"), StreamerState::Draining);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let text = answer(send(front.address, POST, &wish("free")).await).await;
+    let text = response(send(controller.address, POST, &request_body("free")).await).await;
     assert!(text.starts_with("HTTP/1.1 503") && text.contains("retry-after: 1"), "{text}");
-    tokio::task::spawn_blocking(move || front.stop()).await.expect("it stops");
+    tokio::task::spawn_blocking(move || controller.stop()).await.expect("it stops");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn another_streamer_at_the_old_address_is_not_taken_for_it() {
-    let folder = tempfile::tempdir().expect("a folder is to be had");
+async fn a_different_streamer_at_the_listed_address_gets_no_set_ups() {
+    let folder = tempfile::tempdir().expect("a folder can be created");
     let day = Day::read(Path::new("../../days/short.json")).expect("it is valid");
     let clock = Clock::start();
     let fleet = Fleet::start(&day, clock, Tap::disabled(clock), None).await.expect("loopback is there");
-    // What answers there is s1.
-    list(folder.path(), 1, fleet.addresses[1], StreamerState::Ready);
-    let front = ControllerServer::start(settings(folder.path())).await.expect("it starts");
-    let text = answer(send(front.address, POST, &wish("free")).await).await;
+    // The streamer at this address is s1.
+    write_list(folder.path(), 1, fleet.addresses[1], StreamerState::Ready);
+    let controller = ControllerServer::start(settings(folder.path())).await.expect("it starts");
+    let text = response(send(controller.address, POST, &request_body("free")).await).await;
     assert!(text.starts_with("HTTP/1.1 503"), "{text}");
-    tokio::task::spawn_blocking(move || front.stop()).await.expect("it stops");
+    tokio::task::spawn_blocking(move || controller.stop()).await.expect("it stops");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_listener_hears_rungs_and_the_end() {
-    let (front, _folder, _listener, mut link) = start().await;
-    let asked = send(front.address, POST, &wish("free")).await;
-    let ControllerMessage::SetUp(set_up) = order(&mut link).await else { panic!("a set-up comes first") };
+async fn the_event_stream_shows_the_rung_and_the_end() {
+    let (controller, _folder, _listener, mut link) = start().await;
+    let request = send(controller.address, POST, &request_body("free")).await;
+    let ControllerMessage::SetUp(set_up) = next_message(&mut link).await else {
+        panic!("a set-up is sent first")
+    };
     let plays = Plays { id: set_up.id, shot: set_up.shot, cmsd_dynamic: String::new() };
     link.send(StreamerMessage::Plays(plays)).await.expect("it reads");
-    answer(asked).await;
-    let news = send(front.address, &format!("GET /v1/subscriptions/{}/news HTTP/1.1", set_up.id), "").await;
-    // Its first line is where things stand; then the streamer is lost.
+    response(request).await;
+    let events =
+        send(controller.address, &format!("GET /v1/subscriptions/{}/news HTTP/1.1", set_up.id), "").await;
+    // The first event is the current rung; then the link to the streamer is lost.
     tokio::time::sleep(Duration::from_millis(200)).await;
     drop(link);
-    let text = answer(news).await;
+    let text = response(events).await;
     assert!(text.contains("\"news\":\"rung\"") && text.contains("\"why\":\"broken\""), "{text}");
-    let none = send(front.address, "GET /v1/subscriptions/4000/news HTTP/1.1", "").await;
-    assert!(answer(none).await.starts_with("HTTP/1.1 404"));
-    tokio::task::spawn_blocking(move || front.stop()).await.expect("it stops");
+    let none = send(controller.address, "GET /v1/subscriptions/4000/news HTTP/1.1", "").await;
+    assert!(response(none).await.starts_with("HTTP/1.1 404"));
+    tokio::task::spawn_blocking(move || controller.stop()).await.expect("it stops");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_controller_at_its_limit_turns_back_what_it_was_asked_to_guard() {
+async fn a_controller_at_its_memory_limit_rejects_requests() {
     for (memory_bytes, full) in [(1.0, true), (1e12, false)] {
-        let folder = tempfile::tempdir().expect("a folder is to be had");
+        let folder = tempfile::tempdir().expect("a folder can be created");
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback is there");
-        list(folder.path(), 1, listener.local_addr().expect("it is bound"), StreamerState::Ready);
+        write_list(folder.path(), 1, listener.local_addr().expect("it is bound"), StreamerState::Ready);
         let shedding = json!({"delay_s": 5.0, "cores": 64, "memory_bytes": memory_bytes, "files": 1e6});
         let mut settings = settings(folder.path());
         settings.shedding = Some(serde_json::from_value(shedding).expect("it is valid"));
-        let front = ControllerServer::start(settings).await.expect("it starts");
-        let mut link = link(&listener).await;
-        // The gauges are read every tenth of a second.
+        let controller = ControllerServer::start(settings).await.expect("it starts");
+        let mut link = accept_link(&listener).await;
+        // Utilization is measured every 0.1 s.
         tokio::time::sleep(Duration::from_millis(300)).await;
-        let asked = send(front.address, POST, &wish("free")).await;
+        let request = send(controller.address, POST, &request_body("free")).await;
         if full {
-            let text = answer(asked).await;
-            let told = text.contains("near its limit") && text.contains("retry-after: 1");
-            assert!(text.starts_with("HTTP/1.1 503") && told, "{text}");
+            let text = response(request).await;
+            let has_reason = text.contains("near its limit") && text.contains("retry-after: 1");
+            assert!(text.starts_with("HTTP/1.1 503") && has_reason, "{text}");
         } else {
-            assert!(matches!(order(&mut link).await, ControllerMessage::SetUp(_)));
-            drop(asked);
+            assert!(matches!(next_message(&mut link).await, ControllerMessage::SetUp(_)));
+            drop(request);
         }
-        tokio::task::spawn_blocking(move || front.stop()).await.expect("it stops");
+        tokio::task::spawn_blocking(move || controller.stop()).await.expect("it stops");
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_player_that_closed_its_half_is_answered() {
-    let (front, _folder, _listener, mut link) = start().await;
-    let mut asked = send(front.address, POST, &wish("paid")).await;
-    let ControllerMessage::SetUp(set_up) = order(&mut link).await else { panic!("a set-up comes first") };
-    asked.shutdown().await.expect("closed by half");
+async fn a_player_that_closed_its_half_of_the_connection_gets_a_response() {
+    let (controller, _folder, _listener, mut link) = start().await;
+    let mut request = send(controller.address, POST, &request_body("paid")).await;
+    let ControllerMessage::SetUp(set_up) = next_message(&mut link).await else {
+        panic!("a set-up is sent first")
+    };
+    request.shutdown().await.expect("this half is closed");
     // Long enough for the controller to have read the close.
     tokio::time::sleep(Duration::from_millis(100)).await;
     let plays = Plays { id: set_up.id, shot: set_up.shot, cmsd_dynamic: String::new() };
     link.send(StreamerMessage::Plays(plays)).await.expect("it reads");
-    let text = answer(asked).await;
+    let text = response(request).await;
     assert_eq!(text.matches("HTTP/1.1 201").count(), 1, "{text}");
-    tokio::task::spawn_blocking(move || front.stop()).await.expect("it stops");
+    tokio::task::spawn_blocking(move || controller.stop()).await.expect("it stops");
 }
