--- a/crates/lemontide-cli/src/day.rs
+++ b/crates/lemontide-cli/src/day.rs
@@ -3,9 +3,9 @@
 use crate::{BoxError, CommandResult};
 use lemontide_standin::day::Day;
 use lemontide_standin::import::import;
-use lemontide_standin::judge::judge;
-use lemontide_standin::run::{self, How};
-use lemontide_standin::streamer::{Fault, Fleet};
+use lemontide_standin::judge::check_rules;
+use lemontide_standin::run::{self, RunOptions};
+use lemontide_standin::streamer::{Defect, Fleet};
 use lemontide_wire::clock::Clock;
 use lemontide_wire::tap::{self, Tap};
 use std::path::{Path, PathBuf};
@@ -100,13 +100,13 @@
         return Err(format!("{}: already holds a day; give an empty folder", folder.display()).into());
     }
     let folder = std::path::absolute(folder)?;
-    let fault = fault.map(|fault| match fault {
-        InjectedFault::DuplicatedSetUps => Fault::Duplicates,
-        InjectedFault::LostResponses => Fault::Swallows,
+    let defect = fault.map(|fault| match fault {
+        InjectedFault::DuplicatedSetUps => Defect::DuplicateSetUps,
+        InjectedFault::LostResponses => Defect::LostResponses,
     });
     let (name, description) = (day.name.clone(), day.about.clone());
     let (controllers, streamers) = (day.controllers.len(), day.streamers.len());
-    let options = How { program: std::env::current_exe()?, folder, fault };
+    let options = RunOptions { program: std::env::current_exe()?, folder, defect };
     let finished = runtime()?.block_on(run::run(day, options))?;
     let mut records = Vec::new();
     for tap in &finished.taps {
@@ -114,7 +114,7 @@
             records.extend(tap::read_records(tap)?);
         }
     }
-    let verdict = judge(&records).ok_or("the taps do not contain the rules of the day")?;
+    let verdict = check_rules(&records).ok_or("the taps do not contain the rules of the day")?;
     println!("day {name}: {controllers} controllers, {streamers} streamers, {} viewers", finished.viewers);
     if !description.is_empty() {
         println!("{description}");
--- a/crates/lemontide-cli/src/measure/gossip.rs
+++ b/crates/lemontide-cli/src/measure/gossip.rs
@@ -2,9 +2,9 @@
 //! false reports; then the same gossip implementation in large simulated networks in virtual time.
 
 use crate::{BoxError, CommandResult};
-use lemontide_standin::day::{Day, DayGossip, What};
-use lemontide_standin::judge::{judge, Verdict};
-use lemontide_standin::run::{self, How};
+use lemontide_standin::day::{Day, DayGossip, FaultKind};
+use lemontide_standin::judge::{check_rules, Verdict};
+use lemontide_standin::run::{self, RunOptions};
 use lemontide_standin::simulated_network::{instance_name, NetworkConfig, SimulatedNetwork};
 use lemontide_wire::tap::{self, TapRecord};
 use serde_json::{json, Value};
@@ -51,22 +51,24 @@
 fn run_day(day: &Day, gossip: Option<DayGossip>, folder: &Path) -> Result<DayResult, BoxError> {
     let mut day = day.clone();
     day.gossip = gossip;
-    let quick_errors = day.troubles.iter().find_map(|trouble| match &trouble.what {
-        What::QuickErrors { on, .. } => Some((trouble.at_s, trouble.at_s + trouble.for_s, on.clone())),
+    let quick_errors = day.faults.iter().find_map(|trouble| match &trouble.kind {
+        FaultKind::QuickErrors { on, .. } => {
+            Some((trouble.at_s, trouble.at_s + trouble.duration_s, on.clone()))
+        }
         _ => None,
     });
     let (from_s, to_s, failing_indices) =
         quick_errors.ok_or("the day has no quick errors, which this measurement needs")?;
     let failing: BTreeSet<String> =
         failing_indices.iter().map(|index| day.streamers[*index].name.clone()).collect();
-    let options = How { program: std::env::current_exe()?, folder: folder.to_owned(), fault: None };
+    let options = RunOptions { program: std::env::current_exe()?, folder: folder.to_owned(), defect: None };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     let finished = runtime.block_on(run::run(day, options))?;
     let mut records: Vec<TapRecord> = Vec::new();
     for path in finished.taps.iter().filter(|path| path.exists()) {
         records.extend(tap::read_records(path)?);
     }
-    let verdict = judge(&records).ok_or("the taps do not contain the rules of the day")?;
+    let verdict = check_rules(&records).ok_or("the taps do not contain the rules of the day")?;
     let first_request_s = records
         .iter()
         .filter(|record| matches!(record.event, tap::TapEvent::RequestSent { .. }))
@@ -179,7 +181,8 @@
     if !args.simulated_only {
         let day = Day::read(&args.day)?;
         let scratch = tempfile::tempdir()?;
-        let gossip = |liar| Some(DayGossip { bytes_per_s: args.bytes_per_s, liar, period_s: 1.0 });
+        let gossip =
+            |liar| Some(DayGossip { bytes_per_s: args.bytes_per_s, has_lying_member: liar, period_s: 1.0 });
         println!(
             "{} controllers, {} simulated streamers, the same day three times",
             day.controllers.len(),
@@ -199,7 +202,7 @@
                 "{label:<22} {:>10} {:>10.1} {:>12.3} {:>12.3} {:>12.0} {:>9} {:>7}",
                 result.to_failing,
                 result.last_to_failing_s,
-                service.whole,
+                service.overall,
                 service.worst_ten_s,
                 result.mean_bytes_per_s,
                 result.max_bytes_in_a_second,
@@ -236,7 +239,7 @@
         summary["last_to_failing_s"] =
             json!(results.iter().map(|result| result.last_to_failing_s).collect::<Vec<_>>());
         summary["service"] =
-            json!(results.iter().map(|result| result.verdict.service.whole).collect::<Vec<_>>());
+            json!(results.iter().map(|result| result.verdict.service.overall).collect::<Vec<_>>());
         summary["most_bytes_in_a_s"] =
             json!(results.iter().map(|result| result.max_bytes_in_a_second).collect::<Vec<_>>());
         summary["least_share_with_liar"] = json!(min_ratio);
--- a/crates/lemontide-cli/src/measure/shedding.rs
+++ b/crates/lemontide-cli/src/measure/shedding.rs
@@ -6,7 +6,7 @@
 use crate::{BoxError, CommandResult};
 use lemontide_front::settings::{Settings, SheddingSettings};
 use lemontide_standin::day::Day;
-use lemontide_standin::judge::judge;
+use lemontide_standin::judge::check_rules;
 use lemontide_standin::load_generator::{
     run_mixed_load, ClassLoad, MixedLoadConfig, Outcome as RequestOutcome, RequestRecord,
 };
@@ -419,7 +419,7 @@
         (folder.join("own.tap"), folder.join("players.tap"), folder.join("streamers.tap"));
     let clock = Clock::start();
     let tap = Tap::open(&player_tap, clock, "player")?;
-    tap.record(TapEvent::Rules { rules: rig.day.terms() });
+    tap.record(TapEvent::Rules { rules: rig.day.judge_rules() });
     let fleet = rig.runtime.block_on(Fleet::start(
         &rig.day,
         clock,
@@ -441,7 +441,7 @@
     for path in [controller_tap, player_tap, streamer_tap] {
         tap_records.extend(tap::read_records(&path)?);
     }
-    let verdict = judge(&tap_records).ok_or("the taps do not contain the rules of the day")?;
+    let verdict = check_rules(&tap_records).ok_or("the taps do not contain the rules of the day")?;
     Ok((verdict.is_clean(), verdict.table(), summary))
 }
 
@@ -450,12 +450,12 @@
 pub fn run(args: &SheddingArgs) -> CommandResult {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     let mut day = unlimited_capacity_day(1, 20)?;
-    let mut free = day.lanes[0].clone();
-    free.lane.name = "free".into();
-    day.lanes[0].lane.gain = args.paid_gain;
-    day.lanes.push(free);
-    for class in &mut day.lanes {
-        (class.lane.latency_goal_s, class.lane.deadline_s) = (LATENCY_GOAL_S, DEADLINE_S);
+    let mut free = day.classes[0].clone();
+    free.class.name = "free".into();
+    day.classes[0].class.gain = args.paid_gain;
+    day.classes.push(free);
+    for class in &mut day.classes {
+        (class.class.latency_goal_s, class.class.deadline_s) = (LATENCY_GOAL_S, DEADLINE_S);
     }
     let clock = Clock::start();
     let fleet = runtime.block_on(Fleet::start(&day, clock, Tap::disabled(clock), None))?;
--- a/crates/lemontide-cli/src/tools.rs
+++ b/crates/lemontide-cli/src/tools.rs
@@ -3,7 +3,7 @@
 use crate::CommandResult;
 use lemontide_front::settings::Settings;
 use lemontide_standin::day::Day;
-use lemontide_standin::judge::judge;
+use lemontide_standin::judge;
 use lemontide_wire::list::StreamerList;
 use lemontide_wire::{play, tap};
 use std::path::{Path, PathBuf};
@@ -36,7 +36,7 @@
     for path in taps {
         records.extend(tap::read_records(path).map_err(|e| format!("{}: {e}", path.display()))?);
     }
-    let verdict = judge(&records)
+    let verdict = judge::check_rules(&records)
         .ok_or("no tap contains the rules of the day; give the day's own tap (`day.tap`) too")?;
     if json {
         println!("{}", serde_json::to_string(&verdict)?);
--- a/crates/lemontide-standin/src/fleet_simulation.rs
+++ b/crates/lemontide-standin/src/fleet_simulation.rs
@@ -373,7 +373,7 @@
 
     /// Counts a set-up, and whether it exceeds what a streamer in its warm-up can take within a window.
     fn count_warm_up_set_up(&mut self, streamer: usize) {
-        let cold_start = &self.day.cold;
+        let cold_start = &self.day.cold_start;
         let Some(started) =
             self.model.started_at(streamer).filter(|started| self.now - started < cold_start.warm_up_s)
         else {
@@ -385,7 +385,7 @@
         recent.retain(|then| self.now - then <= cold_start.window_s && *then >= started);
         let capacity_part = cold_start.initial_part
             + (1.0 - cold_start.initial_part) * (self.now - started) / cold_start.warm_up_s;
-        let budget = cold_start.overload_multiple * self.day.places / cold_start.warm_up_s
+        let budget = cold_start.overload_multiple * self.day.max_streams / cold_start.warm_up_s
             * capacity_part
             * cold_start.window_s;
         self.result.warm_up_overloads += u64::from(recent.len() as f64 > budget + 1.0);
--- a/crates/lemontide-standin/src/model.rs
+++ b/crates/lemontide-standin/src/model.rs
@@ -2,7 +2,7 @@
 //! late and noisy load reports, and the effects of troubles. It has no sockets and no clock; its caller passes in
 //! events with their time and carries out the outputs.
 
-use crate::day::{Day, What};
+use crate::day::{Day, FaultKind};
 use lemontide_wire::cmsd::CmsdDynamic;
 use lemontide_wire::link::{Ended, Fullness, How, Plays, RungInForce, Short, StreamerMessage};
 use lemontide_wire::tap::{TapEvent, TapOutcome};
@@ -151,7 +151,11 @@
         CapacityModel {
             streamers: day.streamers.iter().map(simulated).collect(),
             uplinks: day.uplinks_kb.iter().map(|kb| (*kb, 1.0)).collect(),
-            mean_set_up_s: day.lanes.iter().map(|class| (class.lane.name.clone(), class.set_up_s)).collect(),
+            mean_set_up_s: day
+                .classes
+                .iter()
+                .map(|class| (class.class.name.clone(), class.set_up_s))
+                .collect(),
             day: day.clone(),
             viewing_s: BTreeMap::new(),
             delayed_reports: Vec::new(),
@@ -259,7 +263,7 @@
         let (id, key) = (set_up.id, (connection, set_up.id));
         let accepted = self.streamers[index].streams.len() + self.streamers[index].pending_set_ups.len();
         let pending = self.streamers[index].pending_set_ups.len();
-        if accepted as f64 >= self.day.places || pending >= MAX_PENDING_SET_UPS {
+        if accepted as f64 >= self.day.max_streams || pending >= MAX_PENDING_SET_UPS {
             let cmsd_dynamic = self.load_report(index, true);
             let how = How::SentBack.into();
             return self.end_attempt(
@@ -366,13 +370,13 @@
     // Troubles.
 
     /// Begins or ends a trouble. Its effects on controllers, on the list and on the arrival rate are not modelled here.
-    pub fn set_trouble(&mut self, now: f64, what: &What, begins: bool) {
+    pub fn set_trouble(&mut self, now: f64, what: &FaultKind, begins: bool) {
         match what {
-            What::QuickErrors { on, share } => {
+            FaultKind::QuickErrors { on, share } => {
                 on.iter()
                     .for_each(|index| self.streamers[*index].error_share = if begins { *share } else { 0.0 });
             }
-            What::Hang { on } => on.iter().for_each(|index| {
+            FaultKind::Hang { on } => on.iter().for_each(|index| {
                 self.streamers[*index].is_stalled = begins;
                 if !begins {
                     // The set-ups that it had accepted become ready from now on.
@@ -383,7 +387,7 @@
                         .for_each(|s| s.ready_at = s.ready_at.max(now + 0.05));
                 }
             }),
-            What::Vanish { on } => on.iter().for_each(|index| {
+            FaultKind::Vanish { on } => on.iter().for_each(|index| {
                 if begins {
                     self.streamers[*index].socket_state = SocketState::Silent;
                     // Its delayed reports are dropped.
@@ -393,20 +397,20 @@
                     self.restart(now, *index);
                 }
             }),
-            What::SlowLink { on, times } => {
+            FaultKind::SlowLink { on, times } => {
                 on.iter().for_each(|index| {
                     self.streamers[*index].link_slowdown = if begins { *times } else { 1.0 }
                 });
             }
-            What::WeakUplink { racks, times } => {
+            FaultKind::WeakUplink { racks, times } => {
                 racks.iter().for_each(|rack| self.uplinks[*rack].1 = if begins { *times } else { 1.0 });
             }
-            What::LateReports { by_s } => self.extra_report_delay_s = if begins { *by_s } else { 0.0 },
-            What::AnswersLost { on, share, reset } => on.iter().for_each(|index| {
+            FaultKind::LateReports { by_s } => self.extra_report_delay_s = if begins { *by_s } else { 0.0 },
+            FaultKind::AnswersLost { on, share, reset } => on.iter().for_each(|index| {
                 self.streamers[*index].start_message_loss = if begins { *share } else { 0.0 };
                 self.streamers[*index].loss_resets_connection = *reset;
             }),
-            What::Ageing { on } => on.iter().for_each(|index| {
+            FaultKind::Ageing { on } => on.iter().for_each(|index| {
                 if begins {
                     self.streamers[*index].ageing_since = Some(now);
                 } else {
@@ -414,19 +418,19 @@
                     self.restart(now, *index);
                 }
             }),
-            What::Deaf { on } => on.iter().for_each(|index| {
+            FaultKind::Deaf { on } => on.iter().for_each(|index| {
                 if !self.streamers[*index].has_crashed {
                     self.streamers[*index].socket_state =
                         if begins { SocketState::NotReading } else { SocketState::Up };
                 }
             }),
-            What::Removal { .. }
-            | What::Crowd { .. }
-            | What::KillControllers { .. }
-            | What::PauseControllers { .. }
-            | What::JoinControllers { .. }
-            | What::LeaveControllers { .. }
-            | What::Between { .. } => {}
+            FaultKind::Removal { .. }
+            | FaultKind::Crowd { .. }
+            | FaultKind::KillControllers { .. }
+            | FaultKind::PauseControllers { .. }
+            | FaultKind::JoinControllers { .. }
+            | FaultKind::LeaveControllers { .. }
+            | FaultKind::Between { .. } => {}
         }
     }
 
@@ -468,8 +472,8 @@
 
     /// Crashes a streamer that is warming up and got more set-ups within the last window than rule 4 of the judge allows.
     fn crashes_by_overload(&mut self, now: f64, index: usize) -> bool {
-        let cold = &self.day.cold;
-        let set_ups_per_s = self.day.places / cold.warm_up_s.max(1e-3) * self.warm_up_part(now, index);
+        let cold = &self.day.cold_start;
+        let set_ups_per_s = self.day.max_streams / cold.warm_up_s.max(1e-3) * self.warm_up_part(now, index);
         let simulated = &mut self.streamers[index];
         if simulated.started_at.is_none_or(|started| now - started >= cold.warm_up_s) {
             return false;
@@ -491,7 +495,7 @@
 
     /// Part of its capacity that a streamer has in its warm-up; 1 afterwards.
     fn warm_up_part(&self, now: f64, index: usize) -> f64 {
-        let cold = &self.day.cold;
+        let cold = &self.day.cold_start;
         let Some(started) = self.streamers[index].started_at else { return 1.0 };
         (cold.initial_part + (1.0 - cold.initial_part) * (now - started) / cold.warm_up_s.max(1e-3))
             .clamp(0.0, 1.0)
--- a/crates/lemontide-standin/tests/model.rs
+++ b/crates/lemontide-standin/tests/model.rs
@@ -1,9 +1,9 @@
 //! The capacity model, the viewers drawn for a day, and the importer of days.
 
-use lemontide_standin::day::{Day, What};
+use lemontide_standin::day::{Day, FaultKind};
 use lemontide_standin::import::import;
 use lemontide_standin::model::{CapacityModel, Output, SocketState};
-use lemontide_standin::player::draw;
+use lemontide_standin::player::draw_viewers;
 use lemontide_wire::link::{SetUp, StreamerMessage};
 use lemontide_wire::tap::TapEvent;
 use serde_json::json;
@@ -32,7 +32,7 @@
 #[test]
 fn the_same_day_gives_the_same_viewers_and_the_same_fleet() {
     let day = day();
-    assert_eq!(draw(&day), draw(&day));
+    assert_eq!(draw_viewers(&day), draw_viewers(&day));
     let run = || {
         let mut model = CapacityModel::new(&day, 100.0);
         let conn = model.connection_opened(100.0, 0, 0);
@@ -69,7 +69,7 @@
 #[test]
 fn too_many_set_ups_crash_a_streamer_in_its_warm_up_for_good() {
     let mut day = day();
-    day.cold.overload_multiple = 2.0;
+    day.cold_start.overload_multiple = 2.0;
     let mut model = CapacityModel::new(&day, 100.0);
     model.restart(100.0, 0);
     let conn = model.connection_opened(100.0, 0, 0);
@@ -95,7 +95,7 @@
     let conn = model.connection_opened(100.0, 4, 0);
     model.set_up(100.0, 4, conn, set_up(1, 200));
     advance(&mut model, 100.0, 0.5);
-    let vanish = What::Vanish { on: vec![4] };
+    let vanish = FaultKind::Vanish { on: vec![4] };
     model.set_trouble(100.5, &vanish, true);
     let out = advance(&mut model, 100.5, 3.0);
     assert!(out.iter().all(|out| matches!(out, Output::Tap { .. })), "{out:?}");
@@ -137,10 +137,10 @@
     assert!(
         notes.iter().any(|note| note.contains("24 of 96")) && notes.iter().any(|n| n.contains("unheard_of"))
     );
-    let count = |is: fn(&What) -> bool| day.troubles.iter().filter(|trouble| is(&trouble.what)).count();
-    assert_eq!(count(|what| matches!(what, What::PauseControllers { .. })), 2);
-    assert_eq!(count(|what| matches!(what, What::Removal { .. })), 2);
-    assert!(day.troubles.iter().any(|t| matches!(&t.what, What::QuickErrors { on, .. } if on.len() == 2)));
-    assert_eq!(day.ration.as_ref().map(|ration| ration.request_share), Some(0.3));
+    let count = |is: fn(&FaultKind) -> bool| day.faults.iter().filter(|trouble| is(&trouble.kind)).count();
+    assert_eq!(count(|what| matches!(what, FaultKind::PauseControllers { .. })), 2);
+    assert_eq!(count(|what| matches!(what, FaultKind::Removal { .. })), 2);
+    assert!(day.faults.iter().any(|t| matches!(&t.kind, FaultKind::QuickErrors { on, .. } if on.len() == 2)));
+    assert_eq!(day.retry_budget.as_ref().map(|ration| ration.request_share), Some(0.3));
     assert_eq!(import(&json!({"family": "proxy"}), "x").err().map(|e| e.starts_with("family")), Some(true));
 }
