--- a/crates/lemontide-standin/src/import.rs
+++ b/crates/lemontide-standin/src/import.rs
@@ -56,21 +56,21 @@
     // Servers that are not up at the start are replacements, which are created anew for their fault.
     let all = rows(json, "servers");
     let servers: Vec<&Json> = all.iter().filter(|row| at(row, "up") != Some(&Json::Bool(false))).collect();
-    let kept = servers.len().min(MAX_STREAMERS);
-    let part = kept as f64 / servers.len().max(1) as f64;
-    if kept < servers.len() {
+    let streamer_count = servers.len().min(MAX_STREAMERS);
+    let part = streamer_count as f64 / servers.len().max(1) as f64;
+    if streamer_count < servers.len() {
         notes.push(format!(
-            "{kept} of {} streamers; viewers and controllers in the same proportion",
+            "{streamer_count} of {} streamers; viewers and controllers in the same proportion",
             servers.len()
         ));
     }
-    let cells = kept.max(1);
+    let cells = streamer_count.max(1);
     let racks = (need("fam.racks")? * part).round().max(1.0) as usize;
     let core_kb = need("fam.core_kb")?;
     let cores = number(json, "tiers.0.kinds.0.cores").unwrap_or(2.0);
     let streamers: Vec<Streamer> = servers
         .iter()
-        .take(kept)
+        .take(streamer_count)
         .enumerate()
         .map(|(cell, row)| Streamer {
             name: format!("s{cell}"),
@@ -98,12 +98,13 @@
     let uplinks_kb: Vec<f64> = (0..racks).map(|rack| (mean * spread(rack)).max(1.0)).collect();
 
     let balancers = rows(json, "balancers");
-    let count =
+    let controller_count =
         ((balancers.len() as f64 * part).round() as usize).clamp(2.min(balancers.len()), MAX_CONTROLLERS);
-    if count < balancers.len() {
-        notes.push(format!("{count} of {} controllers", balancers.len()));
+    if controller_count < balancers.len() {
+        notes.push(format!("{controller_count} of {} controllers", balancers.len()));
     }
-    let controllers: Vec<String> = (0..count.max(1)).map(|i| zones[i % zones.len()].clone()).collect();
+    let controllers: Vec<String> =
+        (0..controller_count.max(1)).map(|i| zones[i % zones.len()].clone()).collect();
 
     let rates: Vec<f64> = rows(json, "fam.rates").iter().filter_map(Json::as_f64).collect();
     if rates.is_empty() {
@@ -186,8 +187,14 @@
         .collect();
     notes.push(format!("{titles_count} new titles, with the popularity law of the original"));
 
-    let sizes =
-        Sizes { kept, servers: servers.len(), count, balancers: balancers.len(), racks, titles_count };
+    let sizes = Sizes {
+        streamer_count,
+        servers: servers.len(),
+        controller_count,
+        balancers: balancers.len(),
+        racks,
+        titles_count,
+    };
     let mut spares = Vec::new();
     let mut faults = Vec::new();
     for (i, row) in rows(json, "troubles").iter().enumerate() {
@@ -292,9 +299,9 @@
 
 /// Sizes of the original scenario and of the converted day.
 struct Sizes {
-    kept: usize,
+    streamer_count: usize,
     servers: usize,
-    count: usize,
+    controller_count: usize,
     balancers: usize,
     racks: usize,
     titles_count: usize,
@@ -324,15 +331,15 @@
         let (at_s, duration_s) = (seconds(row, "at").unwrap_or(5.0), seconds(row, "len").unwrap_or(10.0));
         let stops = |step: &Json| rows(step, "stop").len();
         let affected = rows(row, "on").len() + rows(row, "steps").iter().map(stops).sum::<usize>();
-        let on = Sizes::spread(affected, self.servers, self.kept, i * 3);
-        let on_controllers = Sizes::spread(affected, self.balancers, self.count, i);
+        let on = Sizes::spread(affected, self.servers, self.streamer_count, i * 3);
+        let on_controllers = Sizes::spread(affected, self.balancers, self.controller_count, i);
         let kind = match kind {
             "fast_errors" => FaultKind::QuickErrors { on, share: size },
             "hang" => FaultKind::Hang { on },
             "vanish" => FaultKind::Vanish { on },
             "slow" => FaultKind::SlowLink { on, times: size },
             "neighbour" => FaultKind::SlowLink { on, times: 1.0 / (1.0 - size).max(0.1) },
-            "shared_slow" => FaultKind::SlowLink { on: (0..self.kept).collect(), times: size },
+            "shared_slow" => FaultKind::SlowLink { on: (0..self.streamer_count).collect(), times: size },
             "origin_slow" => {
                 let weak = (self.racks as f64 * 0.3).ceil() as usize;
                 FaultKind::WeakUplink { racks: (0..weak.min(self.racks)).collect(), times: size }
@@ -367,9 +374,9 @@
             "preempt" => {
                 let mut from = i * 3;
                 let waves = rows(row, "steps").iter().map(|step| {
-                    let on = Sizes::spread(stops(step), self.servers, self.kept, from);
+                    let on = Sizes::spread(stops(step), self.servers, self.streamer_count, from);
                     from += 1;
-                    let first = self.kept + spares.len();
+                    let first = self.streamer_count + spares.len();
                     for gone in &on {
                         let name = format!("n{}", spares.len());
                         spares.push(Streamer { name, spare: true, ..streamers[*gone].clone() });
--- a/crates/lemontide-standin/src/relay.rs
+++ b/crates/lemontide-standin/src/relay.rs
@@ -104,7 +104,8 @@
         self.impairments(from, to).iter().any(|impairment| impairment.stalled)
     }
 
-    fn draw_below(&self, probability: f64) -> bool {
+    /// Draws whether an event of this probability occurs.
+    fn occurs(&self, probability: f64) -> bool {
         lock(&self.rng).random::<f64>() < probability
     }
 
@@ -116,17 +117,17 @@
     fn disposition(&self, from: Endpoint, to: Endpoint) -> Disposition {
         let (mut total_delay, mut duplicated) = (Duration::ZERO, false);
         for impairment in self.impairments(from, to) {
-            if impairment.blocked || self.draw_below(impairment.loss) {
+            if impairment.blocked || self.occurs(impairment.loss) {
                 self.count(from, to, |count| count.dropped += 1);
                 return Disposition::Drop;
             }
             let (min, max) = impairment.delay_s;
             let delay = min + (max - min).max(0.0) * lock(&self.rng).random::<f64>();
             total_delay += Duration::try_from_secs_f64(delay).unwrap_or_default();
-            if self.draw_below(impairment.reordered) {
+            if self.occurs(impairment.reordered) {
                 total_delay += REORDERING_DELAY;
             }
-            duplicated |= self.draw_below(impairment.duplicated);
+            duplicated |= self.occurs(impairment.duplicated);
         }
         self.count(from, to, |count| {
             count.passed += 1;
