--- a/crates/lemontide-cli/src/measure/front.rs
+++ b/crates/lemontide-cli/src/measure/front.rs
@@ -93,12 +93,12 @@
     let (memory_with_sessions, _) = controller.usage()?;
     let playing = controller.state()?.playing;
     // The closed load once more, now with these sessions playing.
-    let (_, cpu_before_crowded) = controller.usage()?;
-    let decided_before_crowded = controller.state()?.deciding_s;
-    let crowded_load =
+    let (_, cpu_before_load_with_sessions) = controller.usage()?;
+    let decided_before_load_with_sessions = controller.state()?.deciding_s;
+    let load_with_sessions =
         runtime.block_on(run_closed_loop(requests(&controller, true), part_length, usize::MAX));
-    let cpu_used_crowded = controller.usage()?.1 - cpu_before_crowded;
-    let decided_crowded_s = controller.state()?.deciding_s - decided_before_crowded;
+    let cpu_used_with_sessions = controller.usage()?.1 - cpu_before_load_with_sessions;
+    let decided_with_sessions_s = controller.state()?.deciding_s - decided_before_load_with_sessions;
 
     let rate = |load: &LoadResult| load.responses() as f64 / load.duration_s;
     let (constant_p50, constant_p99) = latency_quantiles_ms(&constant_paced);
@@ -135,12 +135,18 @@
     println!(
         "with {} sessions playing: {:.0} answers per second, {:.2} of the rate without sessions; driver and module {:.2}",
         playing,
-        rate(&crowded_load),
-        rate(&crowded_load) / rate(&controller_load),
-        decided_crowded_s / cpu_used_crowded.max(1e-9)
+        rate(&load_with_sessions),
+        rate(&load_with_sessions) / rate(&controller_load),
+        decided_with_sessions_s / cpu_used_with_sessions.max(1e-9)
     );
-    let loads =
-        [&constant_load, &controller_load, &constant_paced, &controller_paced, &session_load, &crowded_load];
+    let loads = [
+        &constant_load,
+        &controller_load,
+        &constant_paced,
+        &controller_paced,
+        &session_load,
+        &load_with_sessions,
+    ];
     let missing: u64 = loads.iter().map(|load| load.unanswered + load.failed + load.not_accepted).sum();
     let rejected: u64 = loads.iter().map(|load| load.rejected).sum();
     let holds = missing == 0 && rejected == 0 && playing == args.sessions;
@@ -152,8 +158,8 @@
             "answers_per_s": rate(&controller_load), "constant_per_s": rate(&constant_load), "ratio": rate(&controller_load) / rate(&constant_load),
             "added_p50_ms": p50 - constant_p50, "added_p99_ms": p99 - constant_p99,
             "bytes_per_session": bytes_per_session, "sessions": playing,
-            "deciding_share": decided_s / cpu_used.max(1e-9), "deciding_share_crowded": decided_crowded_s / cpu_used_crowded.max(1e-9),
-            "crowded_per_s": rate(&crowded_load), "missing": missing, "turned_back": rejected, "holds": holds
+            "deciding_share": decided_s / cpu_used.max(1e-9), "deciding_share_crowded": decided_with_sessions_s / cpu_used_with_sessions.max(1e-9),
+            "crowded_per_s": rate(&load_with_sessions), "missing": missing, "turned_back": rejected, "holds": holds
         })
     );
     Ok(if holds { ExitCode::SUCCESS } else { ExitCode::FAILURE })
--- a/crates/lemontide-cli/src/measure/gossip.rs
+++ b/crates/lemontide-cli/src/measure/gossip.rs
@@ -51,10 +51,8 @@
 fn run_day(day: &Day, gossip: Option<DayGossip>, folder: &Path) -> Result<DayResult, BoxError> {
     let mut day = day.clone();
     day.gossip = gossip;
-    let quick_errors = day.faults.iter().find_map(|trouble| match &trouble.kind {
-        FaultKind::QuickErrors { on, .. } => {
-            Some((trouble.at_s, trouble.at_s + trouble.duration_s, on.clone()))
-        }
+    let quick_errors = day.faults.iter().find_map(|fault| match &fault.kind {
+        FaultKind::QuickErrors { on, .. } => Some((fault.at_s, fault.at_s + fault.duration_s, on.clone())),
         _ => None,
     });
     let (from_s, to_s, failing_indices) =
@@ -181,8 +179,9 @@
     if !args.simulated_only {
         let day = Day::read(&args.day)?;
         let scratch = tempfile::tempdir()?;
-        let gossip =
-            |liar| Some(DayGossip { bytes_per_s: args.bytes_per_s, has_lying_member: liar, period_s: 1.0 });
+        let gossip = |has_lying_member| {
+            Some(DayGossip { bytes_per_s: args.bytes_per_s, has_lying_member, period_s: 1.0 })
+        };
         println!(
             "{} controllers, {} simulated streamers, the same day three times",
             day.controllers.len(),
@@ -215,16 +214,17 @@
             holds &= clean && result.max_bytes_in_a_second <= 2 * args.bytes_per_s;
             results.push(result);
         }
-        let (honest, with_liar) = (&results[1], &results[2]);
+        let (without_lying_member, with_lying_member) = (&results[1], &results[2]);
         let total = |result: &DayResult| result.to_healthy.values().sum::<usize>().max(1) as f64;
-        let share_ratios: Vec<f64> = honest
+        let share_ratios: Vec<f64> = without_lying_member
             .to_healthy
             .iter()
             .filter(|(_, count)| **count >= 20)
             .map(|(streamer, count)| {
-                let share_with_liar =
-                    with_liar.to_healthy.get(streamer).copied().unwrap_or(0) as f64 / total(with_liar);
-                share_with_liar / (*count as f64 / total(honest))
+                let share_with_lying_member = with_lying_member.to_healthy.get(streamer).copied().unwrap_or(0)
+                    as f64
+                    / total(with_lying_member);
+                share_with_lying_member / (*count as f64 / total(without_lying_member))
             })
             .collect();
         let min_ratio = share_ratios.iter().copied().fold(f64::INFINITY, f64::min);
--- a/crates/lemontide-cli/src/measure/shedding.rs
+++ b/crates/lemontide-cli/src/measure/shedding.rs
@@ -539,7 +539,7 @@
         "ten times the limit with retries and all taps, {} requests, {} late, {} broken:\n{rules_table}",
         retries.requests, retries.late, retries.broken
     );
-    let (crowd_rows, crowd_holds) = measure_crowd(rejected_from_head_us / set_up_us);
+    let (fleet_rows, fleet_holds) = measure_fleet_overload(rejected_from_head_us / set_up_us);
     let none_lost = |summary: &LoadSummary| summary.late == 0 && summary.broken == 0;
     let shedding_holds = rows
         .iter()
@@ -550,7 +550,7 @@
         && none_lost(&burst.summary)
         && none_lost(&retries)
         && after.late == 0
-        && crowd_holds;
+        && fleet_holds;
     let json_rows = rows.iter().map(|(variant, load_multiple, summary)| json!({
         "variant": format!("{variant:?}"), "times": load_multiple, "asks": summary.requests, "plays": summary.plays, "late": summary.late,
         "broken": summary.broken, "gain_per_s": summary.gain_per_s, "paid_served": summary.paid_served_share(), "p99_s": summary.p99_s
@@ -560,7 +560,7 @@
         json!({
             "measure": "shedding", "core": args.core_part, "limit_per_s": limit, "set_up_us": set_up_us, "turn_back_us": rejected_from_head_us,
             "turn_back_parsed_us": rejected_parsed_us, "rows": json_rows.collect::<Vec<Value>>(), "of_best": at_max_load.gain_per_s / best_gain,
-            "notice_s": burst.first_rejection_s, "recover_s": burst.recovery_s, "peak": burst.peak_over_mean, "judge_clean": is_clean, "crowd": crowd_rows, "holds": holds
+            "notice_s": burst.first_rejection_s, "recover_s": burst.recovery_s, "peak": burst.peak_over_mean, "judge_clean": is_clean, "crowd": fleet_rows, "holds": holds
         })
     );
     Ok(if holds { ExitCode::SUCCESS } else { ExitCode::FAILURE })
@@ -568,7 +568,7 @@
 
 /// Simulates fifty controllers in overload, with the measured cost of a rejection relative to a set-up. Returns the rows of
 /// the table, and whether the controllers with load shedding recover without late answers.
-fn measure_crowd(rejection_cost: f64) -> (Value, bool) {
+fn measure_fleet_overload(rejection_cost: f64) -> (Value, bool) {
     println!("fifty controllers at three times their capacity for 8 s (simulated), viewers retry once:");
     println!(
         "{:<28} {:>8} {:>8} {:>8} {:>6} {:>9} {:>7} {:>8}",
--- a/crates/lemontide-front/src/connections.rs
+++ b/crates/lemontide-front/src/connections.rs
@@ -205,7 +205,7 @@
     let mut socket = PlayerSocket {
         socket,
         first_bytes: Vec::new(),
-        doorway: EarlyAdmission::default(),
+        early_admission: EarlyAdmission::default(),
         overload,
         unsent: Vec::new(),
         state_since: Instant::now(),
@@ -257,7 +257,7 @@
     socket: TcpStream,
     /// Bytes that were read before the HTTP stack was created.
     first_bytes: Vec<u8>,
-    doorway: EarlyAdmission,
+    early_admission: EarlyAdmission,
     overload: Option<Arc<OverloadControl>>,
     /// The rest of a rejection that the socket has not accepted yet.
     unsent: Vec<u8>,
@@ -400,7 +400,7 @@
                 return this.poll_half_closed(cx);
             }
             if let Some(overload) = &this.overload {
-                match this.doorway.bytes_received(bytes, |hint| overload.reject_by_hint(hint)) {
+                match this.early_admission.bytes_received(bytes, |hint| overload.reject_by_hint(hint)) {
                     EarlyDecision::Forward => {}
                     EarlyDecision::Admit(hint) => *lock(&this.connection.admitted_hint) = Some(hint),
                     EarlyDecision::Reject(retry_after) => {
@@ -452,7 +452,7 @@
         // here.
         if this.state() == RESPONDING {
             lock(&this.connection.delivery).take().into_iter().for_each(|delivery| delivery.mark_delivered());
-            this.doorway.response_sent();
+            this.early_admission.response_sent();
             this.state_since = Instant::now();
             this.connection.state.store(IDLE, Ordering::Relaxed);
             let registry = &this.connection.registry;
--- a/crates/lemontide-front/src/core/coordination.rs
+++ b/crates/lemontide-front/src/core/coordination.rs
@@ -60,7 +60,7 @@
     /// Number of controllers by the settings.
     #[serde(rename = "count")]
     pub controller_count: u32,
-    /// The part of the fleet of which there was news within the highest age of a view, from 0 to 1.
+    /// The part of the fleet of which reports arrived within the maximum age of a view, from 0 to 1.
     #[serde(rename = "sure")]
     pub confirmed_ratio: f64,
     /// Another controller runs under the same number, so this one has no turns.
--- a/crates/lemontide-front/src/core/driver.rs
+++ b/crates/lemontide-front/src/core/driver.rs
@@ -231,11 +231,11 @@
         self.streamers.len()
     }
 
-    /// Applies a complete list: a streamer that it does not name is gone. Set-ups that wait to be written to a draining
-    /// or gone streamer are withdrawn at once and placed again.
+    /// Applies a complete list: a streamer that it does not contain is removed. Set-ups that wait to be written to a
+    /// draining or removed streamer are withdrawn at once and placed again.
     pub fn update_list(&mut self, now: Point, list: &StreamerList) {
         self.list_revision += 1;
-        let mut gone: Vec<bool> = vec![true; self.streamers.len()];
+        let mut is_missing: Vec<bool> = vec![true; self.streamers.len()];
         for entry in &list.streamers {
             let streamer_index =
                 self.index_by_name.get(&entry.streamer).copied().unwrap_or(self.streamers.len());
@@ -248,11 +248,11 @@
                 let known =
                     KnownStreamer { entry: entry.clone(), welcome_started_at_s: None, link, probe: None };
                 self.streamers.push(known);
-                gone.push(false);
+                is_missing.push(false);
                 self.record_list_change(entry.clone());
                 continue;
             }
-            gone[streamer_index] = false;
+            is_missing[streamer_index] = false;
             let previous = std::mem::replace(&mut self.streamers[streamer_index].entry, entry.clone());
             if (previous.state, previous.started_at) != (entry.state, entry.started_at) {
                 self.record_list_change(entry.clone());
@@ -262,7 +262,7 @@
                 self.close_link(now, streamer_index);
             }
         }
-        for streamer_index in (0..gone.len()).filter(|streamer_index| gone[*streamer_index]) {
+        for streamer_index in (0..is_missing.len()).filter(|streamer_index| is_missing[*streamer_index]) {
             if self.streamers[streamer_index].entry.state != list::StreamerState::Gone {
                 self.streamers[streamer_index].entry.state = list::StreamerState::Gone;
                 self.record_list_change(self.streamers[streamer_index].entry.clone());
@@ -391,8 +391,12 @@
         };
         let (streamer_index, handle) = (session.streamer_index, session.handle);
         if session.playing {
-            let shot = session.attempt_count - 1;
-            self.send(now, streamer_index, ControllerMessage::Cancel(Cancel { id, shot, why: why.into() }));
+            let attempt_number = session.attempt_count - 1;
+            self.send(
+                now,
+                streamer_index,
+                ControllerMessage::Cancel(Cancel { id, shot: attempt_number, why: why.into() }),
+            );
             handle.attempt_ended(&mut self.module, now, AttemptOutcome::Cancelled, true, Load::default());
             self.sessions.remove(&id);
             self.effects.push(Effect::SessionEvent { id, event: SessionEvent::Ended { reason } });
@@ -411,11 +415,11 @@
                 self.end_unsent_attempts(now, streamer_index, vec![unsent], AttemptOutcome::NotSent);
             }
             Some(attempt) => {
-                let shot = attempt.number;
+                let attempt_number = attempt.number;
                 self.send(
                     now,
                     streamer_index,
-                    ControllerMessage::Cancel(Cancel { id, shot, why: why.into() }),
+                    ControllerMessage::Cancel(Cancel { id, shot: attempt_number, why: why.into() }),
                 );
             }
         }
@@ -722,12 +726,12 @@
                     handle.load_reported(&mut self.module, now, load(&fullness.cmsd_dynamic));
                 }
             }
-            StreamerMessage::Looked(looked) => {
+            StreamerMessage::Looked(response) => {
                 let known = &mut self.streamers[streamer_index];
-                if known.probe.is_some_and(|(nonce, _)| nonce == looked.nonce) {
+                if known.probe.is_some_and(|(nonce, _)| nonce == response.nonce) {
                     known.probe = None;
                     let name = known.entry.streamer.clone();
-                    self.module.probe_finished(now, &name, true, load(&looked.cmsd_dynamic));
+                    self.module.probe_finished(now, &name, true, load(&response.cmsd_dynamic));
                 }
             }
             StreamerMessage::Pong(pong) => {
--- a/crates/lemontide-front/src/server.rs
+++ b/crates/lemontide-front/src/server.rs
@@ -349,16 +349,9 @@
                             let _ = observations.try_send(Observation { streamer, succeeded: good });
                         }
                     }
-                    Effect::Response {
-                        id,
-                        response: answer,
-                        suggested_kbps,
-                        duress,
-                        class: lane,
-                        attempts: shots,
-                    } => {
+                    Effect::Response { id, response: answer, suggested_kbps, duress, class, attempts } => {
                         if let Some(overload) = &self.overload {
-                            overload.record_cost(lane, shots);
+                            overload.record_cost(class, attempts);
                         }
                         let Some(reply) = self.pending_replies.remove(&id) else { continue };
                         if reply
@@ -369,10 +362,10 @@
                             self.driver.viewer_left(self.now(), id);
                         }
                     }
-                    Effect::SessionEvent { id, event: news } => {
-                        let is_last = matches!(news, SessionEvent::Ended { .. });
+                    Effect::SessionEvent { id, event } => {
+                        let is_last = matches!(event, SessionEvent::Ended { .. });
                         let is_slow =
-                            self.listeners.get(&id).is_some_and(|sender| sender.try_send(news).is_err());
+                            self.listeners.get(&id).is_some_and(|sender| sender.try_send(event).is_err());
                         // A listener that does not read loses its event stream; the session continues.
                         if is_last || is_slow {
                             self.listeners.remove(&id);
--- a/crates/lemontide-front/src/settings.rs
+++ b/crates/lemontide-front/src/settings.rs
@@ -70,7 +70,7 @@
     /// which is the default, each controller only ever has its own turn, even if others are missing, and a
     /// link to every streamer.
     #[serde(rename = "together", default, skip_serializing_if = "Option::is_none")]
-    pub coordination: Option<CoordinationSettings>,
+    pub coordination: Option<FleetCoordinationSettings>,
     /// File that records the traffic at this controller's end of every socket, as JSON lines. No record if
     /// absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -357,7 +357,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Together")]
-pub struct CoordinationSettings {
+pub struct FleetCoordinationSettings {
     #[serde(rename = "view", default)]
     pub membership_source: MembershipSource,
     /// Maximum age of a view, in seconds: within this time every other controller has learned of one that
--- a/crates/lemontide-front/tests/driver.rs
+++ b/crates/lemontide-front/tests/driver.rs
@@ -5,7 +5,7 @@
 use common::{list, Simulation, STREAMERS};
 use lemontide::clock::Span;
 use lemontide_front::core::SubmitError;
-use lemontide_front::settings::{CoordinationSettings, MembershipSource, Settings};
+use lemontide_front::settings::{FleetCoordinationSettings, MembershipSource, Settings};
 use lemontide_wire::link::{How, Plays, StreamerMessage};
 use lemontide_wire::list::StreamerState;
 use lemontide_wire::play::{EndReason, PlayResponse, SessionEvent};
@@ -410,7 +410,7 @@
 
 /// The settings of the simulation, as those of the third of four controllers that coordinate.
 fn one_of_four(view: MembershipSource) -> Settings {
-    let together = CoordinationSettings {
+    let together = FleetCoordinationSettings {
         membership_source: view,
         max_view_age_s: 3.0,
         max_clock_difference_s: 0.3,
@@ -495,7 +495,7 @@
 fn invalid_coordination_settings_are_named() {
     let valid = one_of_four(MembershipSource::Settings);
     assert_eq!(valid.check(), Ok(()));
-    let rejected_key = |change: fn(&mut CoordinationSettings)| {
+    let rejected_key = |change: fn(&mut FleetCoordinationSettings)| {
         let mut settings = valid.clone();
         settings.coordination.as_mut().map(change);
         settings.check().expect_err("the settings are invalid").0
--- a/crates/lemontide-platform/src/dispatcher/viewers.rs
+++ b/crates/lemontide-platform/src/dispatcher/viewers.rs
@@ -68,10 +68,10 @@
     /// Messages that were not sent when a connection ended. Releases are sent over another connection; a session whose
     /// set-up its viewer did not learn of is ended.
     pub fn on_unsent(&mut self, now: Point, all: Vec<Outgoing>) {
-        for Outgoing { message, ends_session: stood, reply, .. } in all {
+        for Outgoing { message, ends_session, reply, .. } in all {
             reply.into_iter().for_each(|reply| reply.client_gone(Departure::Closed));
             match message.body {
-                Body::Release { cause, .. } if stood => {
+                Body::Release { cause, .. } if ends_session => {
                     self.release_to_viewer(now, 0, message.session, cause)
                 }
                 Body::Answer { .. } => {
--- a/crates/lemontide-platform/src/serve.rs
+++ b/crates/lemontide-platform/src/serve.rs
@@ -138,8 +138,8 @@
         while !dispatcher.effects.is_empty() {
             for effect in std::mem::take(&mut dispatcher.effects) {
                 match effect {
-                    Effect::SendToViewer { conn, message, ends_session: stood, reply, steps } => {
-                        let outgoing = Box::new(Outgoing { message, ends_session: stood, reply, steps });
+                    Effect::SendToViewer { conn, message, ends_session, reply, steps } => {
+                        let outgoing = Box::new(Outgoing { message, ends_session, reply, steps });
                         let (is_full, unsent) = match self.viewers.get(&conn) {
                             None => (false, outgoing),
                             Some(commands) => match commands.try_send(Command::Send(outgoing)) {
@@ -162,11 +162,11 @@
                         dispatcher.on_viewer_gone(now, conn, departure);
                         dispatcher.on_unsent(now, vec![*unsent]);
                     }
-                    Effect::CloseIfIdle { conn, messages_read: heard } => {
+                    Effect::CloseIfIdle { conn, messages_read } => {
                         // If the channel is full, the client does not read: the connection is not idle, and ends by
                         // itself.
                         if let Some(commands) = self.viewers.get(&conn) {
-                            let _ = commands.try_send(Command::CloseIdle { received: heard });
+                            let _ = commands.try_send(Command::CloseIdle { received: messages_read });
                         }
                     }
                     Effect::Drain { conn } => {
@@ -202,7 +202,7 @@
 
     fn handle_viewer_report(&mut self, now: Point, dispatcher: &mut Dispatcher, report: viewers::Report) {
         match report {
-            viewers::Report::Received(heard) => dispatcher.on_viewer_message(now, *heard),
+            viewers::Report::Received(message) => dispatcher.on_viewer_message(now, *message),
             viewers::Report::InputEnded { connection_id, reason } => {
                 dispatcher.on_input_end(now, connection_id, reason)
             }
--- a/crates/lemontide-platform/src/viewers.rs
+++ b/crates/lemontide-platform/src/viewers.rs
@@ -212,8 +212,8 @@
             Ok(message) => {
                 deadline = None;
                 received += 1;
-                let heard = replies.register(connection_id, message, Point::at(clock.now()));
-                if reports.send(Report::Received(Box::new(heard))).await.is_err() {
+                let received = replies.register(connection_id, message, Point::at(clock.now()));
+                if reports.send(Report::Received(Box::new(received))).await.is_err() {
                     return ConnectionEnd::ByController;
                 }
             }
--- a/crates/lemontide-platform/tests/crossings.rs
+++ b/crates/lemontide-platform/tests/crossings.rs
@@ -306,16 +306,16 @@
 fn a_set_up_that_waits_for_a_dial_is_not_sent_once_its_viewer_left() {
     let mut harness = Harness::new();
     harness.dials_stall = true;
-    let asked: Vec<u64> = (0..40).map(|_| harness.request("paid")).collect();
-    assert!(asked.iter().all(|session| order_of(&harness, *session).is_empty()), "all wait");
-    for session in asked.iter().step_by(2) {
+    let sessions: Vec<u64> = (0..40).map(|_| harness.request("paid")).collect();
+    assert!(sessions.iter().all(|session| order_of(&harness, *session).is_empty()), "all wait");
+    for session in sessions.iter().step_by(2) {
         harness.viewer_sends(VIEWERS, *session, Body::release(cause::NORMAL));
     }
     for (link, dial) in harness.last_dials.clone() {
         harness.dispatcher.on_connected(harness.now, Connection { link, dial });
     }
     harness.perform_effects();
-    for (index, session) in asked.iter().enumerate() {
+    for (index, session) in sessions.iter().enumerate() {
         assert_eq!(harness.attempt_count(*session), index % 2, "number {index}");
     }
 }
--- a/crates/lemontide-platform/tests/dispatcher.rs
+++ b/crates/lemontide-platform/tests/dispatcher.rs
@@ -339,7 +339,7 @@
     assert_eq!(harness.final_answer(0), Some(cause::INVALID), "no id");
 }
 
-/// Under the session number of an open request the client could not tell the answers apart.
+/// Under the session number of an open request the client could not distinguish the answers.
 #[test]
 fn two_set_ups_with_one_session_number_close_their_connection_and_not_another() {
     let mut harness = Harness::new();
@@ -370,10 +370,10 @@
 #[test]
 fn a_connection_with_too_many_open_requests_gets_no_more_and_others_do() {
     let mut harness = Harness::new();
-    let asked: Vec<u64> = (0..200).map(|_| harness.request("free")).collect();
-    let sent = asked.iter().filter(|session| harness.attempt_count(**session) > 0).count();
+    let sessions: Vec<u64> = (0..200).map(|_| harness.request("free")).collect();
+    let sent = sessions.iter().filter(|session| harness.attempt_count(**session) > 0).count();
     assert!((1..100).contains(&sent), "{sent} of 200 were sent to a streamer");
-    assert!(asked.iter().all(|session| harness.attempt_count(*session) > 0
+    assert!(sessions.iter().all(|session| harness.attempt_count(*session) > 0
         || harness.final_answer(*session).is_some_and(Harness::is_rejection)));
     harness.dispatcher.on_viewer_connected(harness.now, 2);
     let other = harness.request_on(2, set_up_of("free"));
@@ -509,16 +509,16 @@
     #[test]
     fn one_answer_each_under_any_order_of_events(steps in proptest::collection::vec(step(), 1..80)) {
         let mut harness = Harness::new();
-        let mut asked: Vec<(u64, bool)> = Vec::new();
+        let mut sent_requests: Vec<(u64, bool)> = Vec::new();
         // Attempts that provably never ran.
         let mut settled: std::collections::HashMap<u64, usize> = Default::default();
         let mut given_up: Vec<u64> = Vec::new();
         for step in steps {
-            let session = |pick: usize| (!asked.is_empty()).then(|| asked[pick % asked.len()].0);
+            let session = |pick: usize| (!sent_requests.is_empty()).then(|| sent_requests[pick % sent_requests.len()].0);
             match step {
                 Step::Ask { paid } => {
                     let session = harness.request(if paid { "paid" } else { "free" });
-                    asked.push((session, paid));
+                    sent_requests.push((session, paid));
                 }
                 Step::Tell { pick, cause } => if let Some(session) = session(pick).filter(|session| harness.last_attempt(*session).is_some()) {
                     let never_ran = [cause::FULL, cause::NOT_SENT].contains(&cause) && harness.messages_to_viewer(session).is_empty();
@@ -553,7 +553,7 @@
         }
         harness.advance(3.0);
         prop_assert_eq!(harness.dispatcher.unanswered_count(), 0, "every request has its answer by its deadline");
-        for (session, paid) in asked {
+        for (session, paid) in sent_requests {
             let answers = harness.messages_to_viewer(session);
             if given_up.contains(&session) {
                 prop_assert!(answers.is_empty());
--- a/crates/lemontide-standin/src/day.rs
+++ b/crates/lemontide-standin/src/day.rs
@@ -3,7 +3,7 @@
 
 use crate::relay::Endpoint;
 use lemontide_front::settings::{
-    read_json, AttemptSettings, ChargeSettings, ClassSettings, ColdStartSettings, CoordinationSettings,
+    read_json, AttemptSettings, ChargeSettings, ClassSettings, ColdStartSettings, FleetCoordinationSettings,
     FleetSettings, Ladder, LinkSettings, LoadReportSettings, ProbeSettings, ProcessLimits, RepeatPolicy,
     RetryAfterSettings, RetryBudgetSettings, Settings, SettingsError, TenantSettings, TitlePlacement,
 };
@@ -72,7 +72,7 @@
     pub gossip: Option<DayGossip>,
     /// How controllers coordinate, if they share out turns and streamers.
     #[serde(rename = "together", default)]
-    pub coordination: Option<CoordinationSettings>,
+    pub coordination: Option<FleetCoordinationSettings>,
     /// Named groups of controllers and streamers, for faults between them.
     #[serde(default)]
     pub groups: BTreeMap<String, Group>,
--- a/crates/lemontide-standin/src/soak/front.rs
+++ b/crates/lemontide-standin/src/soak/front.rs
@@ -1,4 +1,4 @@
-//! Seeded days of `lemontide front`: sizes, viewers and troubles depend on the seed; the judge of days gives the
+//! Seeded days of `lemontide front`: sizes, viewers and faults depend on the seed; the check of rules gives the
 //! verdict.
 
 use crate::day::{Day, DayTenant, FaultKind, FaultWindow};
@@ -18,13 +18,13 @@
 const LARGE_DAY_CONTROLLERS: std::ops::RangeInclusive<usize> = 8..=16;
 /// New viewers per second, over all controllers.
 const VIEWERS_PER_S: std::ops::RangeInclusive<f64> = 8.0..=40.0;
-/// The number of troubles of a day.
-const TROUBLE_COUNT: std::ops::RangeInclusive<usize> = 2..=6;
+/// The number of faults of a day.
+const FAULT_COUNT: std::ops::RangeInclusive<usize> = 2..=6;
 /// The number of streamers that the base day starts with, and the index of the spare one.
 const STREAMER_COUNT: usize = 8;
 const SPARE_STREAMER: usize = 8;
 const RACK_COUNT: usize = 2;
-/// No trouble begins in the last part of a day.
+/// No fault begins in the last part of a day.
 const QUIET_END_S: f64 = 2.0;
 
 /// The outcome of a day.
@@ -54,15 +54,15 @@
     let tenant = |at: usize| DayTenant { name: format!("t{at}"), quota_per_s: 10.0, share: 1.0 };
     day.tenants = (0..tenants).map(tenant).collect();
     day.over_share_gain = if tenants > 0 { 0.2 } else { 0.0 };
-    let count = rng.random_range(TROUBLE_COUNT);
+    let count = rng.random_range(FAULT_COUNT);
     let latest = seconds - QUIET_END_S;
-    day.faults = (0..count).map(|at| trouble(&day, &mut rng, at, latest)).collect();
+    day.faults = (0..count).map(|at| generate_fault(&day, &mut rng, at, latest)).collect();
     Ok(day)
 }
 
-/// Generates one trouble. The number selects its kind, so that each kind occurs at most once.
-fn trouble(day: &Day, rng: &mut StdRng, number: usize, latest: f64) -> FaultWindow {
-    // Each trouble has its own streamers or controllers, so that its end does not end another one.
+/// Generates one fault. The number selects its kind, so that each kind occurs at most once.
+fn generate_fault(day: &Day, rng: &mut StdRng, number: usize, latest: f64) -> FaultWindow {
+    // Each fault has its own streamers or controllers, so that its end does not end another one.
     let on = vec![number % STREAMER_COUNT];
     let controller = vec![rng.random_range(0..day.controllers.len())];
     let part = |rng: &mut StdRng| rng.random_range(0.1..0.7);
@@ -88,9 +88,9 @@
     FaultWindow { at_s: rng.random_range(0.5..latest), duration_s: rng.random_range(0.5..3.0), kind: what }
 }
 
-/// The kind of a trouble, as named in the type `FaultKind`.
-fn trouble_kind(trouble: &FaultWindow) -> String {
-    let debug = format!("{:?}", trouble.kind);
+/// The kind of a fault, as named in the type `FaultKind`.
+fn fault_kind(fault: &FaultWindow) -> String {
+    let debug = format!("{:?}", fault.kind);
     debug.split_whitespace().next().unwrap_or_default().to_owned()
 }
 
@@ -98,7 +98,7 @@
 pub async fn run_seed(seed: u64, program: &Path, seconds: f64, folder: &Path) -> io::Result<Outcome> {
     let day = generate_day(seed, seconds)?;
     day.check().map_err(|(path, what)| io::Error::other(format!("seed {seed}: {path}: {what}")))?;
-    let troubles: Vec<String> = day.faults.iter().map(trouble_kind).collect();
+    let faults: Vec<String> = day.faults.iter().map(fault_kind).collect();
     let controllers = day.controllers.len();
     let how = RunOptions { program: program.to_owned(), folder: folder.to_owned(), defect: None };
     let finished = run::run(day, how).await?;
@@ -106,12 +106,13 @@
     for file in finished.taps.iter().filter(|file| file.exists()) {
         lines.extend(tap::read_records(file)?);
     }
-    let verdict = check_rules(&lines).ok_or_else(|| io::Error::other("the taps state no terms"))?;
+    let verdict = check_rules(&lines)
+        .ok_or_else(|| io::Error::other("the taps do not contain the rules of the day"))?;
     let result = if verdict.is_clean() { "no rule broken" } else { "a rule broken" };
     let summary = format!(
         "front seed {seed}: {controllers} controllers, {} viewers, {}: {result}",
         finished.viewers,
-        troubles.join(", ")
+        faults.join(", ")
     );
     Ok(Outcome { seed, summary, verdict })
 }
