--- a/crates/lemontide-platform/src/dispatcher.rs
+++ b/crates/lemontide-platform/src/dispatcher.rs
@@ -170,7 +170,7 @@
 
 /// A set-up of a viewer that is not decided yet.
 struct UndecidedSetUp {
-    conn: u64,
+    connection_id: u64,
     session: u64,
     body: Body,
     /// When it was read, and how long it may have waited unread before.
@@ -184,7 +184,7 @@
 struct TrackedSession {
     session: u64,
     handle: SessionHandle,
-    conn: u64,
+    connection_id: u64,
     /// Set until the request is answered.
     reply: Option<PendingReply>,
     /// What is passed on with each attempt. Its description is dropped once the session plays.
@@ -211,7 +211,7 @@
 impl TrackedSession {
     /// A request or session with this connection and session number, when it was read, and its deadline.
     fn new(
-        (conn, session): (u64, u64),
+        (connection_id, session): (u64, u64),
         handle: SessionHandle,
         reply: Option<PendingReply>,
         set_up: SetUp,
@@ -220,7 +220,7 @@
         TrackedSession {
             session,
             handle,
-            conn,
+            connection_id,
             reply,
             set_up,
             streamer: "".into(),
--- a/crates/lemontide-platform/src/dispatcher/attempts.rs
+++ b/crates/lemontide-platform/src/dispatcher/attempts.rs
@@ -92,7 +92,7 @@
             self.ended.insert(now, tracked.session);
         }
         if tracked.playing_since.is_none() {
-            if let Some(viewer_connection) = self.viewer_connections.get_mut(&tracked.conn) {
+            if let Some(viewer_connection) = self.viewer_connections.get_mut(&tracked.connection_id) {
                 viewer_connection.unanswered = viewer_connection.unanswered.saturating_sub(1);
             }
         }
@@ -112,8 +112,8 @@
         }
         tracked.playing_since = Some(now);
         tracked.set_up.description = Bytes::new();
-        let (handle, conn, session, reply) =
-            (tracked.handle, tracked.conn, tracked.session, tracked.reply.take());
+        let (handle, connection_id, session, reply) =
+            (tracked.handle, tracked.connection_id, tracked.session, tracked.reply.take());
         tracing::debug!(target: "decision", session = format!("{session:016x}"), streamer = &*tracked.streamer, answered = true);
         handle.playing(&mut self.controller, now);
         if load.link_utilization.is_some() || load.uplink_utilization.is_some() {
@@ -122,14 +122,14 @@
         if let Some(reply) = reply {
             self.answer(reply, Body::Answer { description, load: Load::default() }, steps);
         }
-        if let Some(viewer_connection) = self.viewer_connections.get_mut(&conn) {
+        if let Some(viewer_connection) = self.viewer_connections.get_mut(&connection_id) {
             viewer_connection.unanswered = viewer_connection.unanswered.saturating_sub(1);
             viewer_connection.has_set_up = true;
         }
         for (until, message) in std::mem::take(&mut self.unsent_releases) {
             if now <= until {
                 self.effects.push(Effect::SendToViewer {
-                    conn,
+                    conn: connection_id,
                     message,
                     ends_session: true,
                     reply: None,
@@ -349,11 +349,11 @@
         let Some(tracked) = self.remove(now, id) else { return };
         match ending {
             AttemptOutcome::Served => {
-                self.release_to_viewer(now, tracked.conn, tracked.session, cause::NORMAL)
+                self.release_to_viewer(now, tracked.connection_id, tracked.session, cause::NORMAL)
             }
             // The viewer ended the session and is owed nothing.
             AttemptOutcome::Cancelled => {}
-            _ => self.release_to_viewer(now, tracked.conn, tracked.session, cause::FAILED),
+            _ => self.release_to_viewer(now, tracked.connection_id, tracked.session, cause::FAILED),
         }
     }
 
@@ -397,7 +397,7 @@
                     true,
                     Load::default(),
                 );
-                self.send_to_viewer(tracked.conn, tracked.session, Body::Move);
+                self.send_to_viewer(tracked.connection_id, tracked.session, Body::Move);
             }
             if is_empty {
                 return;
@@ -408,7 +408,7 @@
     /// Sends the one answer of a request that did not lead to a session.
     pub(super) fn answer_unserved(&mut self, now: Point, id: u32, body: Body, outcome: Outcome) {
         let Some(mut tracked) = self.remove(now, id) else { return };
-        self.remember_rejected(tracked.conn, tracked.session);
+        self.remember_rejected(tracked.connection_id, tracked.session);
         tracing::debug!(
             target: "decision",
             session = format!("{:016x}", tracked.session), lane = tracked.set_up.class, shots = tracked.attempt_count,
--- a/crates/lemontide-platform/src/dispatcher/unanswered.rs
+++ b/crates/lemontide-platform/src/dispatcher/unanswered.rs
@@ -19,14 +19,14 @@
 impl Dispatcher {
     /// Nothing more is read on a client's connection. The open requests on it are answered without another attempt. If
     /// the client may still wait for the answer, an attempt that is out may end by itself.
-    pub fn on_input_end(&mut self, now: Point, conn: u64, why: InputEnd) {
-        let Some(viewer_connection) = self.viewer_connections.get_mut(&conn) else { return };
+    pub fn on_input_end(&mut self, now: Point, connection_id: u64, why: InputEnd) {
+        let Some(viewer_connection) = self.viewer_connections.get_mut(&connection_id) else { return };
         viewer_connection.is_draining = true;
-        for reply in self.take_undecided_on(conn) {
+        for reply in self.take_undecided_on(connection_id) {
             let rejection = viewers::rejection(self.controller.retry_after());
             self.answer(reply, rejection, None);
         }
-        for id in self.unanswered_on(conn) {
+        for id in self.unanswered_on(connection_id) {
             let attempt = self.sessions.get(&id).and_then(|tracked| tracked.attempt.as_ref());
             let is_out =
                 attempt.is_some_and(|attempt| attempt.given_up.is_none() && attempt.permit.has_begun());
@@ -41,20 +41,22 @@
 
     /// Takes the undecided requests of a connection and returns their replies. Hand-overs on it stay: their sessions
     /// are established, and they are owed no answer.
-    pub(super) fn take_undecided_on(&mut self, conn: u64) -> Vec<PendingReply> {
+    pub(super) fn take_undecided_on(&mut self, connection_id: u64) -> Vec<PendingReply> {
         let all = std::mem::take(&mut self.undecided);
-        let is_request = |waiting: &UndecidedSetUp| waiting.conn == conn && waiting.reply.is_some();
+        let is_request =
+            |waiting: &UndecidedSetUp| waiting.connection_id == connection_id && waiting.reply.is_some();
         let (requests, others): (VecDeque<UndecidedSetUp>, _) = all.into_iter().partition(is_request);
         self.undecided = others;
-        if let Some(viewer_connection) = self.viewer_connections.get_mut(&conn) {
+        if let Some(viewer_connection) = self.viewer_connections.get_mut(&connection_id) {
             viewer_connection.undecided = viewer_connection.undecided.saturating_sub(requests.len());
         }
         requests.into_iter().filter_map(|waiting| waiting.reply).collect()
     }
 
     /// The tracked requests on a connection that are owed an answer.
-    pub(super) fn unanswered_on(&self, conn: u64) -> Vec<u32> {
-        let on_it = |tracked: &TrackedSession| tracked.conn == conn && tracked.reply.is_some();
+    pub(super) fn unanswered_on(&self, connection_id: u64) -> Vec<u32> {
+        let on_it =
+            |tracked: &TrackedSession| tracked.connection_id == connection_id && tracked.reply.is_some();
         self.sessions.iter().filter(|(_, tracked)| on_it(tracked)).map(|(id, _)| *id).collect()
     }
 
@@ -90,12 +92,14 @@
                 reply.client_gone(Departure::Closed);
             }
         }
-        for (conn, session) in self.replies.take_overdue(now) {
-            let is_it = |tracked: &TrackedSession| tracked.conn == conn && tracked.session == session;
+        for (connection_id, session) in self.replies.take_overdue(now) {
+            let is_it = |tracked: &TrackedSession| {
+                tracked.connection_id == connection_id && tracked.session == session
+            };
             let id = self.id_by_session.get(&session).copied();
             let id = id.filter(|id| self.sessions.get(id).is_some_and(is_it));
             tracing::warn!(
-                target: "reply", session = format!("{session:016x}"), conn, in_hand = id.is_some(), "no answer by its deadline"
+                target: "reply", session = format!("{session:016x}"), conn = connection_id, in_hand = id.is_some(), "no answer by its deadline"
             );
             if let Some(id) = id {
                 self.answer_at_once(now, id);
--- a/crates/lemontide-platform/src/dispatcher/viewers.rs
+++ b/crates/lemontide-platform/src/dispatcher/viewers.rs
@@ -16,7 +16,7 @@
 
 impl Dispatcher {
     /// A viewer connection is open.
-    pub fn on_viewer_connected(&mut self, now: Point, conn: u64) {
+    pub fn on_viewer_connected(&mut self, now: Point, connection_id: u64) {
         let connection = ViewerConnection {
             unanswered: 0,
             undecided: 0,
@@ -27,16 +27,16 @@
             is_draining: false,
             rejected_sessions: VecDeque::new(),
         };
-        self.viewer_connections.insert(conn, connection);
+        self.viewer_connections.insert(connection_id, connection);
     }
 
     /// The client of a connection is proven gone: its unanswered requests are owed no answer.
-    pub fn on_viewer_gone(&mut self, now: Point, conn: u64, why: Departure) {
-        if self.viewer_connections.remove(&conn).is_none() {
+    pub fn on_viewer_gone(&mut self, now: Point, connection_id: u64, why: Departure) {
+        if self.viewer_connections.remove(&connection_id).is_none() {
             return;
         }
-        self.take_undecided_on(conn).into_iter().for_each(|reply| reply.client_gone(why));
-        for id in self.unanswered_on(conn) {
+        self.take_undecided_on(connection_id).into_iter().for_each(|reply| reply.client_gone(why));
+        for id in self.unanswered_on(connection_id) {
             self.on_viewer_gave_up(now, id, why);
         }
         self.apply_actions(now);
@@ -49,7 +49,7 @@
             connection.is_idle() && !connection.closes_if_idle && !connection.is_draining
         });
         idle.min_by_key(|(_, connection)| (connection.has_set_up, connection.last_message_at))
-            .map(|(conn, _)| *conn)
+            .map(|(connection_id, _)| *connection_id)
     }
 
     /// Asks the idle connection to close, one connection at a time. A message that is read on it meanwhile is handled,
@@ -58,10 +58,13 @@
         if self.viewer_connections.values().any(|connection| connection.closes_if_idle) {
             return;
         }
-        let Some(conn) = self.idle_connection() else { return };
-        if let Some(viewer_connection) = self.viewer_connections.get_mut(&conn) {
+        let Some(connection_id) = self.idle_connection() else { return };
+        if let Some(viewer_connection) = self.viewer_connections.get_mut(&connection_id) {
             viewer_connection.closes_if_idle = true;
-            self.effects.push(Effect::CloseIfIdle { conn, messages_read: viewer_connection.messages_read });
+            self.effects.push(Effect::CloseIfIdle {
+                conn: connection_id,
+                messages_read: viewer_connection.messages_read,
+            });
         }
     }
 
@@ -90,10 +93,10 @@
     }
 
     /// Closes a viewer connection from this end, once all requests on it are answered.
-    pub fn close_when_answered(&mut self, now: Point, conn: u64) {
-        if self.viewer_connections.contains_key(&conn) {
-            self.on_input_end(now, conn, InputEnd::Unusable);
-            self.effects.push(Effect::Drain { conn });
+    pub fn close_when_answered(&mut self, now: Point, connection_id: u64) {
+        if self.viewer_connections.contains_key(&connection_id) {
+            self.on_input_end(now, connection_id, InputEnd::Unusable);
+            self.effects.push(Effect::Drain { conn: connection_id });
         }
     }
 
@@ -101,8 +104,8 @@
     /// counts: a set-up whose viewer leaves or cancels in the same moment is not sent to a streamer, and messages of
     /// streamers are passed on before.
     pub fn on_viewer_message(&mut self, now: Point, received: ReceivedMessage) {
-        let ReceivedMessage { conn, message, read_at, reply } = received;
-        let Some(viewer_connection) = self.viewer_connections.get_mut(&conn) else {
+        let ReceivedMessage { conn: connection_id, message, read_at, reply } = received;
+        let Some(viewer_connection) = self.viewer_connections.get_mut(&connection_id) else {
             reply.into_iter().for_each(|reply| reply.client_gone(Departure::Closed));
             return;
         };
@@ -111,14 +114,14 @@
         viewer_connection.closes_if_idle = false;
         let session = message.session;
         match message.body {
-            Body::Test => self.send_to_viewer(conn, session, Body::TestResult { passed: true }),
+            Body::Test => self.send_to_viewer(connection_id, session, Body::TestResult { passed: true }),
             body @ (Body::SetUp(_) | Body::Invalid(_)) => {
                 if matches!(&body, Body::SetUp(set_up) if set_up.plays_at().is_none()) {
-                    tracing::trace!(target: "request", session = format!("{session:016x}"), conn, "read");
+                    tracing::trace!(target: "request", session = format!("{session:016x}"), conn = connection_id, "read");
                 }
                 viewer_connection.undecided += 1;
                 self.undecided.push_back(UndecidedSetUp {
-                    conn,
+                    connection_id,
                     session,
                     body,
                     read_at,
@@ -131,7 +134,7 @@
                 let is_it = |waiting: &UndecidedSetUp| {
                     let is_request =
                         matches!(&waiting.body, Body::SetUp(set_up) if set_up.plays_at().is_none());
-                    (waiting.conn, waiting.session, is_request) == (conn, session, true)
+                    (waiting.connection_id, waiting.session, is_request) == (connection_id, session, true)
                 };
                 if let Some(index) = self.undecided.iter().position(is_it) {
                     // Cancelled before it was decided: no answer is owed.
@@ -142,8 +145,9 @@
                 }
                 let id = self.id_by_session.get(&session).copied();
                 let tracked = id.and_then(|id| Some((id, self.sessions.get(&id)?)));
-                match tracked.map(|(id, tracked)| (id, tracked.playing_since.is_some(), tracked.conn == conn))
-                {
+                match tracked.map(|(id, tracked)| {
+                    (id, tracked.playing_since.is_some(), tracked.connection_id == connection_id)
+                }) {
                     Some((id, true, _)) => self.on_viewer_ended(now, id),
                     Some((id, false, true)) => self.on_viewer_gave_up(now, id, Departure::Cancelled),
                     // A connection can't cancel a request of another.
@@ -159,7 +163,7 @@
             | Body::UnknownReport
             | Body::Move
             | Body::Rung(_) => {
-                self.close_when_answered(now, conn);
+                self.close_when_answered(now, connection_id);
             }
         }
         self.apply_actions(now);
@@ -167,12 +171,12 @@
 
     /// Decides the first undecided set-up; false if there is none.
     pub fn decide_next(&mut self, now: Point) -> bool {
-        let Some(UndecidedSetUp { conn, session, body, read_at, read_delay, reply }) =
+        let Some(UndecidedSetUp { connection_id, session, body, read_at, read_delay, reply }) =
             self.undecided.pop_front()
         else {
             return false;
         };
-        if let Some(viewer_connection) = self.viewer_connections.get_mut(&conn) {
+        if let Some(viewer_connection) = self.viewer_connections.get_mut(&connection_id) {
             viewer_connection.undecided = viewer_connection.undecided.saturating_sub(1);
         }
         match (body, reply) {
@@ -180,7 +184,7 @@
                 self.handle_request(now, reply, set_up, (read_at, read_delay))
             }
             (Body::SetUp(set_up), None) => {
-                self.hand_over(now, (conn, session), set_up, (read_at, read_delay))
+                self.hand_over(now, (connection_id, session), set_up, (read_at, read_delay))
             }
             (Body::Invalid(why), Some(reply)) => {
                 tracing::info!(target: "viewers", why, "set-up is not usable");
@@ -193,10 +197,10 @@
     }
 
     /// Sends a message that only this connection can carry and that is no answer.
-    pub(super) fn send_to_viewer(&mut self, conn: u64, session: u64, body: Body) {
+    pub(super) fn send_to_viewer(&mut self, connection_id: u64, session: u64, body: Body) {
         let message = Message { session, body };
         self.effects.push(Effect::SendToViewer {
-            conn,
+            conn: connection_id,
             message,
             ends_session: false,
             reply: None,
@@ -207,9 +211,9 @@
     /// Sends a request its final answer.
     pub(super) fn answer(&mut self, reply: PendingReply, body: Body, steps: Option<Box<Steps>>) {
         reply.mark_queued();
-        let (conn, message) = (reply.conn(), Message { session: reply.session(), body });
+        let (connection_id, message) = (reply.conn(), Message { session: reply.session(), body });
         self.effects.push(Effect::SendToViewer {
-            conn,
+            conn: connection_id,
             message,
             ends_session: false,
             reply: Some(reply),
@@ -222,7 +226,7 @@
         Steps::are_logged().then(|| {
             Box::new(Steps {
                 session: tracked.session,
-                conn: tracked.conn,
+                conn: tracked.connection_id,
                 outcome,
                 attempts: tracked.attempt_count,
                 wait_ms: tracked.set_up.wait_ms,
@@ -246,18 +250,18 @@
     /// Refuses a set-up that can't be accepted. If its session number belongs to a tracked request on the same
     /// connection, the client could not tell the answers apart, so the connection is closed.
     pub(super) fn refuse(&mut self, now: Point, reply: PendingReply) {
-        let (conn, session) = (reply.conn(), reply.session());
+        let (connection_id, session) = (reply.conn(), reply.session());
         let other = self.id_by_session.get(&session).and_then(|id| self.sessions.get(id));
-        if other.is_some_and(|tracked| tracked.conn == conn) {
+        if other.is_some_and(|tracked| tracked.connection_id == connection_id) {
             reply.client_gone(Departure::NumberReused);
-            return self.close_when_answered(now, conn);
+            return self.close_when_answered(now, connection_id);
         }
         self.answer(reply, Body::release(cause::INVALID), None);
     }
 
     /// Remembers a session number that was rejected on a connection.
-    pub(super) fn remember_rejected(&mut self, conn: u64, session: u64) {
-        let Some(viewer_connection) = self.viewer_connections.get_mut(&conn) else { return };
+    pub(super) fn remember_rejected(&mut self, connection_id: u64, session: u64) {
+        let Some(viewer_connection) = self.viewer_connections.get_mut(&connection_id) else { return };
         if viewer_connection.rejected_sessions.len() >= REJECTED_SESSIONS_KEPT {
             viewer_connection.rejected_sessions.pop_front();
         }
@@ -312,8 +316,8 @@
     }
 
     /// Why a set-up is unusable, its session number included. The reason is logged.
-    fn why_unusable(&self, (conn, session): (u64, u64), set_up: &SetUp) -> Option<&'static str> {
-        tracing::debug!(target: "decision", session = format!("{session:016x}"), conn, set_up = ?Logged(set_up));
+    fn why_unusable(&self, (connection_id, session): (u64, u64), set_up: &SetUp) -> Option<&'static str> {
+        tracing::debug!(target: "decision", session = format!("{session:016x}"), conn = connection_id, set_up = ?Logged(set_up));
         let why = if session == 0 { Some("no id") } else { self.unusable_part(set_up) };
         if let Some(why) = why {
             tracing::info!(target: "viewers", why, "set-up is not usable");
@@ -323,7 +327,7 @@
 
     /// Takes over a session that plays already. One that can't be used is ignored, as it is owed no answer.
     fn hand_over(&mut self, now: Point, of: (u64, u64), mut set_up: SetUp, read: (Point, Span)) {
-        let (conn, session) = of;
+        let (connection_id, session) = of;
         let Some(streamer) = set_up.plays_at().cloned() else { return };
         // The session may be tracked already.
         if self.why_unusable(of, &set_up).is_some() || self.id_by_session.contains_key(&session) {
@@ -335,7 +339,7 @@
             Some(UntrackedEnd::ByStreamer(cause::CANCELLED)) => return,
             Some(UntrackedEnd::ByStreamer(why)) => {
                 let why = if why == cause::NORMAL { why } else { cause::FAILED };
-                return self.release_to_viewer(now, conn, session, why);
+                return self.release_to_viewer(now, connection_id, session, why);
             }
             Some(UntrackedEnd::ByViewer) => {
                 return self.release_at_streamer(now, &streamer.as_str().into(), session)
@@ -343,7 +347,7 @@
             None => {}
         }
         let Some((streamer, _)) = self.streamers.get_key_value(&*streamer) else {
-            return self.release_to_viewer(now, conn, session, cause::FAILED);
+            return self.release_to_viewer(now, connection_id, session, cause::FAILED);
         };
         let streamer = streamer.clone();
         let id = self.next_id();
@@ -351,7 +355,7 @@
         let deadline = request.deadline;
         let handle = self.controller.adopt(now, &request, &streamer);
         set_up.description = Bytes::new();
-        let tracked = TrackedSession::new((conn, session), handle, None, set_up, (read.0, deadline));
+        let tracked = TrackedSession::new((connection_id, session), handle, None, set_up, (read.0, deadline));
         self.sessions.insert(id, TrackedSession { streamer, playing_since: Some(now), ..tracked });
         self.id_by_session.insert(session, id);
         self.apply_actions(now);
@@ -359,21 +363,21 @@
 
     /// Handles a new request.
     fn handle_request(&mut self, now: Point, reply: PendingReply, set_up: SetUp, read: (Point, Span)) {
-        let (conn, session) = (reply.conn(), reply.session());
+        let (connection_id, session) = (reply.conn(), reply.session());
         // An attempt under the same number may still run, and messages about the two could not be told apart.
-        if self.why_unusable((conn, session), &set_up).is_some()
+        if self.why_unusable((connection_id, session), &set_up).is_some()
             || self.id_by_session.contains_key(&session)
             || self.is_in_doubt(session)
         {
             return self.refuse(now, reply);
         }
-        let viewer_connection = self.viewer_connections.get(&conn);
+        let viewer_connection = self.viewer_connections.get(&connection_id);
         if viewer_connection
             .is_some_and(|viewer_connection| viewer_connection.rejected_sessions.contains(&session))
         {
             self.refuse(now, reply);
-            if self.viewer_connections.get(&conn).is_some_and(ViewerConnection::is_idle) {
-                self.close_when_answered(now, conn);
+            if self.viewer_connections.get(&connection_id).is_some_and(ViewerConnection::is_idle) {
+                self.close_when_answered(now, connection_id);
             }
             return;
         }
@@ -382,7 +386,7 @@
         });
         let is_stopping = self.stopping_since.is_some_and(|since| now - since > STOP_GRACE);
         if is_stopping || crowded || self.sessions.len() >= self.settings.max_tracked {
-            self.remember_rejected(conn, session);
+            self.remember_rejected(connection_id, session);
             return self.answer(reply, rejection(self.controller.retry_after()), None);
         }
         let id = self.next_id();
@@ -390,10 +394,11 @@
         let deadline = request.deadline;
         reply.set_answer_due(deadline + ANSWER_GRACE);
         let handle = self.controller.submit(now, &request);
-        let tracked = TrackedSession::new((conn, session), handle, Some(reply), set_up, (read.0, deadline));
+        let tracked =
+            TrackedSession::new((connection_id, session), handle, Some(reply), set_up, (read.0, deadline));
         self.sessions.insert(id, tracked);
         self.id_by_session.insert(session, id);
-        if let Some(viewer_connection) = self.viewer_connections.get_mut(&conn) {
+        if let Some(viewer_connection) = self.viewer_connections.get_mut(&connection_id) {
             viewer_connection.unanswered += 1;
         }
         self.apply_actions(now);
@@ -429,19 +434,19 @@
     }
 
     /// Releases a session to its viewer, on the viewer's own connection or on any other viewer connection.
-    pub(super) fn release_to_viewer(&mut self, now: Point, conn: u64, session: u64, why: u8) {
-        let own = self.viewer_connections.contains_key(&conn).then_some(conn);
+    pub(super) fn release_to_viewer(&mut self, now: Point, connection_id: u64, session: u64, why: u8) {
+        let own = self.viewer_connections.contains_key(&connection_id).then_some(connection_id);
         let good = self
             .viewer_connections
             .iter()
             .filter(|(_, connection)| connection.has_set_up)
             .max_by_key(|(_, connection)| connection.last_message_at);
-        match own.or(good.map(|(conn, _)| *conn)) {
-            Some(conn) => {
-                tracing::debug!(target: "viewers", session = format!("{session:016x}"), conn, why, "release");
+        match own.or(good.map(|(connection_id, _)| *connection_id)) {
+            Some(connection_id) => {
+                tracing::debug!(target: "viewers", session = format!("{session:016x}"), conn = connection_id, why, "release");
                 let message = Message { session, body: Body::release(why) };
                 self.effects.push(Effect::SendToViewer {
-                    conn,
+                    conn: connection_id,
                     message,
                     ends_session: true,
                     reply: None,
--- a/crates/lemontide-platform/src/replies.rs
+++ b/crates/lemontide-platform/src/replies.rs
@@ -29,7 +29,7 @@
 /// One open request.
 #[derive(Debug)]
 struct OpenRequest {
-    conn: u64,
+    connection_id: u64,
     session: u64,
     answer_due: Point,
     /// Its answer waits for the socket of its connection.
@@ -44,7 +44,7 @@
 struct OpenRequests {
     last_number: u64,
     open: BTreeMap<u64, OpenRequest>,
-    by_conn: HashMap<u64, usize>,
+    open_count_by_connection: HashMap<u64, usize>,
 }
 
 /// All open requests of a process. Clones share them.
@@ -94,25 +94,32 @@
 
     /// Registers a message that was read on a client's connection. If it is a request, it is owed an answer from now
     /// on.
-    pub fn register(&self, conn: u64, message: Message, read_at: Point) -> ReceivedMessage {
+    pub fn register(&self, connection_id: u64, message: Message, read_at: Point) -> ReceivedMessage {
         let timeout = match &message.body {
             Body::SetUp(set_up) => Span::of(set_up.wait_ms as f64 / 1e3),
             _ => UNUSABLE_ANSWER_TIMEOUT,
         };
-        let reply =
-            is_request(&message.body).then(|| self.open_reply(conn, message.session, read_at + timeout));
-        ReceivedMessage { conn, message, read_at, reply }
+        let reply = is_request(&message.body)
+            .then(|| self.open_reply(connection_id, message.session, read_at + timeout));
+        ReceivedMessage { conn: connection_id, message, read_at, reply }
     }
 
-    fn open_reply(&self, conn: u64, session: u64, answer_due: Point) -> PendingReply {
+    fn open_reply(&self, connection_id: u64, session: u64, answer_due: Point) -> PendingReply {
         let mut requests = self.lock();
         requests.last_number += 1;
         let number = requests.last_number;
         requests.open.insert(
             number,
-            OpenRequest { conn, session, answer_due, is_queued: false, is_dropped: false, is_overdue: false },
+            OpenRequest {
+                connection_id,
+                session,
+                answer_due,
+                is_queued: false,
+                is_dropped: false,
+                is_overdue: false,
+            },
         );
-        *requests.by_conn.entry(conn).or_default() += 1;
+        *requests.open_count_by_connection.entry(connection_id).or_default() += 1;
         PendingReply::new(self, number)
     }
 
@@ -122,13 +129,17 @@
     }
 
     /// Number of those on one connection.
-    pub fn open_count_on(&self, conn: u64) -> usize {
-        self.lock().by_conn.get(&conn).copied().unwrap_or_default()
+    pub fn open_count_on(&self, connection_id: u64) -> usize {
+        self.lock().open_count_by_connection.get(&connection_id).copied().unwrap_or_default()
     }
 
     /// The session of one of them, if there are any.
-    pub fn session_on(&self, conn: u64) -> Option<u64> {
-        self.lock().open.values().find(|request| request.conn == conn).map(|request| request.session)
+    pub fn session_on(&self, connection_id: u64) -> Option<u64> {
+        self.lock()
+            .open
+            .values()
+            .find(|request| request.connection_id == connection_id)
+            .map(|request| request.session)
     }
 
     /// Connection and session of each request that was not answered by its deadline. Each is returned once.
@@ -139,7 +150,7 @@
         };
         let take = |request: &mut OpenRequest| {
             request.is_overdue = true;
-            (request.conn, request.session)
+            (request.connection_id, request.session)
         };
         requests.open.values_mut().filter(is_late).map(take).collect()
     }
@@ -169,7 +180,7 @@
 
     /// The connection that the answer is sent on.
     pub fn conn(&self) -> u64 {
-        self.with_open(|request| request.conn)
+        self.with_open(|request| request.connection_id)
     }
 
     /// The session number of the request.
@@ -194,8 +205,8 @@
 
     /// The client is gone or does not want the answer any more.
     pub fn client_gone(self, why: Departure) {
-        let (conn, session) = (self.conn(), self.session());
-        tracing::debug!(target: "reply", session = format!("{session:016x}"), conn, ?why, "request is owed no answer");
+        let (connection_id, session) = (self.conn(), self.session());
+        tracing::debug!(target: "reply", session = format!("{session:016x}"), conn = connection_id, ?why, "request is owed no answer");
         self.settle();
     }
 
@@ -203,10 +214,10 @@
         let Some(key) = self.unsettled.take() else { return };
         let mut requests = key.replies.lock();
         let Some(request) = requests.open.remove(&key.number) else { return };
-        let Some(count) = requests.by_conn.get_mut(&request.conn) else { return };
+        let Some(count) = requests.open_count_by_connection.get_mut(&request.connection_id) else { return };
         *count -= 1;
         if *count == 0 {
-            requests.by_conn.remove(&request.conn);
+            requests.open_count_by_connection.remove(&request.connection_id);
         }
     }
 }
@@ -216,8 +227,8 @@
         if self.unsettled.is_none() {
             return;
         }
-        let (conn, session) = (self.conn(), self.session());
+        let (connection_id, session) = (self.conn(), self.session());
         self.with_open(|request| request.is_dropped = true);
-        tracing::error!(target: "reply", session = format!("{session:016x}"), conn, "reply was dropped before it was settled");
+        tracing::error!(target: "reply", session = format!("{session:016x}"), conn = connection_id, "reply was dropped before it was settled");
     }
 }
--- a/crates/lemontide-platform/src/serve.rs
+++ b/crates/lemontide-platform/src/serve.rs
@@ -138,9 +138,9 @@
         while !dispatcher.effects.is_empty() {
             for effect in std::mem::take(&mut dispatcher.effects) {
                 match effect {
-                    Effect::SendToViewer { conn, message, ends_session, reply, steps } => {
+                    Effect::SendToViewer { conn: connection_id, message, ends_session, reply, steps } => {
                         let outgoing = Box::new(Outgoing { message, ends_session, reply, steps });
-                        let (is_full, unsent) = match self.viewers.get(&conn) {
+                        let (is_full, unsent) = match self.viewers.get(&connection_id) {
                             None => (false, outgoing),
                             Some(commands) => match commands.try_send(Command::Send(outgoing)) {
                                 Ok(()) => {
@@ -156,21 +156,21 @@
                         };
                         if is_full {
                             // The client does not read its messages.
-                            self.viewers.remove(&conn);
+                            self.viewers.remove(&connection_id);
                         }
                         let departure = if is_full { Departure::NotReading } else { Departure::Closed };
-                        dispatcher.on_viewer_gone(now, conn, departure);
+                        dispatcher.on_viewer_gone(now, connection_id, departure);
                         dispatcher.on_unsent(now, vec![*unsent]);
                     }
-                    Effect::CloseIfIdle { conn, messages_read } => {
+                    Effect::CloseIfIdle { conn: connection_id, messages_read } => {
                         // If the channel is full, the client does not read: the connection is not idle, and ends by
                         // itself.
-                        if let Some(commands) = self.viewers.get(&conn) {
+                        if let Some(commands) = self.viewers.get(&connection_id) {
                             let _ = commands.try_send(Command::CloseIdle { received: messages_read });
                         }
                     }
-                    Effect::Drain { conn } => {
-                        if let Some(commands) = self.viewers.get(&conn) {
+                    Effect::Drain { conn: connection_id } => {
+                        if let Some(commands) = self.viewers.get(&connection_id) {
                             let _ = commands.try_send(Command::Drain);
                         }
                     }
