--- a/crates/lemontide-cli/src/soak.rs
+++ b/crates/lemontide-cli/src/soak.rs
@@ -37,7 +37,7 @@
 /// The most runs of a seed: a run that is inconclusive, as this machine was late, is repeated once.
 const MAX_RUNS: usize = 2;
 
-/// Runs the seeds. The exit code is 1 if an invariant was violated, and 2 if a seed could not be judged, as this
+/// Runs the seeds. The exit code is 1 if an invariant was violated, and 2 if a seed could not be checked, as this
 /// machine was late twice.
 pub fn run(args: &Args) -> CommandResult {
     let program = match &args.program {
--- a/crates/lemontide-cli/tests/common/mod.rs
+++ b/crates/lemontide-cli/tests/common/mod.rs
@@ -153,7 +153,7 @@
     let config_file = folder.join("config.json");
     std::fs::write(&config_file, config.to_string()).expect("written");
     let max_descriptors = config["limits"]["sockets"].as_u64().expect("a number");
-    // The process gets no more descriptors than the configuration says.
+    // The process gets no more descriptors than the configuration allows.
     let mut command = Command::new("/bin/sh");
     if let Some(log) = log {
         let log = std::fs::File::create(log).expect("a file");
--- a/crates/lemontide-cli/tests/crossings.rs
+++ b/crates/lemontide-cli/tests/crossings.rs
@@ -343,7 +343,7 @@
     assert_eq!((message.session, message.body), (1, Body::release(cause::NORMAL)));
 }
 
-/// A session ends, at its streamer or by its viewer, before the controller that takes it over knows it.
+/// A session ends, at its streamer or by its viewer, before its hand-over reaches the controller that takes it over.
 #[tokio::test]
 async fn a_session_that_ended_before_it_was_handed_over_is_released_at_once() {
     let mut controller = RunningController::start(1, |_| {}).await;
--- a/crates/lemontide-front/src/core/driver.rs
+++ b/crates/lemontide-front/src/core/driver.rs
@@ -53,7 +53,7 @@
     pub max_sessions: usize,
     /// Limits the concurrent set-ups of each streamer by its response times.
     pub limit_set_ups: bool,
-    /// Coordination with other controllers, where the settings ask for it.
+    /// Coordination with other controllers, if the settings contain it.
     pub coordination: Option<CoordinationSettings>,
     /// Number of cells of the fleet.
     pub cell_count: usize,
@@ -469,8 +469,8 @@
         }
     }
 
-    /// Passes on to the module how far other controllers are believed that each streamer fails, from 0 to 1. The module
-    /// decides what follows from it.
+    /// Passes on to the module the score, from 0 to 1, by which other controllers report each streamer as failing. The
+    /// module decides what follows from it.
     pub fn update_peer_suspicions(&mut self, now: Point, suspicions: &[(String, f64)]) {
         for (streamer, suspicion) in suspicions {
             self.module.set_peer_suspicion(now, streamer, *suspicion);
@@ -522,7 +522,7 @@
         }
     }
 
-    /// Reports an outcome at a streamer for gossip, if it says anything about the streamer's health.
+    /// Reports an outcome at a streamer for gossip, if it is evidence of the streamer's health.
     fn report_observation(&mut self, streamer_index: usize, outcome: AttemptOutcome) {
         let succeeded = match outcome {
             AttemptOutcome::Served => true,
@@ -684,7 +684,7 @@
                     How::SentBack => (tap::TapOutcome::Refused, AttemptOutcome::Refused),
                     How::Cancelled => (tap::TapOutcome::Cancelled, AttemptOutcome::Cancelled),
                     How::Errored => (tap::TapOutcome::Errored, AttemptOutcome::Errored),
-                    // A value that only newer streamers know: the attempt may have run.
+                    // A value that only newer streamers use: the attempt may have run.
                     How::Unspecified => (tap::TapOutcome::Errored, AttemptOutcome::Unknown),
                 };
                 let Some(session) =
--- a/crates/lemontide-front/src/core/links.rs
+++ b/crates/lemontide-front/src/core/links.rs
@@ -73,7 +73,7 @@
     failures: u32,
     last_dialled: Option<Point>,
     queue: VecDeque<QueuedMessage<M>>,
-    /// Limits concurrent set-ups, where the settings ask for it.
+    /// Limits concurrent set-ups, if the settings enable it.
     pub set_up_limit: Option<ConcurrencyLimit>,
     /// Whether the list names the streamer as ready or draining; otherwise the link is not dialled again.
     pub is_listed: bool,
--- a/crates/lemontide-front/src/events.rs
+++ b/crates/lemontide-front/src/events.rs
@@ -56,7 +56,7 @@
     ListChanged(StreamerList),
     /// The player of a request disconnected.
     PlayerLeft { id: u32 },
-    /// A player ends a session; the reply says whether there was one.
+    /// A player ends a session; the reply is true if there was one.
     EndSession { id: u32, reply: oneshot::Sender<bool> },
     /// A player listens to the events of its session; the reply is none if there is no such session.
     Listen { id: u32, reply: oneshot::Sender<Option<mpsc::Receiver<SessionEvent>>> },
--- a/crates/lemontide-front/src/gossip.rs
+++ b/crates/lemontide-front/src/gossip.rs
@@ -22,8 +22,8 @@
 /// Maximum number of queued observations and of queued requests for the view.
 const MAX_QUEUED_OBSERVATIONS: usize = 4096;
 const MAX_QUEUED_VIEW_REQUESTS: usize = 16;
-/// Timeout of a probe as a part of the probe period, and number of periods between two syncs with a dead
-/// member.
+/// Timeout of a probe as a part of the probe period, and number of periods between two syncs with a member
+/// declared dead.
 const PROBE_TIMEOUT_PART: f64 = 0.3;
 const SYNC_INTERVAL_PERIODS: f64 = 3.0;
 /// How often the results are sent to the deciding thread.
@@ -104,8 +104,8 @@
                 ..Timing::default()
             },
             bytes_per_s: settings.bytes_per_s,
-            // Random, so that it differs from that of every earlier process of this instance whatever the
-            // clock says.
+            // Random, so that it differs from that of every earlier process of this instance even if the
+            // clock was set back.
             boot_id: rand::random(),
             rng_seed,
         },
--- a/crates/lemontide-front/src/overload_control.rs
+++ b/crates/lemontide-front/src/overload_control.rs
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Decides on a parsed request. `was_held` says that it is decided on for the second time, after a hold.
+    /// Decides on a parsed request. `was_held` is true if it is decided on for the second time, after a hold.
     pub fn decide(&self, received_at_s: f64, request: &PlayRequest, was_held: bool) -> Decision {
         let Some(class) = self.classes.iter().position(|(name, _)| *name == request.class) else {
             return Decision::Admit;
--- a/crates/lemontide-front/src/request_queue.rs
+++ b/crates/lemontide-front/src/request_queue.rs
@@ -48,7 +48,7 @@
         enqueued
     }
 
-    /// Removes up to `max_count` requests. The flag says whether more are waiting.
+    /// Removes up to `max_count` requests. The flag is true if more are waiting.
     pub fn pop_batch(&self, now: Point, max_count: usize) -> (Vec<Dequeued<NewRequest>>, bool) {
         let mut state = self.state();
         let mut batch = Vec::new();
--- a/crates/lemontide-platform/src/codec.rs
+++ b/crates/lemontide-platform/src/codec.rs
@@ -145,7 +145,7 @@
     },
     /// The streamer has read a release.
     Acknowledged,
-    /// Asks the receiver for a `TestResult` with the same session number.
+    /// Requests a `TestResult` with the same session number from the receiver.
     Test,
     TestResult {
         passed: bool,
@@ -153,7 +153,7 @@
     SessionReport(SessionReport),
     /// A session report with an unknown name; it is ignored.
     UnknownReport,
-    /// The streamer asks to move the session to another one.
+    /// The streamer requests a move of the session to another one.
     Move,
     /// The session's new rung.
     Rung(usize),
--- a/crates/lemontide-platform/src/dispatcher.rs
+++ b/crates/lemontide-platform/src/dispatcher.rs
@@ -60,7 +60,7 @@
     pub rungs: usize,
     /// Time after which a dial has failed, and within which a set-up must begin to be written.
     pub dial_timeout: Span,
-    /// Maximum number of set-ups that wait or are out on one connection to a streamer.
+    /// Maximum number of waiting and unanswered set-ups on one connection to a streamer.
     pub max_set_ups_per_link: usize,
     /// Maximum number of connections to all streamers together.
     pub max_connections: usize,
@@ -133,7 +133,7 @@
     QueueFull,
     /// The list has another address for the streamer.
     AddressChanged,
-    /// The streamer is gone from the list, and nothing of it is left here.
+    /// The streamer was removed from the list, and no state of it is left here.
     StreamerGone,
     /// Another connection needs its descriptor.
     MakesRoom,
@@ -242,7 +242,7 @@
         !self.previous_streamers.contains(streamer)
     }
 
-    /// Whether a streamer may know this session.
+    /// Whether a streamer may have state of this session.
     fn has_begun(&self) -> bool {
         let is_out = self.attempt.as_ref().is_some_and(|attempt| attempt.permit.has_begun());
         is_out || self.begun_at.is_some() || self.playing_since.is_some()
@@ -252,7 +252,7 @@
 struct KnownStreamer {
     entry: ListEntry,
     link_ids: Vec<u64>,
-    /// Since when no connection to it comes up.
+    /// Since when no connection to it could be established.
     unreachable_since: Option<Point>,
 }
 
@@ -260,7 +260,7 @@
 struct StreamerLink {
     streamer: Arc<str>,
     link: Link<OutboundMessage>,
-    /// Set-ups that wait on it or are out on it.
+    /// Set-ups that wait to be written on it or are unanswered on it.
     pending_set_ups: usize,
     /// Set if a set-up got no answer on it: it is closed if nothing is received on it until then.
     suspect_until: Option<Point>,
@@ -319,7 +319,7 @@
     last_message_at: Point,
     /// Number of messages read on it.
     messages_read: u64,
-    /// It was asked to close if it is idle, and nothing was read on it since.
+    /// Its task was sent a command to close it if it is idle, and nothing was read on it since.
     closes_if_idle: bool,
     /// Nothing more is read on it, and no new request of it is started; the requests on it are still answered.
     is_draining: bool,
--- a/crates/lemontide-platform/src/dispatcher/attempts.rs
+++ b/crates/lemontide-platform/src/dispatcher/attempts.rs
@@ -84,7 +84,7 @@
         AttemptOutcome::Cancelled
     }
 
-    /// Stops tracking a request or session. Its number is remembered if a streamer may know it.
+    /// Stops tracking a request or session. Its number is kept if a streamer may have state of it.
     pub(super) fn remove(&mut self, now: Point, id: u32) -> Option<TrackedSession> {
         let tracked = self.sessions.remove(&id)?;
         self.id_by_session.remove(&tracked.session);
@@ -214,7 +214,7 @@
         self.report_ended(now, id, given_up.outcome, Load::default());
     }
 
-    /// Applies what was learnt on a connection and may prove that attempts are over: those of one session, or all on
+    /// Applies evidence from a connection that may prove that attempts are over: those of one session, or all on
     /// that connection.
     pub(super) fn apply_evidence(
         &mut self,
@@ -239,7 +239,7 @@
     }
 
     /// A streamer closed a connection: it reads nothing more of it, and has given up the set-ups on it that had not
-    /// finished. A session that it had set up may play all the same, as its answer may be lost with the connection. So
+    /// finished. A session that it had set up may still play, as its answer may be lost with the connection. So
     /// the releases are sent to it again, on another connection.
     pub(super) fn on_closed_by_streamer(&mut self, now: Point, on: Connection) {
         for tracked in self.sessions.values_mut() {
--- a/crates/lemontide-platform/src/dispatcher/connections.rs
+++ b/crates/lemontide-platform/src/dispatcher/connections.rs
@@ -137,8 +137,8 @@
     }
 
     /// Begins to await the streamer's close of this connection if that is worth a descriptor, and returns whether it is
-    /// awaited. It is if an attempt may be out on the connection or, where the streamer was active lately (`is_alive`),
-    /// if a session plays there, whose release may be on its way.
+    /// awaited. It is if an attempt may be unanswered on the connection or, where the streamer was active lately
+    /// (`is_alive`), if a session plays there, whose release may have been sent.
     fn await_close_if_useful(&mut self, on: Connection, is_alive: bool) -> bool {
         let Some(streamer_link) = self.links.get(&on.link).filter(|streamer_link| streamer_link.link.is_up())
         else {
@@ -283,7 +283,7 @@
         });
         let is_first = tracked.is_first_attempt_at(&streamer);
         if let Body::Release { cause, .. } = &message.body {
-            // `playing_ms` shows how soon the release came for a session that its viewer ended at once.
+            // `playing_ms` shows how soon the release arrived for a session that its viewer ended at once.
             let playing_ms = tracked.playing_since.map(|since| ((now - since).seconds() * 1e6).round() / 1e3);
             tracing::debug!(
                 target: "streamers", session = format!("{:016x}", message.session), streamer = &*streamer, cause, plays, playing_ms
@@ -301,7 +301,7 @@
                     cause::ERROR => AttemptOutcome::Errored,
                     cause::NOT_SENT => AttemptOutcome::NotSent,
                     cause::FAILED => AttemptOutcome::ConnectionLost,
-                    // It may have run, and the process that reports it works: this outcome says nothing about the
+                    // It may have run, and the process that reports it works: this outcome is no evidence about the
                     // health of the streamer.
                     _ => AttemptOutcome::Unknown,
                 };
@@ -316,8 +316,8 @@
                     _ => AttemptOutcome::ConnectionLost,
                 };
                 if !is_first {
-                    // It may concern what an earlier attempt had set up there, and the session that plays must not go
-                    // on.
+                    // It may concern what an earlier attempt had set up there, and the session that plays must not
+                    // continue.
                     self.release_at_streamer(now, &streamer, message.session);
                 }
                 self.end_session(now, id, ending, load);
@@ -341,8 +341,8 @@
 
     /// Checks all links: dials, tests and closes connections as needed. `gap` is the time since the last check.
     pub(super) fn check_links(&mut self, now: Point, gap: Span) {
-        // A streamer needs a link if a session plays or an attempt is out there. New attempts and releases dial by
-        // themselves.
+        // A streamer needs a link if a session plays or an attempt is unanswered there. New attempts and releases dial
+        // by themselves.
         let is_out = |tracked: &TrackedSession| {
             tracked.attempt.as_ref().is_some_and(|attempt| attempt.given_up.is_none())
         };
--- a/crates/lemontide-platform/src/dispatcher/list.rs
+++ b/crates/lemontide-platform/src/dispatcher/list.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Removes a streamer that is gone, once no session plays and no attempt is out there.
+    /// Removes a streamer that is gone, once no session plays and no attempt is unanswered there.
     pub(super) fn remove_if_gone(&mut self, now: Point, streamer: &str) {
         let Some(known) =
             self.streamers.get(streamer).filter(|known| known.entry.streamer_state() == StreamerState::Gone)
--- a/crates/lemontide-platform/src/dispatcher/unanswered.rs
+++ b/crates/lemontide-platform/src/dispatcher/unanswered.rs
@@ -18,7 +18,7 @@
 
 impl Dispatcher {
     /// Nothing more is read on a client's connection. The open requests on it are answered without another attempt. If
-    /// the client may still wait for the answer, an attempt that is out may end by itself.
+    /// the client may still wait for the answer, an unanswered attempt may end by itself.
     pub fn on_input_end(&mut self, now: Point, connection_id: u64, why: InputEnd) {
         let Some(viewer_connection) = self.viewer_connections.get_mut(&connection_id) else { return };
         viewer_connection.is_draining = true;
--- a/crates/lemontide-platform/src/dispatcher/viewers.rs
+++ b/crates/lemontide-platform/src/dispatcher/viewers.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 /// Maximum number of requests on one viewer connection that are owed an answer. Guards against hundreds at a time on
-/// one: an ordinary connection carries a few, and about forty while every streamer stands still.
+/// one: an ordinary connection carries a few, and about forty while no streamer responds.
 const MAX_UNANSWERED_PER_CONNECTION: usize = 64;
 /// Number of rejected session numbers that are remembered on each viewer connection. Guards against clients that send a
 /// set-up again as soon as it is rejected: the platform gives every set-up a new number.
@@ -52,8 +52,8 @@
             .map(|(connection_id, _)| *connection_id)
     }
 
-    /// Asks the idle connection to close, one connection at a time. A message that is read on it meanwhile is handled,
-    /// and keeps it open.
+    /// Sends the idle connection a command to close, one connection at a time. A message that is read on it meanwhile
+    /// is handled, and keeps it open.
     pub fn close_idle_connection(&mut self) {
         if self.viewer_connections.values().any(|connection| connection.closes_if_idle) {
             return;
@@ -248,7 +248,7 @@
     }
 
     /// Refuses a set-up that can't be accepted. If its session number belongs to a tracked request on the same
-    /// connection, the client could not tell the answers apart, so the connection is closed.
+    /// connection, the client could not distinguish the answers, so the connection is closed.
     pub(super) fn refuse(&mut self, now: Point, reply: PendingReply) {
         let (connection_id, session) = (reply.conn(), reply.session());
         let other = self.id_by_session.get(&session).and_then(|id| self.sessions.get(id));
@@ -364,7 +364,7 @@
     /// Handles a new request.
     fn handle_request(&mut self, now: Point, reply: PendingReply, set_up: SetUp, read: (Point, Span)) {
         let (connection_id, session) = (reply.conn(), reply.session());
-        // An attempt under the same number may still run, and messages about the two could not be told apart.
+        // An attempt under the same number may still run, and messages about the two could not be distinguished.
         if self.why_unusable((connection_id, session), &set_up).is_some()
             || self.id_by_session.contains_key(&session)
             || self.is_in_doubt(session)
--- a/crates/lemontide-platform/src/reader.rs
+++ b/crates/lemontide-platform/src/reader.rs
@@ -51,7 +51,7 @@
                 }
                 Ok(None) => {}
                 Err(e) => {
-                    // Invalid data is found by this end; any other error comes from the other one.
+                    // Invalid data is found by this end; any other error is caused by the peer.
                     self.is_closed_by_peer = e.kind() != io::ErrorKind::InvalidData;
                     return Err(e);
                 }
--- a/crates/lemontide-platform/src/replies.rs
+++ b/crates/lemontide-platform/src/replies.rs
@@ -1,6 +1,6 @@
 //! The final answers that clients are owed. A request that is read from a client's connection becomes a `PendingReply`
 //! in the same step. It passes from the connection to the dispatcher and back with the answer, and ends in one of two
-//! ways: the answer is written to a live connection, or the client is proven gone. `Replies` knows all open requests,
+//! ways: the answer is written to a live connection, or the client is proven gone. `Replies` tracks all open requests,
 //! so that no connection is closed and no process ends before they are settled. A reply that is dropped on its way is
 //! logged and recovered, and so is a request that is not answered by its deadline.
 
@@ -22,7 +22,7 @@
     /// It reads nothing of what is written to it.
     NotReading,
     /// It used the session number of an open request again on the same connection, which is closed: the client could
-    /// not tell the two answers apart.
+    /// not distinguish the two answers.
     NumberReused,
 }
 
@@ -78,7 +78,7 @@
     replies: Replies,
 }
 
-/// Whether a client's message asks for an answer.
+/// Whether a client's message requires an answer.
 fn is_request(body: &Body) -> bool {
     match body {
         Body::SetUp(set_up) => set_up.plays_at().is_none(),
@@ -203,7 +203,7 @@
         self.settle();
     }
 
-    /// The client is gone or does not want the answer any more.
+    /// The client has disconnected or cancelled the request.
     pub fn client_gone(self, why: Departure) {
         let (connection_id, session) = (self.conn(), self.session());
         tracing::debug!(target: "reply", session = format!("{session:016x}"), conn = connection_id, ?why, "request is owed no answer");
--- a/crates/lemontide-platform/src/serve.rs
+++ b/crates/lemontide-platform/src/serve.rs
@@ -38,14 +38,14 @@
 /// and the logs.
 const RESERVED_DESCRIPTORS: usize = 24;
 /// How many viewers' connections can be closed and still read for a moment: this number, which is part of the
-/// reserved descriptors, or the part of all descriptors below where that is more. With too few, a crowd of silent
-/// clients is closed only a few at a time, and clients with requests wait behind it.
+/// reserved descriptors, or the part of all descriptors below where that is more. With too few, a large number of
+/// silent clients is closed only a few at a time, and clients with requests wait behind it.
 const MIN_CLOSING_CONNECTIONS: usize = 8;
 /// One in so many of all descriptors.
 const CLOSING_DESCRIPTORS_DIVISOR: usize = 16;
 /// Maximum number of sessions and open requests. Guards against memory filled by clients that only send requests.
 const MAX_SESSIONS: usize = 4096;
-/// Seconds after which streamers close an idle connection, if the settings don't say.
+/// Seconds after which streamers close an idle connection, if the settings don't contain it.
 const DEFAULT_IDLE_TIMEOUT_S: f64 = 15.0;
 /// The part of that time after which this end closes an idle connection.
 const OWN_IDLE_TIMEOUT_PART: f64 = 0.8;
@@ -373,9 +373,9 @@
         }
         dispatcher.set_read_delay(stall.unwrap_or(Span::ZERO));
         let mut is_passed_on = false;
-        // Each source has its share of every turn, so that a flood from one delays none of the others. Viewers come
-        // first, as a viewer that leaves ends a request that would else be sent on. The timer comes last, as
-        // something that it would find overdue may have been received.
+        // Each source has its share of every turn, so that a flood from one delays none of the others. Viewers are
+        // served first, as a viewer that leaves ends a request that would otherwise be sent on. The timer is served
+        // last, as something that it would find overdue may have been received.
         for _ in 0..MAX_REPORTS_PER_TURN {
             // Requests beyond those that can wait for a decision stay in their own connections.
             let has_room = dispatcher.undecided_count() < MAX_REPORTS_PER_TURN;
--- a/crates/lemontide-platform/src/viewers.rs
+++ b/crates/lemontide-platform/src/viewers.rs
@@ -39,7 +39,7 @@
     Received(Box<ReceivedMessage>),
     /// Nothing more is read; answers that are owed can still be written.
     InputEnded { connection_id: u64, reason: InputEnd },
-    /// The connection has ended. With the messages that were not written, and the reason why its client has gone, which
+    /// The connection has ended. With the messages that were not written, and the reason why its client left, which
     /// counts if an answer was still owed.
     Closed { connection_id: u64, departure: Departure, unwritten: Vec<Outgoing> },
     /// Messages that were written on a connection that has ended, and not read by its client.
@@ -68,10 +68,10 @@
     Drain,
 }
 
-/// How a connection came to its end.
+/// How a connection ended.
 #[derive(Clone, Copy)]
 enum ConnectionEnd {
-    /// The client has gone, or can't be reached.
+    /// The client has disconnected, or can't be reached.
     ByClient { is_reset: bool, departure: Departure },
     /// Nothing more is read on it.
     Input(InputEnd),
@@ -147,8 +147,9 @@
     }
 
     /// Writes the answers that are owed on a connection on which nothing more is read, until none is owed or the client
-    /// has provably gone. If the client has closed the connection, it is unknown whether it closed only its own half. A
-    /// progress message is written for that: if both halves were closed, the client's host answers it with a reset.
+    /// has provably disconnected. If the client has closed the connection, it is unknown whether it closed only its own
+    /// half. A progress message is written for that: if both halves were closed, the client's host answers it with a
+    /// reset.
     async fn drain(&mut self, reason: InputEnd, control: &ReaderControl) -> ConnectionEnd {
         if reason == InputEnd::HalfClosed {
             self.outbox.set_half_closed();
--- a/crates/lemontide-platform/tests/crossings.rs
+++ b/crates/lemontide-platform/tests/crossings.rs
@@ -20,7 +20,7 @@
     .collect()
 }
 
-/// Brings up connections to all streamers, which from now on take nothing: what is sent waits in a batch on each.
+/// Brings up connections to all streamers, which from now on read nothing: what is sent waits in a batch on each.
 fn with_slow_connections(harness: &mut Harness) {
     for at in 0..STREAMERS {
         for _ in 0..40 {
@@ -185,7 +185,7 @@
 }
 
 /// A silent streamer gets no second attempt, its request gets none elsewhere, and the request is answered once by its
-/// deadline. A later set-up with the same session number is refused while the attempt may be out.
+/// deadline. A later set-up with the same session number is refused while the attempt may be open.
 #[test]
 fn a_silent_streamer_ends_a_request_without_another_attempt() {
     let mut harness = Harness::new();
@@ -394,8 +394,8 @@
     assert_ne!(harness.close_if_idle[0].0, busy);
 }
 
-/// A world with one streamer, at which a request's first attempt got no answer and its second one is out: the session,
-/// and the link of the second attempt.
+/// A harness with one streamer, at which a request's first attempt got no answer and its second one is open: the
+/// session, and the link of the second attempt.
 fn with_a_second_attempt_at_the_same_streamer(class: &str) -> (Harness, u64, u64) {
     let mut harness = Harness::new();
     let others = (1..STREAMERS).map(|at| list_entry(at, "terminating")).collect();
--- a/crates/lemontide-platform/tests/dispatcher.rs
+++ b/crates/lemontide-platform/tests/dispatcher.rs
@@ -366,7 +366,7 @@
     assert_eq!(harness.drained, [VIEWERS]);
 }
 
-/// Hundreds of requests at a time on one connection looked like a crowd of their tenant.
+/// Hundreds of requests at a time on one connection appeared as a sudden rise in the load of their tenant.
 #[test]
 fn a_connection_with_too_many_open_requests_gets_no_more_and_others_do() {
     let mut harness = Harness::new();
@@ -608,7 +608,7 @@
 }
 
 /// A moved deployment may have live titles, whose viewers share a stream, and a list on request, whose changes the
-/// journal service sends all the same.
+/// journal service sends nevertheless.
 #[test]
 fn viewers_of_a_live_title_share_one_streamer_and_a_list_on_request_is_followed() {
     let mut harness = with(&[
--- a/crates/lemontide-platform/tests/replies.rs
+++ b/crates/lemontide-platform/tests/replies.rs
@@ -81,7 +81,7 @@
         harness.dispatcher.on_input_end(harness.now, VIEWERS, why);
         harness.perform_effects();
         match why {
-            // The client may still wait for the attempt that is out.
+            // The client may still wait for the open attempt.
             InputEnd::HalfClosed => harness.streamer_releases(session, cause::NOT_SENT),
             InputEnd::Unusable => assert_eq!(harness.release_count(session), 1, "it is given up"),
         }
--- a/crates/lemontide-standin/src/soak/event_log.rs
+++ b/crates/lemontide-standin/src/soak/event_log.rs
@@ -154,7 +154,7 @@
     pub node: usize,
     pub from: f64,
     pub until: f64,
-    /// Only connections that were open fell silent; new ones work at once.
+    /// Only connections that were open became silent; new ones work at once.
     pub open_connections_only: bool,
 }
 
@@ -164,7 +164,7 @@
     pub node: usize,
     pub input: &'static str,
     pub connected_at: f64,
-    /// When a refusal, an error or a close came.
+    /// When a refusal, an error or a close arrived.
     pub responded_at: Option<f64>,
     pub was_served: bool,
     /// No response is required, as its node stopped meanwhile or the input could not be written.
@@ -181,7 +181,7 @@
 }
 
 impl ColdBudget {
-    /// The budget with a margin for random variation; a server that gets more breaks down.
+    /// The budget with a margin for random variation; a server that gets more is overloaded.
     pub fn max_set_ups(&self) -> f64 {
         self.set_ups_per_window + 2.0 * self.set_ups_per_window.sqrt() + 2.0
     }
@@ -230,7 +230,7 @@
         self.node_events.iter().rev().find(matches).map(|(at, ..)| *at)
     }
 
-    /// Whether a node was told to stop, was killed or exited after a moment.
+    /// Whether a node received SIGTERM, was killed or exited after a moment.
     pub fn stopped_after(&self, node: usize, after: f64) -> bool {
         let stops =
             |event| matches!(event, NodeEvent::Kill | NodeEvent::Terminate | NodeEvent::Exited { .. });
--- a/crates/lemontide-standin/src/soak/invariants.rs
+++ b/crates/lemontide-standin/src/soak/invariants.rs
@@ -9,13 +9,13 @@
 
 /// Tolerance that is added to every time limit.
 const TIMING_SLACK_S: f64 = 0.05;
-/// An answer that comes later than this after the client's timeout counts as missing.
+/// An answer that arrives later than this after the client's timeout counts as missing.
 const MAX_ANSWER_DELAY_S: f64 = 0.5;
 /// A node may still send set-ups to a server for this long after it was informed that the server drains or is gone.
 const DRAIN_GRACE_S: f64 = 0.25;
 /// A node counts as informed of a list change this long after its discovery service is reachable again.
 const INFORMED_AFTER_OUTAGE_S: f64 = 6.0;
-/// A node counts as informed this long after its open connections to discovery fell silent.
+/// A node counts as informed this long after its open connections to discovery became silent.
 const INFORMED_AFTER_SILENCE_S: f64 = 4.0;
 /// A node counts as informed this long after it was given a new configuration.
 const INFORMED_AFTER_RECONFIGURATION_S: f64 = 4.0;
@@ -51,7 +51,7 @@
 
 impl Invariant {
     /// Whether late stubs and clients alone can cause an apparent violation. The other invariants are checked by the
-    /// order in which a single process saw events.
+    /// order in which a single process observed events.
     pub fn depends_on_timing(self) -> bool {
         matches!(
             self,
--- a/crates/lemontide-standin/src/soak/plan.rs
+++ b/crates/lemontide-standin/src/soak/plan.rs
@@ -34,7 +34,8 @@
 pub enum Fault {
     /// A server changes its mode.
     Server { server: usize, mode: Mode },
-    /// A server drains, then dies and is gone, then comes back as a new process. Delays are in seconds.
+    /// A server drains, then its process ends and it is listed as gone, then a new process replaces it. Delays are in
+    /// seconds.
     Replace { server: usize, gone_after: f64, back_after: f64 },
     /// A node gets SIGTERM, then SIGKILL at the earliest moment that is allowed, and is started again.
     Restart { node: usize },
@@ -79,7 +80,7 @@
     pub client_half_closes: f64,
     pub client_resets: f64,
     pub client_sends_garbage: f64,
-    /// Of a session: its viewer ends it right when the answer comes, at a poll of a fixed clock.
+    /// Of a session: its viewer ends it right when the answer arrives, at a poll of a fixed clock.
     pub ended_when_answered: f64,
 }
 
--- a/crates/lemontide-standin/src/soak/stub_server.rs
+++ b/crates/lemontide-standin/src/soak/stub_server.rs
@@ -1,5 +1,5 @@
 //! A stub streamer server with a simulated network in front of it: delays, silence, resets, closes, and all kinds of
-//! answers. It logs when the bytes of each attempt came, when the attempt arrived, and when it ended.
+//! answers. It logs when the bytes of each attempt were received, when the attempt arrived, and when it ended.
 
 mod connection;
 
@@ -161,7 +161,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the mode. A server that dies loses its sessions and connections.
+    /// Changes the mode. A server whose process ends loses its sessions and connections.
     pub fn set_mode(&self, mode: Mode) {
         let now = self.recorder.now();
         let mut state = self.state();
--- a/crates/lemontide-standin/src/soak/stub_server/connection.rs
+++ b/crates/lemontide-standin/src/soak/stub_server/connection.rs
@@ -1,5 +1,5 @@
 //! The connections of a stub server and the simulated network in front of them: incoming messages are delayed or held
-//! back, outgoing ones are written late or in fragments, and each connection ends as its seed says.
+//! back, outgoing ones are written late or in fragments, and each connection ends as its seed determines.
 
 use super::*;
 use bytes::BytesMut;
@@ -50,7 +50,7 @@
     None
 }
 
-/// Runs one connection until either end closes it, or the process dies.
+/// Runs one connection until either end closes it, or the process ends.
 async fn serve(server: Arc<StubServer>, node: usize, socket: TcpStream) {
     let _ = socket.set_nodelay(true);
     let probabilities = &server.plan.probabilities;
