--- a/crates/lemontide-platform/src/serve.rs
+++ b/crates/lemontide-platform/src/serve.rs
@@ -38,14 +38,14 @@
 /// and the logs.
 const RESERVED_DESCRIPTORS: usize = 24;
 /// How many viewers' connections can be closed and still read for a moment: this number, which is part of the
-/// reserved descriptors, or the part of all descriptors below where that is more. With too few, a crowd of silent
-/// clients is closed only a few at a time, and clients with requests wait behind it.
+/// reserved descriptors, or the part of all descriptors below where that is more. With too few, a large number of
+/// silent clients is closed only a few at a time, and clients with requests wait behind it.
 const MIN_CLOSING_CONNECTIONS: usize = 8;
 /// One in so many of all descriptors.
 const CLOSING_DESCRIPTORS_DIVISOR: usize = 16;
 /// Maximum number of sessions and open requests. Guards against memory filled by clients that only send requests.
 const MAX_SESSIONS: usize = 4096;
-/// Seconds after which streamers close an idle connection, if the settings don't say.
+/// Seconds after which streamers close an idle connection, if the settings don't contain it.
 const DEFAULT_IDLE_TIMEOUT_S: f64 = 15.0;
 /// The part of that time after which this end closes an idle connection.
 const OWN_IDLE_TIMEOUT_PART: f64 = 0.8;
@@ -138,9 +138,9 @@
         while !dispatcher.effects.is_empty() {
             for effect in std::mem::take(&mut dispatcher.effects) {
                 match effect {
-                    Effect::SendToViewer { conn, message, ends_session: stood, reply, steps } => {
-                        let outgoing = Box::new(Outgoing { message, ends_session: stood, reply, steps });
-                        let (is_full, unsent) = match self.viewers.get(&conn) {
+                    Effect::SendToViewer { conn: connection_id, message, ends_session, reply, steps } => {
+                        let outgoing = Box::new(Outgoing { message, ends_session, reply, steps });
+                        let (is_full, unsent) = match self.viewers.get(&connection_id) {
                             None => (false, outgoing),
                             Some(commands) => match commands.try_send(Command::Send(outgoing)) {
                                 Ok(()) => {
@@ -156,21 +156,21 @@
                         };
                         if is_full {
                             // The client does not read its messages.
-                            self.viewers.remove(&conn);
+                            self.viewers.remove(&connection_id);
                         }
                         let departure = if is_full { Departure::NotReading } else { Departure::Closed };
-                        dispatcher.on_viewer_gone(now, conn, departure);
+                        dispatcher.on_viewer_gone(now, connection_id, departure);
                         dispatcher.on_unsent(now, vec![*unsent]);
                     }
-                    Effect::CloseIfIdle { conn, messages_read: heard } => {
+                    Effect::CloseIfIdle { conn: connection_id, messages_read } => {
                         // If the channel is full, the client does not read: the connection is not idle, and ends by
                         // itself.
-                        if let Some(commands) = self.viewers.get(&conn) {
-                            let _ = commands.try_send(Command::CloseIdle { received: heard });
+                        if let Some(commands) = self.viewers.get(&connection_id) {
+                            let _ = commands.try_send(Command::CloseIdle { received: messages_read });
                         }
                     }
-                    Effect::Drain { conn } => {
-                        if let Some(commands) = self.viewers.get(&conn) {
+                    Effect::Drain { conn: connection_id } => {
+                        if let Some(commands) = self.viewers.get(&connection_id) {
                             let _ = commands.try_send(Command::Drain);
                         }
                     }
@@ -202,7 +202,7 @@
 
     fn handle_viewer_report(&mut self, now: Point, dispatcher: &mut Dispatcher, report: viewers::Report) {
         match report {
-            viewers::Report::Received(heard) => dispatcher.on_viewer_message(now, *heard),
+            viewers::Report::Received(message) => dispatcher.on_viewer_message(now, *message),
             viewers::Report::InputEnded { connection_id, reason } => {
                 dispatcher.on_input_end(now, connection_id, reason)
             }
@@ -373,9 +373,9 @@
         }
         dispatcher.set_read_delay(stall.unwrap_or(Span::ZERO));
         let mut is_passed_on = false;
-        // Each source has its share of every turn, so that a flood from one delays none of the others. Viewers come
-        // first, as a viewer that leaves ends a request that would else be sent on. The timer comes last, as
-        // something that it would find overdue may have been received.
+        // Each source has its share of every turn, so that a flood from one delays none of the others. Viewers are
+        // served first, as a viewer that leaves ends a request that would otherwise be sent on. The timer is served
+        // last, as something that it would find overdue may have been received.
         for _ in 0..MAX_REPORTS_PER_TURN {
             // Requests beyond those that can wait for a decision stay in their own connections.
             let has_room = dispatcher.undecided_count() < MAX_REPORTS_PER_TURN;
