--- a/src/control.rs
+++ b/src/control.rs
@@ -4,7 +4,8 @@
 //! request. It returns a `SessionHandle`; every later event of that session is a call on its handle. Each call
 //! leaves what the caller has to do in `actions`: do it, clear it, and call `tick` at `next_tick`.
 //! The types of these calls are in `interface.rs`, time in `clock.rs`, the random generator in `random.rs`.
-//! A session is placed in `Controller::place_session`, at the holder with the smallest phi = 1 / ((x + 1) * a).
+//! A session is placed in `Controller::place_session`, at the holder with the smallest phi = 1 / ((x + 1) * a): x is
+//! `sharing_viewers`, a is `capacity`.
 
 mod capacity;
 mod policy;
@@ -80,7 +81,8 @@
 const TENANT_COUNT_DECAY_S: f64 = 16.0;
 /// Number of requests or sessions from which little can be concluded; damps estimates from few of them.
 const PRIOR_COUNT: f64 = 8.0;
-/// Part of the time allowed by the rules in which a list is requested, and requested again after a failure.
+/// Part of the time allowed by the rules within which a list is requested. After one failure it is requested again within
+/// twice this part, after more within four times.
 const LIST_REQUEST_TIME_RATIO: f64 = 0.25;
 /// Time between two calls of `Controller::tick`.
 const TICK_INTERVAL: Span = Span::of_millis(250);
@@ -188,7 +190,8 @@
         controller
     }
 
-    /// Schedules the next request for the list at a random moment, well within the time that the rules allow.
+    /// Schedules the next request for the list at a random moment within the time that the rules allow: within a part
+    /// of it at first, later after failures.
     /// Hundreds of controllers request it from one service: if all did so at once, most calls would fail, and
     /// controllers with old lists would send set-ups to draining streamers.
     fn schedule_list_request(&mut self, now: Point, spread: f64) {
@@ -414,8 +417,9 @@
         });
     }
 
-    /// The title's preferred holder as long as no other is clearly better, else the holder with the smallest phi
-    /// that has capacity at this rung.
+    /// The holder for a session at this rung, among those with capacity for it: the title's preferred holder, unless
+    /// its load was reported since it was chosen and another is clearly better now; else the one with the smallest
+    /// phi.
     fn best_holder(&mut self, now: Point, slot: usize, rung: usize) -> Option<usize> {
         let title = self.sessions[slot].title;
         let preferred = self.titles[title].preferred_holder;
@@ -427,7 +431,7 @@
                 if !self.is_eligible(now, slot, holder, careful) {
                     continue;
                 }
-                let a = self.capacity(now, slot, holder, rung);
+                let capacity = self.capacity(now, slot, holder, rung);
                 // What other controllers sent there since the last report is not known: it takes a random part
                 // of the capacity, larger with the report's age. Otherwise hundreds of controllers with the
                 // same reports, or none, rank the same holder first.
@@ -440,12 +444,12 @@
                 let zone_weight = if self.streamers[holder].is_near { 1.0 } else { CROSS_ZONE_WEIGHT };
                 let order_weight = if self.streamers[holder].is_deferred { DEFERRED_WEIGHT } else { 1.0 };
                 let weight = zone_weight * order_weight;
-                let x = self.sharing_viewers(slot, holder, rung);
-                let phi = 1.0 / ((x + 1.0) * a * (1.0 - taken_by_others) * weight);
-                if a >= 1.0 && preferred.is_some_and(|(preferred, _)| preferred == holder) {
+                let sharing = self.sharing_viewers(slot, holder, rung);
+                let phi = 1.0 / ((sharing + 1.0) * capacity * (1.0 - taken_by_others) * weight);
+                if capacity >= 1.0 && preferred.is_some_and(|(preferred, _)| preferred == holder) {
                     preferred_phi = Some(phi);
                 }
-                if a >= 1.0 && best.is_none_or(|(least, _)| phi < least) {
+                if capacity >= 1.0 && best.is_none_or(|(least, _)| phi < least) {
                     best = Some((phi, holder));
                 }
             }
@@ -491,8 +495,8 @@
     }
 
     /// Estimates the utilization of the fleet, which it returns, and its price: the gain per kB that a step to a higher
-    /// rung must earn. The own sessions are upgraded by calculation, best steps first, up to the rate that the fleet
-    /// leaves them; the price is that of the first step beyond it, or 0 where all steps are within it.
+    /// rung must earn. It calculates, without changing rungs, which upgrades of the own sessions fit, best steps
+    /// first, into the rate that the fleet leaves them; the price is that of the first step beyond it, or 0 where all steps are within it.
     fn estimate_fleet(&mut self, now: Point) -> f64 {
         let own_kb: f64 = self.streamers.iter().map(|(_, s)| s.own_rate_kb).sum();
         let lifetime = self.policy.report_lifetime();
@@ -533,8 +537,8 @@
             * (TICK_INTERVAL.seconds() / report_age.seconds().max(1e-9)).min(1.0);
         let session_count = self.sessions.len() as f64;
         let others_share = 1.0 - 1.0 / self.policy.controller_count();
-        // A controller that started recently is catching up: until it has most of its even share, growth is its
-        // own only. Otherwise it takes the whole fleet to grow.
+        // A controller that started recently is catching up: until it has most of its even share, growth counts
+        // as its own. Otherwise it would assume that the whole fleet grows.
         let catch_up_kb =
             trust * link_sum / weight_sum * links_kb / self.policy.controller_count() * CATCH_UP_RATIO;
         let started_recently = now - self.policy.started_at < get_span(&self.policy.settings, "cold.span");
@@ -635,8 +639,8 @@
         );
     }
 
-    /// Downgrades sessions at an overloaded streamer. Own sessions shrink by the share that all controllers have
-    /// to, cheapest steps first; a step larger than what is still missing is taken with a probability in
+    /// Downgrades sessions at an overloaded streamer. Each controller reduces its own rate there by the same
+    /// share, steps with the least gain per kB first; a step larger than what is still missing is taken with a probability in
     /// proportion, so that all controllers together free what is missing. Otherwise hundreds of controllers take
     /// a whole step each for one small need.
     fn downgrade_sessions(
--- a/src/control/capacity.rs
+++ b/src/control/capacity.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 impl Controller {
-    /// a(i) = min(k, n): free streams k, and spare rate of link and uplink in sessions at this rung, n.
+    /// How many more sessions at this rung the streamer can take, `a` in phi: the smaller of its free streams and of
+    /// the spare rate of its link and uplink, counted in sessions. A session that joins a stream needs no free one.
     pub(super) fn capacity(&self, now: Point, slot: usize, streamer_index: usize, rung: usize) -> f64 {
         let session = &self.sessions[slot];
         let streamer = &self.streamers[streamer_index];
@@ -14,13 +15,13 @@
             .streams
             .filter(|_| (now - streamer.streams_reported_at).seconds() < REPORT_STALE_S / 2.0);
         let (kb, count) = self.added_load(slot, streamer_index, rung);
-        let k = streamer.max_streams - reported.map_or(own, |reported| reported.max(own));
-        let k = if count > 0.0 { k } else { f64::INFINITY };
+        let free_streams = streamer.max_streams - reported.map_or(own, |reported| reported.max(own));
+        let free_streams = if count > 0.0 { free_streams } else { f64::INFINITY };
         let max_utilization = if rung == session.min_rung { MAX_UTILIZATION } else { TARGET_UTILIZATION };
-        k.min(self.spare_rate(now, streamer_index, max_utilization) / kb)
+        free_streams.min(self.spare_rate(now, streamer_index, max_utilization) / kb)
     }
 
-    /// x: own viewers that share a live stream at this streamer and rung.
+    /// Number of own viewers, `x` in phi, that share a live stream at this streamer and rung.
     pub(super) fn sharing_viewers(&self, slot: usize, streamer_index: usize, rung: usize) -> f64 {
         let session = &self.sessions[slot];
         let is_there = |s: &Session| s.streamer == streamer_index && s.is_placed() && s.rung == rung;
@@ -70,7 +71,8 @@
     }
 
     /// Utilization of a link: the last reported one with own changes since. A link without any report, or with
-    /// an old one only, counts as the mean of the fleet: otherwise it looks empty and attracts all sessions.
+    /// an old one only, counts as the mean of the fleet: otherwise it would seem empty and attract all
+    /// sessions.
     pub(super) fn link_utilization(&self, now: Point, streamer_index: usize) -> f64 {
         let link = &self.streamers[streamer_index].link;
         let is_valid = |reported_at: &Point| {
--- a/src/control/streamer.rs
+++ b/src/control/streamer.rs
@@ -58,10 +58,12 @@
         let (spare_sends, round) =
             ((budget - sharing * own_sends).floor(), turn.div_euclid(turns_in_round) as f64);
         let part_of_spare =
-            |n: f64| ((spare_sends + (n + round).rem_euclid(sharing)) / sharing).floor().max(0.0);
-        let missing = policy.covered_turns.missing_controllers.iter().map(|n| f64::from(*n));
-        let covered_sends: f64 =
-            missing.filter(|n| now <= policy.covered_turns.until && has_turn(*n)).map(part_of_spare).sum();
+            |number: f64| ((spare_sends + (number + round).rem_euclid(sharing)) / sharing).floor().max(0.0);
+        let missing = policy.covered_turns.missing_controllers.iter().map(|number| f64::from(*number));
+        let covered_sends: f64 = missing
+            .filter(|number| now <= policy.covered_turns.until && has_turn(*number))
+            .map(part_of_spare)
+            .sum();
         let limit = if is_own_turn { own_sends + covered_sends } else { covered_sends };
         let limit = if is_cold { limit } else { (own_budget / 2.0).max(1.0) };
         f64::from(sent) + 1.0 <= limit
--- a/src/control/tenant.rs
+++ b/src/control/tenant.rs
@@ -4,7 +4,7 @@
 
 impl Tenant {
     /// The share of the tenant's requests that is within its quota, of which this controller has an even part.
-    /// Few requests count for little: otherwise, among hundreds of controllers, one request looks like a crowd.
+    /// Few requests count for little: otherwise, among hundreds of controllers, one request would count as a burst.
     pub(super) fn share_within_quota(&mut self, now: Point, is_first: bool, controllers: f64) -> f64 {
         let due = self.quota_per_s * TENANT_COUNT_DECAY_S / controllers;
         let decay = (-(now - self.counted_at).seconds() / TENANT_COUNT_DECAY_S).exp();
--- a/src/records.rs
+++ b/src/records.rs
@@ -59,7 +59,7 @@
 pub struct Tenant {
     pub name: String,
     pub quota_per_s: f64,
-    /// Count of its requests except repeated ones, which decays over `TENANT_COUNT_DECAY_S`; `None` stands for as many
+    /// Count of its requests except repeated ones, which decays over `TENANT_COUNT_DECAY_S`; `None` means as many
     /// as its quota allows.
     pub request_count: Option<f64>,
     pub counted_at: Point,
@@ -169,9 +169,11 @@
 impl Streamer {
     /// Whether it started so recently that it can't serve its full load yet.
     pub fn is_cold(&self, policy: &Policy, now: Point) -> bool {
-        // By a clock that is ahead its warm-up would end too early.
+        // Without this allowance its warm-up would end too early by a clock that is ahead.
         let max_clock_skew = get_span(&policy.settings, "clocks.apart");
-        self.started_at.is_some_and(|s| now - s < get_span(&policy.settings, "cold.span") + max_clock_skew)
+        self.started_at.is_some_and(|started_at| {
+            now - started_at < get_span(&policy.settings, "cold.span") + max_clock_skew
+        })
     }
 }
 
@@ -189,7 +191,7 @@
 
 /// One session, from its request until its final answer or the end of its stream.
 pub struct Session {
-    /// Tells it from a later session in the same slot.
+    /// Distinguishes it from a later session in the same slot.
     pub serial: u64,
     pub id: u32,
     pub class: usize,
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -31,7 +31,7 @@
     assert_eq!(controller.actions.attempts.len(), 1);
 }
 
-/// Guards against a link without any report that looks empty and attracts every request.
+/// Guards against a link without any report that counts as empty and attracts every request.
 #[test]
 fn a_link_without_any_report_counts_as_the_mean() {
     let now = Point::at(100.0);
@@ -670,13 +670,16 @@
 fn holders_follow_the_last_request_and_the_list() {
     let (mut controller, start) = single_controller(&[]);
     let now = start + seconds(WARM_UP_S);
-    let at = |controller: &mut Controller, id: u32, first_cell: usize| {
+    let streamer_for = |controller: &mut Controller, id: u32, first_cell: usize| {
         controller.actions.clear();
         controller
             .submit(now, &Request { replicas: 1, ..request(id, FREE, "t", first_cell, now + seconds(9.0)) });
         controller.actions.attempts[0].streamer.to_string()
     };
-    assert_eq!((at(&mut controller, 1, 0), at(&mut controller, 2, 5)), ("s0".to_owned(), "s5".to_owned()));
+    assert_eq!(
+        (streamer_for(&mut controller, 1, 0), streamer_for(&mut controller, 2, 5)),
+        ("s0".to_owned(), "s5".to_owned())
+    );
     controller.update_list(
         now,
         &[
@@ -685,7 +688,7 @@
         ],
         false,
     );
-    assert_eq!(at(&mut controller, 3, 5), "s3", "another streamer is in that cell now");
+    assert_eq!(streamer_for(&mut controller, 3, 5), "s3", "another streamer is in that cell now");
 }
 
 /// Guards against a reported number of streams that is valid for good: a streamer reported as full would never be used
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -370,7 +370,7 @@
                 self.check_actions(controller);
             }
             Step::FinishProbe { .. } => {}
-            Step::PassTime { seconds: s } => self.pass_time(self.now + seconds(s)),
+            Step::PassTime { seconds: duration_s } => self.pass_time(self.now + seconds(duration_s)),
         }
     }
 
