--- a/crates/lemontide-fleet/src/rendezvous.rs
+++ b/crates/lemontide-fleet/src/rendezvous.rs
@@ -2,8 +2,8 @@
 //!
 //! The hashes of one streamer over the numbers of a fleet are a van der Corput sequence, so that the first n numbers are
 //! spread evenly, and no hash changes when another instance comes or goes. Each streamer takes the numbers in an order
-//! of its own (shuffled as in B. Burley, "Practical hash-based Owen scrambling", 2020), so that the instances that fall
-//! to one streamer are independent of those that fall to its neighbour.
+//! of its own (shuffled as in B. Burley, "Practical hash-based Owen scrambling", 2020), so that the instances that
+//! use one streamer first are independent of those that use its neighbour first.
 
 /// Bits of a hash: more than the numbers of the largest fleet have.
 const HASH_BITS: u32 = 24;
@@ -61,13 +61,13 @@
             (holder.unavailable, !holder.is_local, self.score(holder))
         };
         order.sort_by(|a, b| {
-            let (a, b) = (rank(a), rank(b));
-            (a.0, a.1).cmp(&(b.0, b.1)).then(a.2.total_cmp(&b.2))
+            let (rank_a, rank_b) = (rank(a), rank(b));
+            (rank_a.0, rank_a.1).cmp(&(rank_b.0, rank_b.1)).then(rank_a.2.total_cmp(&rank_b.2))
         });
         let max = max.max(1);
         let remote = order.iter().position(|index| !holders[*index].is_local && !holders[*index].unavailable);
         if let Some(remote) = remote.filter(|remote| max > 1 && *remote >= max) {
-            // The loss of the own zone takes all local holders with it.
+            // One holder of another zone replaces the last one: if the own zone is lost, all local holders are lost.
             let index = order.remove(remote);
             order.insert(max - 1, index);
         }
--- a/crates/lemontide-fleet/src/subset.rs
+++ b/crates/lemontide-fleet/src/subset.rs
@@ -1,8 +1,8 @@
 //! The subset of streamers that an instance uses first, selected by rendezvous hashing: as wide as its own traffic needs,
 //! wider at once where holders are unavailable, and narrower only slowly.
 //!
-//! The subset is a preference among nearly equal holders. A holder that can't be used by its own figures is skipped by
-//! the caller, whether it is in the subset or not.
+//! The subset is a preference among nearly equal holders. A holder that the caller's figures about it rule out is
+//! skipped by the caller, whether it is in the subset or not.
 
 use crate::rendezvous::{Holder, RendezvousHash};
 use lemontide::clock::{Point, Span};
--- a/crates/lemontide-fleet/src/view.rs
+++ b/crates/lemontide-fleet/src/view.rs
@@ -1,5 +1,5 @@
-//! One instance's view of the fleet: who is present, how certain that is and how old. The same type serves for settings
-//! alone, for membership from gossip, and for tests.
+//! One instance's view of the fleet: which instances are present, how certain that is and how old. The same type serves
+//! for settings alone, for membership from gossip, and for tests.
 
 use lemontide::clock::{Point, Span};
 use std::collections::BTreeMap;
@@ -66,7 +66,8 @@
     refreshed_at: Point,
 }
 
-/// How many numbers before the own one are checked for absence: one instance alone does not cover a longer gap.
+/// Distance before the own number at which the check for absent instances stops, exclusive: one instance alone does not
+/// cover a longer gap.
 const MAX_GAP: u32 = 64;
 
 impl FleetView {
--- a/crates/lemontide-gossip/src/membership.rs
+++ b/crates/lemontide-gossip/src/membership.rs
@@ -17,7 +17,8 @@
 const INDIRECT_PROBE_HELPERS: usize = 3;
 /// Highest (worst) health score.
 const MAX_HEALTH_SCORE: u32 = 8;
-/// Other accusers that raise a suspicion here without an own failed probe.
+/// Other accusers that raise a suspicion here without an own failed probe, unless a message from the member arrived
+/// within the last two periods.
 const MIN_ACCUSERS: usize = 2;
 /// Confirmations that shorten a suspicion to its minimum.
 const CONFIRMATIONS_FOR_MIN_TIMEOUT: f64 = 3.0;
@@ -182,7 +183,8 @@
     /// Members to probe before those.
     priority_probes: VecDeque<String>,
     probe: Option<Probe>,
-    /// Probes on behalf of others, by own nonce: who asked, the nonce it expects, and when.
+    /// Probes on behalf of others, by own nonce: the member that asked, the nonce it expects, and when it
+    /// asked.
     relayed_probes: BTreeMap<u64, (String, u64, Point)>,
     next_probe_at: Point,
     next_sync_at: Point,
@@ -342,7 +344,8 @@
                 }
                 ProbeStage::Indirect if now >= probe.ends_at => {
                     self.probe = None;
-                    // If no other member was heard either, this instance is more likely to be cut off or slow.
+                    // If no message from any other member arrived either, this instance is more likely to be cut off
+                    // or slow.
                     if self.last_heard_any.is_none_or(|at| at < probe.started_at) {
                         self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
                     }
@@ -633,7 +636,8 @@
         if matches!(peer.status, PeerStatus::Suspect { .. } | PeerStatus::Dead { .. }) {
             peer.status = PeerStatus::Alive;
             self.changes.push(MembershipChange::Returned(from.to_owned()));
-            // Members that count it as dead must send it their accusation, so that it can refute it.
+            // Other members that suspect it or count it as dead send it their accusation with a probe or a sync (see
+            // `suspicion_about`), so that it can refute it.
         }
         peer.accusers.clear();
     }
--- a/crates/lemontide-shed/src/admission.rs
+++ b/crates/lemontide-shed/src/admission.rs
@@ -242,8 +242,8 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn at(s: f64) -> Point {
-        Point::at(1000.0 + s)
+    fn at(seconds: f64) -> Point {
+        Point::at(1000.0 + seconds)
     }
 
     fn admission(reserved_share: f64, seed: u64) -> Admission {
--- a/crates/lemontide-shed/src/admission_rate.rs
+++ b/crates/lemontide-shed/src/admission_rate.rs
@@ -17,8 +17,8 @@
 const CUT_TIME_S: f64 = 0.6;
 /// Highest relative growth per second without pressure.
 const GROWTH_PER_S: f64 = 0.5;
-/// Growth while the limit is below `FAST_GROWTH_SHARE` of the best rate seen, or while no rate was seen yet: a limit
-/// that was set while few requests arrived says little.
+/// Growth while the limit is below `FAST_GROWTH_SHARE` of the best rate seen, or while that rate is below
+/// `MIN_LIMIT_PER_S`: a limit that was set while few requests arrived says little.
 const FAST_GROWTH_PER_S: f64 = 2.0;
 const FAST_GROWTH_SHARE: f64 = 0.5;
 /// Growth is relative to the limit, or to this share of the best rate seen if that is more.
@@ -39,8 +39,8 @@
 const MIN_SHARE_OF_BEST: f64 = 0.1;
 /// The limit may exceed the estimated capacity of the CPU by this factor, as it is only an estimate.
 const CAPACITY_HEADROOM: f64 = 1.3;
-/// The capacity is estimated only from this share of the CPU allowance and this processed rate on, and while at least
-/// this share of the arriving requests is processed.
+/// The capacity is estimated only from this share of the CPU allowance and this processed rate on, while at least this
+/// share of the arriving requests is processed, and while pressure has set no limit.
 const MIN_CPU_TO_LEARN: f64 = 0.25;
 const MIN_RATE_TO_LEARN_PER_S: f64 = 20.0;
 const MIN_PROCESSED_SHARE_TO_LEARN: f64 = 0.8;
@@ -211,8 +211,8 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn at(s: f64) -> Point {
-        Point::at(1000.0 + s)
+    fn at(seconds: f64) -> Point {
+        Point::at(1000.0 + seconds)
     }
 
     /// A server with this capacity per second and a queue. Returns the admitted requests of each second.
--- a/crates/lemontide-shed/src/concurrency.rs
+++ b/crates/lemontide-shed/src/concurrency.rs
@@ -1,6 +1,6 @@
 //! Adaptive limit on the set-ups in flight to one streamer. A streamer whose answers become slower under load gets
 //! fewer; a set-up over the limit waits on the link for a moment and is then returned to the decision module as never
-//! sent. The module alone decides which streamer is tried and how fast.
+//! sent. The decision module alone decides which streamer is tried and how fast.
 
 use lemontide::clock::{Point, Span};
 
@@ -26,7 +26,7 @@
     best_time: Option<Span>,
     updated_at: Point,
     decreased_at: Point,
-    /// When the limit was last reached: only if it was recently is there reason to raise it.
+    /// When the limit was last reached; it is raised only within `REACHED_WINDOW` after that.
     reached_at: Option<Point>,
 }
 
@@ -67,7 +67,7 @@
         self.limit as usize
     }
 
-    /// A set-up ended after `time_taken`; `None` if the streamer sent it back or did not answer.
+    /// A set-up ended after `time_taken`; `None` if the streamer refused it or did not answer.
     pub fn record_answer(&mut self, now: Point, time_taken: Option<Span>) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let elapsed_s = (now - self.updated_at).seconds().max(0.0);
@@ -114,7 +114,7 @@
     /// A streamer with `slots` parallel set-ups that take `set_up_s` each, while set-ups always wait to be sent.
     /// Returns how many are in flight at the end, and the limit.
     fn settle(slots: usize, set_up_s: f64, seconds: f64) -> (usize, usize) {
-        let at = |s: f64| Point::at(1000.0 + s);
+        let at = |seconds_after_start: f64| Point::at(1000.0 + seconds_after_start);
         let mut limit = ConcurrencyLimit::new(at(0.0));
         let mut slot_free_at = vec![0.0f64; slots];
         let mut in_flight: Vec<(f64, f64)> = Vec::new();
@@ -148,7 +148,7 @@
 
     #[test]
     fn the_limit_of_a_silent_streamer_falls_in_steps_but_not_to_zero() {
-        let at = |s: f64| Point::at(1000.0 + s);
+        let at = |seconds_after_start: f64| Point::at(1000.0 + seconds_after_start);
         let mut limit = ConcurrencyLimit::new(at(0.0));
         let mut limits = Vec::new();
         for i in 1..100 {
@@ -168,14 +168,14 @@
         ) {
             let mut limit = ConcurrencyLimit::new(Point::at(1000.0));
             let mut now = 1000.0;
-            for (step, s) in steps {
-                now += s * 0.1;
+            for (step, seconds) in steps {
+                now += seconds * 0.1;
                 match step {
                     0 => { if limit.has_capacity(Point::at(now)) { limit.record_sent() } }
                     1 => limit.record_answer(Point::at(now), None),
-                    2 => limit.record_answer(Point::at(now), Some(Span::of(s))),
+                    2 => limit.record_answer(Point::at(now), Some(Span::of(seconds))),
                     // A clock that went back.
-                    _ => limit.record_answer(Point::at(now - 1.0), Some(Span::of(s))),
+                    _ => limit.record_answer(Point::at(now - 1.0), Some(Span::of(seconds))),
                 }
                 prop_assert!((4..=512).contains(&limit.limit()));
                 prop_assert!(limit.in_flight() <= 512);
--- a/crates/lemontide-shed/src/connection_limits.rs
+++ b/crates/lemontide-shed/src/connection_limits.rs
@@ -1,5 +1,5 @@
-//! Limits on open connections: so many in all, and so many from one network. At a limit a new connection replaces the
-//! one that has been idle longest; a connection with a request in progress is never closed for another.
+//! Limits on open connections: on all of them together, and on those from one network. At a limit a new connection
+//! replaces the one that has been idle longest; a connection with a request in progress is never closed for another.
 
 use lemontide::clock::{Point, Span};
 use serde::{Deserialize, Serialize};
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
     pub max_connections: usize,
-    /// Connections from one network; the prefix length in bits says what counts as one network.
+    /// Most connections from one network. The addresses with the same prefix of the length below count as one network.
     pub max_per_network: usize,
     pub prefix_bits_v4: u8,
     pub prefix_bits_v6: u8,
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, Default)]
 struct Network {
     open: usize,
-    /// Idle connections by the time since when they are idle.
+    /// Idle connections, the one that has been idle longest first.
     idle: BTreeSet<(Point, u64)>,
 }
 
@@ -59,7 +59,7 @@
     /// Each connection's network, and since when it is idle.
     connections: HashMap<u64, (IpAddr, Option<Point>)>,
     networks: HashMap<IpAddr, Network>,
-    /// Idle connections of all networks by the time since when they are idle.
+    /// The same for all networks together.
     idle: BTreeSet<(Point, u64)>,
     next_id: u64,
     counts: ConnectionCounts,
@@ -205,8 +205,8 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn at(s: f64) -> Point {
-        Point::at(1000.0 + s)
+    fn at(seconds: f64) -> Point {
+        Point::at(1000.0 + seconds)
     }
 
     fn ip(text: &str) -> IpAddr {
--- a/crates/lemontide-shed/src/load_level.rs
+++ b/crates/lemontide-shed/src/load_level.rs
@@ -154,17 +154,17 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn at(s: f64) -> Point {
-        Point::at(1000.0 + s)
+    fn at(seconds: f64) -> Point {
+        Point::at(1000.0 + seconds)
     }
 
     /// Levels over this time at a queue delay that is read every 50 ms.
     fn run(load: &mut LoadLevel, from_s: f64, seconds: f64, share: impl Fn(f64) -> f64) -> Vec<f64> {
         let steps = (seconds / 0.05) as usize;
         let level = |i: usize| {
-            let s = from_s + i as f64 * 0.05;
-            load.observe(at(s), Resource::QueueDelay, share(s));
-            load.level(at(s))
+            let time_s = from_s + i as f64 * 0.05;
+            load.observe(at(time_s), Resource::QueueDelay, share(time_s));
+            load.level(at(time_s))
         };
         (0..steps).map(level).collect()
     }
@@ -215,10 +215,11 @@
         #[test]
         fn a_steady_load_does_not_make_the_level_oscillate(share in 0.0f64..1.5, seed in 1u64..1000) {
             let mut load = LoadLevel::default();
-            let noisy = |s: f64| share * (1.0 + 0.05 * ((s * 977.0 + seed as f64).sin()));
+            let noisy = |time_s: f64| share * (1.0 + 0.05 * ((time_s * 977.0 + seed as f64).sin()));
             run(&mut load, 0.0, 10.0, noisy);
             let settled = run(&mut load, 10.0, 10.0, noisy);
-            let (low, high) = settled.iter().fold((f64::MAX, 0.0f64), |(l, h), v| (l.min(*v), h.max(*v)));
+            let extend = |(low, high): (f64, f64), level: &f64| (low.min(*level), high.max(*level));
+            let (low, high) = settled.iter().fold((f64::MAX, 0.0f64), extend);
             prop_assert!(high - low <= 0.25, "{low} to {high}");
         }
     }
--- a/crates/lemontide-shed/src/shedder.rs
+++ b/crates/lemontide-shed/src/shedder.rs
@@ -141,7 +141,8 @@
         if incoming.was_held {
             self.admission.hold_ended();
         }
-        // A request that was held counted against its tenant's quota already.
+        // A request that was held was counted against its tenant's quota before its hold; now it is decided as one
+        // within the quota.
         let tenant_over_quota = !incoming.was_held && self.tenant_quotas.exceeds_quota(now, incoming.tenant);
         let request = Request {
             class: incoming.class,
