--- a/crates/lemontide-standin/src/day.rs
+++ b/crates/lemontide-standin/src/day.rs
@@ -255,8 +255,8 @@
     pub kind: FaultKind,
 }
 
-/// Kinds of faults; the soak prints their names. Numbers under `on` are indices into the day's list of streamers, or of controllers where the kind
-/// is about controllers.
+/// Kinds of faults; the soak prints their names. Numbers under `on` are indices into the day's list of streamers, or of
+/// controllers where the kind is about controllers.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 #[schemars(rename = "What")]
--- a/crates/lemontide-standin/src/fleet_simulation.rs
+++ b/crates/lemontide-standin/src/fleet_simulation.rs
@@ -113,7 +113,7 @@
     by_connection: BTreeMap<ConnectionId, (usize, usize)>,
     list: StreamerList,
     now: f64,
-    /// By how much each controller is preferred by viewers.
+    /// Weight of each controller in the viewers' choice of one.
     arrival_weights: Vec<f64>,
     rng: StdRng,
     last_request_number: u32,
@@ -166,7 +166,7 @@
         let day = day(&config);
         let unused_addresses: Vec<SocketAddr> = vec![SocketAddr::from(([127, 0, 0, 1], 1)); config.streamers];
         let mut rng = StdRng::seed_from_u64(config.seed);
-        // A few get several times the mean.
+        // A few controllers get several times the mean number of requests.
         let arrival_weights = (0..config.controllers)
             .map(|_| (config.imbalance * (rng.random::<f64>() + rng.random::<f64>() - 1.0) * 2.0).exp())
             .collect();
@@ -195,7 +195,7 @@
             day,
             config,
         };
-        // They started long ago, so none of them restricts itself as a new controller does.
+        // The controllers started long ago, so none of them limits its sends as a new one does.
         for controller in 0..simulation.config.controllers {
             simulation.start(controller, START_S - 100.0);
         }
--- a/crates/lemontide-standin/src/judge.rs
+++ b/crates/lemontide-standin/src/judge.rs
@@ -48,7 +48,8 @@
     pub answered_once: usize,
     #[serde(rename = "two")]
     pub answered_repeatedly: usize,
-    /// Requests that no running controller had to answer: it was killed or paused, or the viewer left.
+    /// Requests that need no answer: their controller was killed or paused, the viewer left, or the connection failed
+    /// before a controller received the request.
     pub excused: usize,
     pub plays: usize,
     #[serde(rename = "turned_back")]
@@ -482,7 +483,7 @@
             .into_iter()
             .flatten()
             .filter(|start| **start <= by)
-            .fold(0.0, |a: f64, b| a.max(*b));
+            .fold(0.0, |latest: f64, start| latest.max(*start));
         let (mut not_ready_since, mut last_start) = (None, None::<f64>);
         for record in self.records.iter().filter(|record| record.at >= since && record.at <= by) {
             let TapEvent::ListChangeReceived { streamer, state, started_at } = &record.event else {
@@ -681,7 +682,7 @@
     }
 
     /// Whether a controller knew of a streamer's start by a given time: it received the list change, it lost its link
-    /// to the old process, or it started later than the streamer.
+    /// to the old process in the 60 s before the start or since, or it started later than the streamer.
     fn knew_start(&self, number: usize, name: &str, started_at: f64, by: f64) -> bool {
         let known_start = self.known_state(number, name, by).1;
         let started_later =
@@ -775,8 +776,10 @@
             let received = requests.get(&number).unwrap_or(&none);
             let starts = self.starts.get(&number).cloned().unwrap_or_default();
             for (i, record) in records.iter().enumerate() {
-                let last_start =
-                    starts.iter().filter(|start| **start <= record.at).fold(0.0, |a: f64, b| a.max(*b));
+                let last_start = starts
+                    .iter()
+                    .filter(|start| **start <= record.at)
+                    .fold(0.0, |latest: f64, start| latest.max(*start));
                 let from = (record.at - budget.window_s).max(last_start);
                 let retry_count =
                     records[..=i].iter().filter(|other| other.at > from + TIME_TOLERANCE_S).count();
@@ -841,11 +844,11 @@
             }
         }
         let ratio = |(earned, wanted): (f64, f64)| if wanted > 0.0 { earned / wanted } else { 1.0 };
-        let overall = ratio(by_class.values().fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1)));
+        let overall = ratio(by_class.values().fold((0.0, 0.0), |sum, part| (sum.0 + part.0, sum.1 + part.1)));
         let seconds: Vec<i64> = by_second.keys().copied().collect();
         let window_ratio = |from: i64| {
             let parts = by_second.range(from..from + 10).map(|(_, part)| *part);
-            ratio(parts.fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1)))
+            ratio(parts.fold((0.0, 0.0), |sum, part| (sum.0 + part.0, sum.1 + part.1)))
         };
         let (first, last) = (seconds.first().copied().unwrap_or(0), seconds.last().copied().unwrap_or(0));
         let worst_ten_s = (first..=(last - 9).max(first)).map(window_ratio).fold(f64::INFINITY, f64::min);
--- a/crates/lemontide-standin/src/model.rs
+++ b/crates/lemontide-standin/src/model.rs
@@ -1,5 +1,5 @@
 //! Capacity model of a fleet of simulated streamers: links and uplinks shared in equal parts, warm-up and crashes,
-//! late and noisy load reports, and the effects of troubles. It has no sockets and no clock; its caller passes in
+//! late and noisy load reports, and the effects of faults. It has no sockets and no clock; its caller passes in
 //! events with their time and carries out the outputs.
 
 use crate::day::{Day, FaultKind};
@@ -86,10 +86,10 @@
     /// Times of the set-ups in the last window.
     recent_set_ups: VecDeque<f64>,
     smoothed_share: f64,
-    // Effects of the troubles in force.
+    // Effects of the faults in force.
     error_share: f64,
     is_stalled: bool,
-    /// By how much its link is slower.
+    /// Factor by which its link is slower.
     link_slowdown: f64,
     ageing_since: Option<f64>,
     /// Share of the start messages that get lost.
@@ -108,14 +108,14 @@
 /// Model of all streamers of a day.
 pub struct CapacityModel {
     streamers: Vec<SimulatedStreamer>,
-    /// Capacity of each rack's uplink, and by how much it is reduced.
+    /// Capacity of each rack's uplink, and the factor by which it is divided.
     uplinks: Vec<(f64, f64)>,
     /// Mean duration of a set-up by class.
     mean_set_up_s: BTreeMap<String, f64>,
     day: Day,
     /// Viewing time by request id.
     viewing_s: BTreeMap<String, f64>,
-    /// Reports to be sent: when, on which connection.
+    /// Reports to be sent: the time, the connection and the message.
     delayed_reports: Vec<(f64, ConnectionId, StreamerMessage)>,
     extra_report_delay_s: f64,
     rng: StdRng,
@@ -351,7 +351,7 @@
             .pending_set_ups
             .iter()
             .position(is_cancelled)
-            .and_then(|i| simulated.pending_set_ups.remove(i));
+            .and_then(|position| simulated.pending_set_ups.remove(position));
         let is_playing = simulated.streams.get(&key).is_some_and(|stream| stream.attempt == attempt);
         let how = How::Cancelled.into();
         let ended = Ended { id, shot: attempt, how, cmsd_dynamic: self.load_report(index, true) };
@@ -367,9 +367,9 @@
         self.load_report(index, true)
     }
 
-    // Troubles.
+    // Faults.
 
-    /// Begins or ends a trouble. Its effects on controllers, on the list and on the arrival rate are not modelled here.
+    /// Begins or ends a fault. Its effects on controllers, on the list and on the arrival rate are not modelled here.
     pub fn set_trouble(&mut self, now: f64, what: &FaultKind, begins: bool) {
         match what {
             FaultKind::QuickErrors { on, share } => {
@@ -501,7 +501,7 @@
             .clamp(0.0, 1.0)
     }
 
-    /// By how many times an ageing streamer is slower by now.
+    /// Factor by which an ageing streamer is slower by now.
     fn ageing_slowdown(&self, now: f64, index: usize) -> f64 {
         self.streamers[index].ageing_since.map_or(1.0, |since| 1.0 + (now - since) / 4.0)
     }
@@ -527,7 +527,7 @@
         )
     }
 
-    /// The load report of now, with the day's noise; it holds the number of streams on request, if the day reports it.
+    /// The present load report, with the day's noise; it holds the number of streams on request, if the day reports it.
     fn load_report(&mut self, index: usize, with_streams: bool) -> String {
         let noise = self.day.reports.noise;
         let noise_factor = 1.0 + noise * (2.0 * self.rng.random::<f64>() - 1.0);
@@ -606,8 +606,10 @@
         if self.streamers[index].is_stalled {
             return;
         }
-        while let Some(i) = self.streamers[index].pending_set_ups.iter().position(|s| s.ready_at <= now) {
-            let Some(set_up) = self.streamers[index].pending_set_ups.remove(i) else { return };
+        while let Some(position) =
+            self.streamers[index].pending_set_ups.iter().position(|s| s.ready_at <= now)
+        {
+            let Some(set_up) = self.streamers[index].pending_set_ups.remove(position) else { return };
             let (connection, id) = set_up.key;
             let lost = self.rng.random::<f64>() < self.streamers[index].start_message_loss;
             let remaining_s = self.viewing_s.get(&set_up.request_id).copied().unwrap_or(30.0);
--- a/crates/lemontide-standin/src/run.rs
+++ b/crates/lemontide-standin/src/run.rs
@@ -69,16 +69,16 @@
     RemoveAddress(usize),
 }
 
-/// A time for each of these, spread evenly over the duration of the fault.
+/// A time for each of these controllers, spread evenly over the duration of the fault.
 fn spread<'a>(fault: &'a FaultWindow, on: &'a [usize]) -> impl Iterator<Item = (f64, usize)> + 'a {
     let interval = fault.duration_s / on.len().max(1) as f64;
-    on.iter().enumerate().map(move |(k, number)| (fault.at_s + interval * k as f64, *number))
+    on.iter().enumerate().map(move |(position, number)| (fault.at_s + interval * position as f64, *number))
 }
 
 /// The steps of all faults, by time.
 fn schedule(day: &Day) -> Vec<(f64, Step)> {
     let mut steps = Vec::new();
-    for (i, fault) in day.faults.iter().enumerate() {
+    for (fault_index, fault) in day.faults.iter().enumerate() {
         let (from, to) = (fault.at_s, fault.at_s + fault.duration_s);
         match &fault.kind {
             FaultKind::KillControllers { on, down_s } => {
@@ -87,7 +87,7 @@
                     if day.viewers.failover_delay_s < *down_s {
                         steps.push((at + day.viewers.failover_delay_s, Step::RemoveAddress(number)));
                     }
-                    // One that would start again after the end of the day stays down.
+                    // A controller that would start again after the end of the day stays down.
                     if at + down_s < day.length_s {
                         steps.push((at + down_s, Step::StartController(number)));
                     }
@@ -111,46 +111,47 @@
                 continue;
             }
             FaultKind::Removal { on, notice_s, spares, spares_after_s } => {
-                for at in on {
-                    steps.push((from, Step::ListState(*at, StreamerState::Draining)));
-                    steps.push((from + notice_s, Step::KillStreamer(*at)));
+                for streamer in on {
+                    steps.push((from, Step::ListState(*streamer, StreamerState::Draining)));
+                    steps.push((from + notice_s, Step::KillStreamer(*streamer)));
                     steps.push((
                         from + notice_s + day.list_delays.ended_s,
-                        Step::ListState(*at, StreamerState::Gone),
+                        Step::ListState(*streamer, StreamerState::Gone),
                     ));
                 }
-                for at in spares {
+                for streamer in spares {
                     let started = from + notice_s + spares_after_s;
-                    steps.push((started, Step::StartStreamer(*at)));
+                    steps.push((started, Step::StartStreamer(*streamer)));
                     steps.push((
                         started + day.list_delays.started_s,
-                        Step::ListState(*at, StreamerState::Ready),
+                        Step::ListState(*streamer, StreamerState::Ready),
                     ));
                 }
                 continue;
             }
             FaultKind::Vanish { on } => {
-                for at in on {
+                for streamer in on {
                     if day.list_delays.silent_s < fault.duration_s {
                         steps.push((
                             from + day.list_delays.silent_s,
-                            Step::ListState(*at, StreamerState::Gone),
+                            Step::ListState(*streamer, StreamerState::Gone),
                         ));
                     }
-                    steps.push((to + day.list_delays.started_s, Step::ListState(*at, StreamerState::Ready)));
+                    steps.push((
+                        to + day.list_delays.started_s,
+                        Step::ListState(*streamer, StreamerState::Ready),
+                    ));
                 }
             }
             FaultKind::Ageing { on } => {
-                steps.extend(
-                    on.iter().map(|at| {
-                        (to + day.list_delays.started_s, Step::ListState(*at, StreamerState::Ready))
-                    }),
-                );
+                steps.extend(on.iter().map(|streamer| {
+                    (to + day.list_delays.started_s, Step::ListState(*streamer, StreamerState::Ready))
+                }));
             }
             _ => {}
         }
-        steps.push((from, Step::BeginFault(i)));
-        steps.push((to, Step::EndFault(i)));
+        steps.push((from, Step::BeginFault(fault_index)));
+        steps.push((to, Step::EndFault(fault_index)));
     }
     steps.sort_by(|a, b| a.0.total_cmp(&b.0));
     steps
@@ -259,24 +260,26 @@
 impl Runner {
     async fn step(&mut self, step: Step) -> io::Result<()> {
         match step {
-            Step::BeginFault(i) | Step::EndFault(i) => {
+            Step::BeginFault(fault_index) | Step::EndFault(fault_index) => {
                 let begins = matches!(step, Step::BeginFault(_));
                 let day = self.day.clone();
-                if let FaultKind::Between { from, to, both_ways, impairment } = &day.faults[i].kind {
+                if let FaultKind::Between { from, to, both_ways, impairment } = &day.faults[fault_index].kind
+                {
                     let mut pairs = day.endpoint_pairs(from, to);
                     if *both_ways {
                         pairs.extend(day.endpoint_pairs(to, from));
                     }
                     match begins {
-                        true => self.relay.begin_impairment(i, pairs, impairment.clone()),
-                        false => self.relay.end_impairment(i),
+                        true => self.relay.begin_impairment(fault_index, pairs, impairment.clone()),
+                        false => self.relay.end_impairment(fault_index),
                     }
                 }
-                self.fleet.with_model(|model, now| model.set_trouble(now, &day.faults[i].kind, begins));
+                self.fleet
+                    .with_model(|model, now| model.set_trouble(now, &day.faults[fault_index].kind, begins));
             }
-            Step::KillStreamer(at) => self.fleet.with_model(|model, _| model.kill(at)),
-            Step::StartStreamer(at) => self.fleet.with_model(|model, now| model.restart(now, at)),
-            Step::ListState(at, state) => self.publish_state(at, state)?,
+            Step::KillStreamer(streamer) => self.fleet.with_model(|model, _| model.kill(streamer)),
+            Step::StartStreamer(streamer) => self.fleet.with_model(|model, now| model.restart(now, streamer)),
+            Step::ListState(streamer, state) => self.publish_state(streamer, state)?,
             Step::KillController(number) => {
                 if let Some(mut child) = self.controllers[number].take() {
                     self.tap.record(TapEvent::Killed { controller: number });
@@ -350,11 +353,12 @@
     }
 
     /// Publishes a list that shows a streamer in this state, or as gone if its process is dead.
-    fn publish_state(&mut self, at: usize, state: StreamerState) -> io::Result<()> {
+    fn publish_state(&mut self, streamer: usize, state: StreamerState) -> io::Result<()> {
         let (started_at, dead) =
-            self.fleet.with_model(|model, _| (model.started_at(at), model.has_crashed(at)));
+            self.fleet.with_model(|model, _| (model.started_at(streamer), model.has_crashed(streamer)));
         let state = if dead { StreamerState::Gone } else { state };
-        let entry = ListEntry { state, started_at, ..self.day.list_entry(at, self.fleet.addresses[at]) };
+        let entry =
+            ListEntry { state, started_at, ..self.day.list_entry(streamer, self.fleet.addresses[streamer]) };
         match self.list.streamers.iter_mut().find(|old| old.streamer == entry.streamer) {
             Some(old) => *old = entry,
             None => self.list.streamers.push(entry),
