--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -138,8 +138,8 @@
             // Ten from the start and ten more at the end, or all twenty from the start.
             let due = if growing && tick < 56 { 10 } else { 20 };
             for id in playing.len() as u32..due {
-                let at = format!("s{}", id as usize % STREAMERS);
-                let handle = controller.adopt(now, &request(id, FREE, "t", 0, now), &at);
+                let streamer = format!("s{}", id as usize % STREAMERS);
+                let handle = controller.adopt(now, &request(id, FREE, "t", 0, now), &streamer);
                 handle.rung_reported(&mut controller, now, 1);
                 playing.push(handle);
             }
@@ -218,11 +218,11 @@
 /// empty fleet. Only where own sessions outnumber the controllers do adopted sessions allow that conclusion.
 #[test]
 fn adopted_sessions_are_downgraded_only_where_they_outnumber_the_controllers() {
-    for (controllers, own, steps) in [(200, 5, false), (2, 60, true)] {
+    for (controllers, own_sessions, downgraded) in [(200, 5, false), (2, 60, true)] {
         let now = Point::at(100.0);
         let mut controller = Controller::new(now, 7, &controller_settings(0, controllers, &[]));
         controller.update_list(now, &fleet(), true);
-        for id in 0..own {
+        for id in 0..own_sessions {
             let handle = controller.adopt(
                 now,
                 &request(id, FREE, "t", 0, now),
@@ -231,7 +231,7 @@
             handle.rung_reported(&mut controller, now, 2);
         }
         controller.tick(now + seconds(0.3));
-        assert_eq!(!controller.actions.rung_changes.is_empty(), steps, "{controllers} controllers");
+        assert_eq!(!controller.actions.rung_changes.is_empty(), downgraded, "{controllers} controllers");
     }
 }
 
@@ -372,7 +372,7 @@
     assert!(rejected > 200, "far over its quota, at links with a price: {rejected}");
 }
 
-/// One failure must not exclude a streamer, and a row of them must.
+/// A single failure must not exclude a streamer; several in a row must.
 #[test]
 fn streamer_health_follows_a_sequential_test() {
     let (mut controller, start) = single_controller(&[("cells", 1.0)]);
@@ -474,7 +474,12 @@
         controller.submit(now, &request(id, FREE, "t", 0, now + seconds(9.0)));
     }
     for cell in 0..STREAMERS {
-        let sends = controller.actions.attempts.iter().filter(|s| *s.streamer == format!("s{cell}")).count();
+        let sends = controller
+            .actions
+            .attempts
+            .iter()
+            .filter(|attempt| *attempt.streamer == format!("s{cell}"))
+            .count();
         assert!(sends <= 3, "{sends} at once to s{cell}, which can be cold");
     }
     controller.actions.clear();
@@ -521,32 +526,36 @@
     let (mut controller, now) = single_controller(&[]);
     // After the time in which a new controller limits its sends.
     let now = now + seconds(20.0);
-    let mut next = 0;
-    let mut submit = |controller: &mut Controller, at: f64| {
-        next += 1;
+    let mut last_id = 0;
+    let mut submit = |controller: &mut Controller, after_s: f64| {
+        last_id += 1;
         controller.actions.clear();
-        let handle = controller
-            .submit(now + seconds(at), &request(next, FREE, &format!("t{next}"), 0, now + seconds(at + 9.0)));
+        let handle = controller.submit(
+            now + seconds(after_s),
+            &request(last_id, FREE, &format!("t{last_id}"), 0, now + seconds(after_s + 9.0)),
+        );
         (handle, controller.actions.attempts.first().map(|attempt| attempt.streamer.to_string()))
     };
     controller.set_peer_suspicion(now, "s0", f64::NAN);
     controller.set_peer_suspicion(now, "unknown", 1.0);
-    ["s0", "s1"].iter().for_each(|s| controller.set_peer_suspicion(now, s, 1.0));
+    ["s0", "s1"].iter().for_each(|streamer| controller.set_peer_suspicion(now, streamer, 1.0));
     assert!(
         (0..6).all(|i| submit(&mut controller, f64::from(i) / 10.0).1.as_deref() == Some("s2")),
         "suspect streamers are used last"
     );
     controller.set_peer_suspicion(now, "s2", 1.0);
-    let (attempt, at) = submit(&mut controller, 0.7);
-    assert!(at.is_some(), "where all are suspect by reports alone they are tried");
+    let (attempt, streamer) = submit(&mut controller, 0.7);
+    assert!(streamer.is_some(), "where all are suspect by reports alone they are tried");
     attempt.playing(&mut controller, now + seconds(0.8));
-    let at = at.unwrap_or_default();
+    let streamer = streamer.unwrap_or_default();
     assert!(
-        (0..3).all(|i| submit(&mut controller, 0.9 + f64::from(i) / 10.0).1.as_deref() == Some(&*at)),
+        (0..3).all(|i| submit(&mut controller, 0.9 + f64::from(i) / 10.0).1.as_deref() == Some(&*streamer)),
         "a session plays there"
     );
     let (attempt, _) = submit(&mut controller, 1.3);
-    ["s0", "s1", "s2"].iter().for_each(|s| controller.set_peer_suspicion(now + seconds(1.3), s, 1.0));
+    ["s0", "s1", "s2"]
+        .iter()
+        .for_each(|streamer| controller.set_peer_suspicion(now + seconds(1.3), streamer, 1.0));
     attempt.attempt_ended(
         &mut controller,
         now + seconds(1.4),
@@ -555,7 +564,7 @@
         Load::default(),
     );
     assert!(
-        (0..3).all(|i| submit(&mut controller, 1.5 + f64::from(i) / 10.0).1.as_deref() != Some(&*at)),
+        (0..3).all(|i| submit(&mut controller, 1.5 + f64::from(i) / 10.0).1.as_deref() != Some(&*streamer)),
         "confirmed by an own failure"
     );
 }
@@ -791,25 +800,25 @@
         handles[id as usize].playing(&mut controller, now);
         handles[id as usize].load_reported(&mut controller, now, Load::of_link(0.1));
     }
-    let at = controller.actions.attempts[0].streamer.clone();
+    let streamer = controller.actions.attempts[0].streamer.clone();
     assert!(
         controller.actions.attempts.len() == 60
-            && controller.actions.attempts.iter().all(|attempt| attempt.streamer == at)
+            && controller.actions.attempts.iter().all(|attempt| attempt.streamer == streamer)
     );
     let lowest = controller.actions.rung_changes.iter().map(|(_, rung)| *rung).min();
     assert!(lowest >= Some(1), "sixty share the rate of seven streams: {lowest:?}");
     controller.actions.clear();
     handles[0].load_reported(&mut controller, now, Load { streams: Some(30.0), ..Load::of_link(0.6) });
     handles.push(controller.submit(now, &request(60, FREE, "t", 0, now + seconds(9.0))));
-    assert_eq!(controller.actions.attempts[0].streamer, at, "it needs no stream of its own");
+    assert_eq!(controller.actions.attempts[0].streamer, streamer, "it needs no stream of its own");
     // All recorded load is released, in whatever order the sessions end.
     for handle in handles.into_iter().skip(1) {
         handle.attempt_ended(&mut controller, now, AttemptOutcome::Served, true, Load::default());
     }
     controller.actions.clear();
-    let full = |id: u32| request(id, PAID, "u", 0, now + seconds(9.0));
+    let paid_request = |id: u32| request(id, PAID, "u", 0, now + seconds(9.0));
     for id in 100..160 {
-        controller.submit(now, &full(id));
+        controller.submit(now, &paid_request(id));
     }
     assert!(
         controller.actions.attempts.len() >= 40,
@@ -837,11 +846,11 @@
 }
 
 /// A controller after its warm-up that can probe, in a fleet whose link load is reported in this way.
-fn reporting_controller(how: &str, every: f64) -> (Controller, Point) {
+fn reporting_controller(reported_by: &str, interval_s: f64) -> (Controller, Point) {
     let start = Point::at(100.0);
-    let mut settings = controller_settings(0, 1, &[("notes.every", every)]);
+    let mut settings = controller_settings(0, 1, &[("notes.every", interval_s)]);
     settings.insert("looks.allowed".to_owned(), SettingValue::Flag(true));
-    settings.insert("links.told".to_owned(), SettingValue::Text(how.to_owned()));
+    settings.insert("links.told".to_owned(), SettingValue::Text(reported_by.to_owned()));
     let mut controller = Controller::new(start, 7, &settings);
     controller.update_list(start, &fleet(), true);
     controller.actions.clear();
@@ -851,14 +860,15 @@
 /// Guards against three probes before each request where these report no load of the link.
 #[test]
 fn streamers_are_probed_only_where_probes_report_link_load() {
-    for (how, every, probes) in [("answers", 3.0, 1), ("looks", 0.0, 1), ("never", 3.0, 0), ("never", 0.0, 0)]
+    for (reported_by, interval_s, probes) in
+        [("answers", 3.0, 1), ("looks", 0.0, 1), ("never", 3.0, 0), ("never", 0.0, 0)]
     {
-        let (mut controller, now) = reporting_controller(how, every);
+        let (mut controller, now) = reporting_controller(reported_by, interval_s);
         controller.submit(now, &request(1, FREE, "t", 0, now + seconds(9.0)));
         assert_eq!(
             (controller.actions.probes.len(), controller.actions.attempts.len()),
             (probes, 1 - probes),
-            "{how}, {every}"
+            "{reported_by}, {interval_s}"
         );
     }
     let (mut controller, now) = reporting_controller("looks", 0.0);
@@ -947,21 +957,21 @@
 /// Guards, where reports are rare, against a link that counts as the mean of the fleet long before its next report is due.
 #[test]
 fn a_report_is_not_old_before_the_next_one_is_due() {
-    for (every, attempts) in [(40.0, 1), (3.0, 0)] {
-        let (mut controller, start) = single_controller(&[("notes.every", every)]);
+    for (interval_s, attempts) in [(40.0, 1), (3.0, 0)] {
+        let (mut controller, start) = single_controller(&[("notes.every", interval_s)]);
         for cell in 0..STREAMERS {
             let playing =
                 controller.adopt(start, &request(cell as u32, FREE, "u", cell, start), &format!("s{cell}"));
-            let full = if cell == 0 { 0.1 } else { 2.0 };
-            playing.load_reported(&mut controller, start + seconds(1.0), Load::of_link(full));
+            let utilization = if cell == 0 { 0.1 } else { 2.0 };
+            playing.load_reported(&mut controller, start + seconds(1.0), Load::of_link(utilization));
             if cell > 0 {
-                playing.load_reported(&mut controller, start + seconds(39.0), Load::of_link(full));
+                playing.load_reported(&mut controller, start + seconds(39.0), Load::of_link(utilization));
             }
         }
         let now = start + seconds(40.0);
         controller.tick(now);
         controller.actions.clear();
         controller.submit(now, &Request { replicas: 1, ..request(9, PAID, "t", 0, now + seconds(9.0)) });
-        assert_eq!(controller.actions.attempts.len(), attempts, "a report every {every} s");
+        assert_eq!(controller.actions.attempts.len(), attempts, "a report every {interval_s} s");
     }
 }
